--- a/crates/firdock-node/src/driver.rs
+++ b/crates/firdock-node/src/driver.rs
@@ -212,7 +212,7 @@
             Event::Fresh(at) => self.parts.site.set_fresh(*at),
             Event::Endpoint(news) => self.note_news(news),
             Event::CallerLeft(id) => self.note_caller_left(*id),
-            Event::Looked(look) => self.decisions.looked(self.parts.clock.now(), look),
+            Event::LivenessChecked(look) => self.decisions.looked(self.parts.clock.now(), look),
             Event::Noticed(told) => self.decisions.noticed(self.parts.clock.now(), told),
             _ => {}
         }
@@ -365,7 +365,7 @@
             Action::GiveUpDispatch { id, dispatch } => {
                 self.tell_dispatch(id, dispatch, Since::Restarted);
             }
-            Action::Look { endpoint, start } => self.look(&endpoint, start),
+            Action::CheckLiveness { endpoint, start } => self.look(&endpoint, start),
             Action::Withhold { id, dispatch } => self.tell_dispatch(id, dispatch, Since::Closed),
             Action::Ask { id } => self.ask_placement(id),
             Action::Decline(grant) => self.decline_placement(&grant),
--- a/crates/firdock-node/src/driver/look.rs
+++ b/crates/firdock-node/src/driver/look.rs
@@ -6,7 +6,7 @@
 
 use firdock_core::{EndpointId, StartId};
 use firdock_policy::Event;
-use firdock_policy::event::{Found, Look};
+use firdock_policy::event::{Liveness, LivenessResult};
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
@@ -24,14 +24,14 @@
     pub(super) fn look(&self, endpoint: &EndpointId, start: StartId) {
         let Some(place) = self.parts.site.view().place(endpoint) else {
             // The list has lost it, which is told by itself.
-            let found = Found::Silent;
-            self.send(Event::Looked(Look { start, found }));
+            let found = Liveness::Silent;
+            self.send(Event::LivenessChecked(LivenessResult { start, found }));
             return;
         };
         let (inputs, limit) = (self.parts.inputs.clone(), self.parts.limits.connect);
         self.parts.runtime.spawn(async move {
             let found = look(place.address, limit).await;
-            let event = Event::Looked(Look { start, found });
+            let event = Event::LivenessChecked(LivenessResult { start, found });
             let _ = inputs.send(Input::Event(event)).await;
         });
     }
@@ -41,19 +41,19 @@
 ///
 /// A process that ends closes its sockets one after the other, so that it may still take a connection of
 /// which nothing comes any more: one that is closed again at once is no answer, and is tried anew.
-async fn look(address: SocketAddr, limit: Duration) -> Found {
+async fn look(address: SocketAddr, limit: Duration) -> Liveness {
     for _ in 0..TRIES {
         match timeout(limit, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => {
                 if timeout(STAYS_OPEN, closed(&stream)).await.is_err() {
-                    return Found::Open;
+                    return Liveness::Open;
                 }
             }
-            Ok(Err(e)) if e.kind() == ErrorKind::ConnectionRefused => return Found::Ended,
-            Ok(Err(_)) | Err(_) => return Found::Silent,
+            Ok(Err(e)) if e.kind() == ErrorKind::ConnectionRefused => return Liveness::Ended,
+            Ok(Err(_)) | Err(_) => return Liveness::Silent,
         }
     }
-    Found::Silent
+    Liveness::Silent
 }
 
 /// Waits until the far end closes a connection on which it has nothing to say.
--- a/crates/firdock-node/src/telemetry/decisions.rs
+++ b/crates/firdock-node/src/telemetry/decisions.rs
@@ -7,7 +7,7 @@
 
 use firdock_core::{EndpointId, Reason};
 use firdock_policy::action::Dispatch;
-use firdock_policy::event::{BreakCause, Look};
+use firdock_policy::event::{BreakCause, LivenessResult};
 use firdock_policy::notice::NoticeTold;
 use firdock_policy::request::{Phase, RequestRow};
 use firdock_policy::table::Tables;
@@ -129,7 +129,7 @@
     }
 
     /// Writes what was found of an endpoint whose connection ended early.
-    pub fn looked(&self, now: Time, look: &Look) {
+    pub fn looked(&self, now: Time, look: &LivenessResult) {
         if self.budget.allow(&self.log, now, LineKind::Look) {
             info!(self.log, "endpoint looked at";
                 "endpoint" => &look.start, "found" => look.found.as_str());
--- a/crates/firdock-node/src/telemetry/metrics.rs
+++ b/crates/firdock-node/src/telemetry/metrics.rs
@@ -309,7 +309,7 @@
             };
             store(&self.broken.get_or_create(&label), *n);
         }
-        for (found, n) in &stats.looks {
+        for (found, n) in &stats.liveness_checks {
             let label = ByFound {
                 found: found.as_str(),
             };
--- a/crates/firdock-policy/src/action.rs
+++ b/crates/firdock-policy/src/action.rs
@@ -32,7 +32,8 @@
         dispatch: u32,
     },
     /// Look whether an endpoint is still there, whose connection ended early.
-    Look {
+    #[serde(rename = "look")]
+    CheckLiveness {
         /// Endpoint.
         endpoint: EndpointId,
         /// Start that is meant.
--- a/crates/firdock-policy/src/event.rs
+++ b/crates/firdock-policy/src/event.rs
@@ -17,7 +17,7 @@
 use crate::suspect::ToldSuspect;
 use crate::time::{LogTime, Time};
 
-pub use endpoint::{BreakCause, DispatchNews, EndpointEvent, Found, LoadReport, Look};
+pub use endpoint::{BreakCause, DispatchNews, EndpointEvent, Liveness, LivenessResult, LoadReport};
 pub use totals::{
     AccountUse, AccountWork, GroupDemand, GroupEvidence, GroupWork, PeerUse, PoolDemand, UseCounts,
     UseTotals,
@@ -34,7 +34,8 @@
     /// An endpoint told something about a dispatch.
     Endpoint(EndpointEvent),
     /// It was looked whether an endpoint is still there.
-    Looked(Look),
+    #[serde(rename = "looked")]
+    LivenessChecked(LivenessResult),
     /// An endpoint told how long work takes there now.
     Paced(PaceTold),
     /// An endpoint said with an answer that it leaves, or wants nothing for a while.
--- a/crates/firdock-policy/src/event/endpoint.rs
+++ b/crates/firdock-policy/src/event/endpoint.rs
@@ -101,17 +101,17 @@
 
 /// What a look at an endpoint found whose connection ended early.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Look {
+pub struct LivenessResult {
     /// Start of the endpoint.
     pub start: StartId,
     /// What was found.
-    pub found: Found,
+    pub found: Liveness,
 }
 
 /// Whether an endpoint is still there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Found {
+pub enum Liveness {
     /// Its address takes connections.
     Open,
     /// Its address refuses them: its process has ended.
@@ -120,7 +120,7 @@
     Silent,
 }
 
-impl Found {
+impl Liveness {
     /// Gives the word for it in logs and metrics.
     #[must_use]
     pub fn as_str(self) -> &'static str {
--- a/crates/firdock-policy/src/scheduler.rs
+++ b/crates/firdock-policy/src/scheduler.rs
@@ -5,7 +5,7 @@
 use crate::settings::PolicySettings;
 use crate::system::{
     admit, backoff, check, config, coordinate, demand, drain, early, expire, fair, handover,
-    health, key, limit, look, news, notice, paced, place, rollout, share, shed, suspect,
+    health, key, limit, liveness, news, notice, paced, place, rollout, share, shed, suspect,
 };
 use crate::table::{Reach, Tables};
 use crate::time::Time;
@@ -52,7 +52,7 @@
             Event::Arrived(new) => admit::arrived(t, now, new, out),
             Event::CallerLeft(id) => news::caller_left(t, now, id, out),
             Event::Endpoint(e) => news::endpoint(t, now, &e, out),
-            Event::Looked(look) => look::take(t, now, &look, out),
+            Event::LivenessChecked(result) => liveness::handle_result(t, now, &result, out),
             Event::Paced(told) => paced::take(t, &told),
             Event::Noticed(told) => notice::take(t, &told, out),
             Event::Report(report) => health::report(t, now, &report),
--- a/crates/firdock-policy/src/stats.rs
+++ b/crates/firdock-policy/src/stats.rs
@@ -4,7 +4,7 @@
 
 use firdock_core::{AccountId, Outcome, PoolId, Reason, TierRank};
 
-use crate::event::{BreakCause, Found};
+use crate::event::{BreakCause, Liveness};
 
 /// Why prefill work was lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -127,7 +127,7 @@
     /// Broken dispatches, by how they came to break.
     pub broken: BTreeMap<BreakCause, u64>,
     /// Looks at endpoints whose connections ended early, by what was found.
-    pub looks: BTreeMap<Found, u64>,
+    pub liveness_checks: BTreeMap<Liveness, u64>,
     /// Ends of endpoints that were held against a request.
     pub blamed: u64,
     /// Second tries after a broken dispatch.
--- a/crates/firdock-policy/src/system.rs
+++ b/crates/firdock-policy/src/system.rs
@@ -16,7 +16,7 @@
 pub mod health;
 pub mod key;
 pub mod limit;
-pub mod look;
+pub mod liveness;
 pub mod news;
 pub mod notice;
 pub mod paced;
--- a/crates/firdock-policy/src/system/news.rs
+++ b/crates/firdock-policy/src/system/news.rs
@@ -2,7 +2,7 @@
 
 use firdock_core::{Outcome, Reason, RequestId};
 
-use super::{end, fair, health, key, look, paced, rollout, suspect};
+use super::{end, fair, health, key, liveness, paced, rollout, suspect};
 use crate::action::Action;
 use crate::event::{BreakCause, DispatchNews, EndpointEvent};
 use crate::request::{Failure, Passed, Phase, Placing, Proof, RequestRow, Verdict};
@@ -243,7 +243,7 @@
     }
     *t.stats.broken.entry(cause).or_default() += 1;
     if cause == BreakCause::Closed {
-        look::ask(t, now, at, out);
+        liveness::start_check(t, now, at, out);
     }
 }
 
--- a/crates/firdock-policy/src/table/endpoint.rs
+++ b/crates/firdock-policy/src/table/endpoint.rs
@@ -75,7 +75,7 @@
 
 /// A look at an endpoint that is under way.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LookState {
+pub struct LivenessCheck {
     /// When it began.
     pub began: Time,
     /// Whether something broke there since, of which it says nothing.
@@ -124,7 +124,7 @@
     /// Dispatches that broke in a row.
     pub broken: u32,
     /// Whether it is being looked whether it is still there.
-    pub look: Option<LookState>,
+    pub liveness_check: Option<LivenessCheck>,
     /// Missed reports in a row.
     pub missed: u32,
     /// Requests of this instance dispatched and not ended.
@@ -182,7 +182,7 @@
             health: Health::Well,
             failures: 0,
             broken: 0,
-            look: None,
+            liveness_check: None,
             missed: 0,
             running: 0,
             backlog: 0.0,
--- a/crates/firdock-policy/tests/policy/suspects.rs
+++ b/crates/firdock-policy/tests/policy/suspects.rs
@@ -14,7 +14,7 @@
 
 use firdock_core::resource::{Catalog, Endpoint, Resource};
 use firdock_core::{Content, Outcome};
-use firdock_policy::event::{BreakCause, DispatchNews, Found, Look};
+use firdock_policy::event::{BreakCause, DispatchNews, Liveness, LivenessResult};
 use firdock_policy::{Action, Event, NewRequest, Time};
 
 use crate::edge::{Edge, edge_settings, request, resources};
@@ -66,9 +66,9 @@
     actions
 }
 
-fn found(edge: &mut Edge, start: &str, found: Found) -> Vec<Action> {
+fn found(edge: &mut Edge, start: &str, found: Liveness) -> Vec<Action> {
     let start = start.to_owned();
-    edge.step(Event::Looked(Look { start, found }))
+    edge.step(Event::LivenessChecked(LivenessResult { start, found }))
 }
 
 /// Endpoints, of which those that ended refuse connections.
@@ -111,7 +111,7 @@
     fn ends(&mut self, n: u64, (dispatch, endpoint): (u32, String)) -> Vec<Action> {
         self.edge.now += RUN;
         let mut actions = breaks(&mut self.edge, n, dispatch);
-        actions.extend(found(&mut self.edge, &endpoint, Found::Ended));
+        actions.extend(found(&mut self.edge, &endpoint, Liveness::Ended));
         self.ended.push(endpoint);
         actions
     }
@@ -170,7 +170,7 @@
     let (dispatch, _) = pool
         .arrives(with_body(4, "once", "deadly"))
         .expect("it is sent");
-    let actions = found(&mut pool.edge, &third, Found::Ended);
+    let actions = found(&mut pool.edge, &third, Liveness::Ended);
     let withheld = Action::Withhold {
         id: id(4),
         dispatch,
@@ -298,7 +298,7 @@
             for (n, dispatch) in lost {
                 queue.extend(breaks(&mut edge, n, dispatch));
             }
-            queue.extend(found(&mut edge, &endpoint, Found::Ended));
+            queue.extend(found(&mut edge, &endpoint, Liveness::Ended));
             let row = names.iter_mut().find(|(name, _)| *name == endpoint);
             row.expect("a known endpoint").1 = edge.now + millis(3_000);
         }
--- a/crates/firdock-policy/tests/policy/suspects/evidence.rs
+++ b/crates/firdock-policy/tests/policy/suspects/evidence.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use firdock_core::resource::{Catalog, Endpoint, Resource};
-use firdock_policy::event::{BreakCause, DispatchNews, Found};
+use firdock_policy::event::{BreakCause, DispatchNews, Liveness};
 use firdock_policy::notice::{Notice, NoticeTold};
 use firdock_policy::{Action, Event};
 
@@ -40,7 +40,7 @@
         starts.sort_unstable();
         starts.dedup();
         for start in &starts {
-            found(&mut pool.edge, start, Found::Ended);
+            found(&mut pool.edge, start, Liveness::Ended);
         }
         assert_eq!(ends_against(&pool.edge, "hot"), 1, "{starts:?}");
         // The next one is served by what is left, and speaks for it.
@@ -139,10 +139,10 @@
             edge.tell(n, 1, BROKE);
             // Another request's look finds it ended a moment later.
             edge.now += millis(10);
-            found(&mut edge, &sent[0].1, Found::Ended);
+            found(&mut edge, &sent[0].1, Liveness::Ended);
         } else {
             breaks(&mut edge, n, 1);
-            found(&mut edge, &sent[0].1, Found::Open);
+            found(&mut edge, &sent[0].1, Liveness::Open);
         }
         edge.now += millis(40_000);
     }
@@ -201,9 +201,9 @@
     }
     edge.now += RUN;
     breaks(&mut edge, 1, 1);
-    found(&mut edge, "s0", Found::Ended);
+    found(&mut edge, "s0", Liveness::Ended);
     breaks(&mut edge, 2, 1);
-    found(&mut edge, "s0", Found::Ended);
+    found(&mut edge, "s0", Liveness::Ended);
     assert_eq!(ends_against(&edge, "deadly"), 1);
 }
 
@@ -215,7 +215,7 @@
     let at = sent[0].1.clone();
     edge.now += RUN;
     breaks(&mut edge, 1, 1);
-    found(&mut edge, &at, Found::Silent);
+    found(&mut edge, &at, Liveness::Silent);
     assert_eq!(ends_against(&edge, "deadly"), 0);
     edge.now += millis(3_600);
     let mut left = endpoints(2);
@@ -235,9 +235,9 @@
     let sent = dispatched(&edge.arrive(with_body(1, "once", "deadly")));
     edge.now += RUN;
     breaks(&mut edge, 1, 1);
-    found(&mut edge, &sent[0].1, Found::Ended);
+    found(&mut edge, &sent[0].1, Liveness::Ended);
     edge.now += millis(4_000);
-    found(&mut edge, &sent[0].1, Found::Open);
+    found(&mut edge, &sent[0].1, Liveness::Open);
     let catalog = Catalog::new(2).with_resources(endpoints(2));
     edge.step(Event::Config(Arc::new(catalog)));
     assert_eq!(ends_against(&edge, "deadly"), 1);
@@ -252,7 +252,9 @@
         edge.arrive(with_body(n, "once", &format!("b{n}")));
     }
     let looks = |actions: &[Action]| {
-        let looks = actions.iter().filter(|a| matches!(a, Action::Look { .. }));
+        let looks = actions
+            .iter()
+            .filter(|a| matches!(a, Action::CheckLiveness { .. }));
         looks.count()
     };
     edge.now += RUN;
@@ -260,8 +262,8 @@
     edge.now += millis(10);
     assert_eq!(looks(&breaks(&mut edge, 2, 1)), 0, "one is under way");
     edge.now += millis(10);
-    assert_eq!(looks(&found(&mut edge, "s0", Found::Open)), 1);
-    found(&mut edge, "s0", Found::Ended);
+    assert_eq!(looks(&found(&mut edge, "s0", Liveness::Open)), 1);
+    found(&mut edge, "s0", Liveness::Ended);
     assert_eq!(ends_against(&edge, "b1"), 0);
     assert_eq!(ends_against(&edge, "b2"), 1);
     breaks(&mut edge, 3, 1);
@@ -329,6 +331,6 @@
         edge.step(Event::Config(Arc::new(catalog)));
         assert_eq!(ends_against(&edge, "deadly"), 2);
     }
-    found(&mut edge, &sent[0].1, Found::Ended);
+    found(&mut edge, &sent[0].1, Liveness::Ended);
     assert!(is_quarantined(&edge, "deadly"));
 }
--- a/crates/firdock-policy/tests/policy/suspects/words.rs
+++ b/crates/firdock-policy/tests/policy/suspects/words.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use firdock_core::Outcome;
-use firdock_policy::event::{Found, Grant, PeerNews};
+use firdock_policy::event::{Grant, Liveness, PeerNews};
 use firdock_policy::suspect::{ToldEnd, ToldSuspect};
 use firdock_policy::{Action, Event, NewRequest};
 use proptest::prelude::*;
@@ -119,7 +119,7 @@
     pool.edge.now += RUN;
     for (n, (dispatch, endpoint)) in runs {
         breaks(&mut pool.edge, n, dispatch);
-        found(&mut pool.edge, &endpoint, Found::Ended);
+        found(&mut pool.edge, &endpoint, Liveness::Ended);
         pool.ended.push(endpoint);
     }
     for (n, deadly) in (100..).zip(["deadly", "another", "a third"]) {
--- a/crates/firdock-policy/tests/policy/world/message.rs
+++ b/crates/firdock-policy/tests/policy/world/message.rs
@@ -3,7 +3,8 @@
 use firdock_core::{Outcome, Reason, RequestId};
 use firdock_policy::action::Dispatch;
 use firdock_policy::event::{
-    BreakCause, DispatchNews, EndpointEvent, Found, Grant, HandOverEvent, HandOverRefusal, Look,
+    BreakCause, DispatchNews, EndpointEvent, Grant, HandOverEvent, HandOverRefusal, Liveness,
+    LivenessResult,
 };
 use firdock_policy::notice::{Notice, NoticeTold};
 use firdock_policy::{Action, Event, Origin, Policy as _, Verdict};
@@ -248,7 +249,7 @@
                 let delay = self.lag();
                 self.send(delay, Message::Event(i, incarnation, event));
             }
-            Action::Look { endpoint, start } => {
+            Action::CheckLiveness { endpoint, start } => {
                 let at = endpoint_index(&endpoint);
                 let ended = self.faults[at] == 3;
                 if ended && self.starts.iter().any(|starts| *starts > 0) {
@@ -256,8 +257,12 @@
                     self.starts[at] += 1;
                     self.version += 1;
                 }
-                let found = if ended { Found::Ended } else { Found::Open };
-                let event = Event::Looked(Look { start, found });
+                let found = if ended {
+                    Liveness::Ended
+                } else {
+                    Liveness::Open
+                };
+                let event = Event::LivenessChecked(LivenessResult { start, found });
                 self.send(LOOK, Message::Event(i, incarnation, event));
             }
             Action::Quarantine(_) => self.quarantined += 1,
