--- a/crates/firdock-node/src/telemetry/metrics.rs
+++ b/crates/firdock-node/src/telemetry/metrics.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use firdock_policy::request::RequestRow;
-use firdock_policy::{Standing, Stats, Time};
+use firdock_policy::{FairShare, Stats, Time};
 use prometheus_client::encoding::text::encode;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
@@ -179,14 +179,14 @@
     }
 
     /// Takes over how an account stands with a pool.
-    pub fn set_share(&self, account: &str, pool: &str, standing: &Standing) {
+    pub fn set_share(&self, account: &str, pool: &str, fair_share: &FairShare) {
         let label = ByShare {
             account: account.to_owned(),
             pool: pool.to_owned(),
         };
-        self.asked.get_or_create(&label).set(standing.asked);
-        self.done.get_or_create(&label).set(standing.done);
-        self.share.get_or_create(&label).set(standing.share);
+        self.asked.get_or_create(&label).set(fair_share.asked);
+        self.done.get_or_create(&label).set(fair_share.done);
+        self.share.get_or_create(&label).set(fair_share.share);
     }
 
     /// Notes how long a decision took.
--- a/crates/firdock-node/src/telemetry/shares.rs
+++ b/crates/firdock-node/src/telemetry/shares.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use firdock_policy::table::Tables;
-use firdock_policy::{OVER_PART, Standing, Time, all_standings};
+use firdock_policy::{FairShare, OVER_SHARE_FACTOR, Time, fair_shares_by_pool};
 use slog::{Logger, info};
 
 use super::metrics::Metrics;
@@ -43,7 +43,7 @@
         }
         self.looked = now;
         self.metrics.clear_shares();
-        for pool in all_standings(t, now) {
+        for pool in fair_shares_by_pool(t, now) {
             let mut rows = pool.rows;
             rows.sort_by(|a, b| b.asked.total_cmp(&a.asked));
             for row in rows.iter().take(MAX_ACCOUNTS) {
@@ -56,9 +56,9 @@
         }
     }
 
-    fn write_over(&self, t: &Tables, pool: &str, mut rows: Vec<Standing>) {
-        let over = |s: &Standing| s.done / s.share.max(f64::MIN_POSITIVE);
-        rows.retain(|s| over(s) > OVER_PART);
+    fn write_over(&self, t: &Tables, pool: &str, mut rows: Vec<FairShare>) {
+        let over = |s: &FairShare| s.done / s.share.max(f64::MIN_POSITIVE);
+        rows.retain(|s| over(s) > OVER_SHARE_FACTOR);
         rows.sort_by(|a, b| over(b).total_cmp(&over(a)));
         for row in rows.iter().take(MAX_LINES) {
             let account = t.accounts.get(row.account);
--- a/crates/firdock-policy/src/system/fair.rs
+++ b/crates/firdock-policy/src/system/fair.rs
@@ -6,7 +6,9 @@
 
 mod level;
 
-pub use level::{Ask, PoolStandings, Standing, all_standings, set_levels, shares};
+pub use level::{
+    FairShare, PoolFairShares, ShareDemand, fair_shares_by_pool, max_min_shares, set_levels,
+};
 
 use std::collections::HashMap;
 
@@ -24,7 +26,7 @@
 const MICROS: f64 = 1e6;
 /// Part of its share by which an account has to be over it before a refusal says so: estimates of
 /// work are off by that much, and a caller within its share is not to read that it was beyond.
-pub const OVER_PART: f64 = 1.05;
+pub const OVER_SHARE_FACTOR: f64 = 1.05;
 
 /// Age from which a request that a member tells its coordinator of was told before: the first word goes
 /// out at once, whole reports a tenth of a second apart.
@@ -234,7 +236,7 @@
 /// Gives why a request is refused: its account is over its share, or there is too much of all.
 pub fn reason(t: &Tables, now: Time, id: RequestId) -> Reason {
     let row = t.requests.get(id);
-    let over = |r: &RequestRow| is_behind(r) || is_over(t, now, r, OVER_PART);
+    let over = |r: &RequestRow| is_behind(r) || is_over(t, now, r, OVER_SHARE_FACTOR);
     if row.is_some_and(over) {
         Reason::OverShare
     } else {
--- a/crates/firdock-policy/src/system/fair/level.rs
+++ b/crates/firdock-policy/src/system/fair/level.rs
@@ -26,8 +26,8 @@
     let mut levels = Levels::new(now);
     for pool in pools(t) {
         for rank in 0..=Account::MAX_RANK {
-            let standings = standings(t, now, &pool, rank);
-            if let Some(level) = level(&standings) {
+            let fair_shares = fair_shares(t, now, &pool, rank);
+            if let Some(level) = level(&fair_shares) {
                 levels.set(&pool, rank, level);
             }
         }
@@ -37,26 +37,26 @@
 
 /// How the accounts of one rank stand with a pool.
 #[derive(Debug, Clone, PartialEq)]
-pub struct PoolStandings {
+pub struct PoolFairShares {
     /// Pool.
     pub pool: PoolId,
     /// Whether its room is short for them.
     pub short: bool,
     /// The accounts.
-    pub rows: Vec<Standing>,
+    pub rows: Vec<FairShare>,
 }
 
 /// Gives how all accounts stand, by pool and rank; those without any are left out.
 #[must_use]
-pub fn all_standings(t: &Tables, now: Time) -> Vec<PoolStandings> {
+pub fn fair_shares_by_pool(t: &Tables, now: Time) -> Vec<PoolFairShares> {
     let mut all = Vec::new();
     for pool in pools(t) {
         for rank in 0..=Account::MAX_RANK {
-            let rows = standings(t, now, &pool, rank);
+            let rows = fair_shares(t, now, &pool, rank);
             if rows.is_empty() {
                 continue;
             }
-            all.push(PoolStandings {
+            all.push(PoolFairShares {
                 pool: pool.clone(),
                 short: t.levels.of(&pool, rank).is_some(),
                 rows,
@@ -75,19 +75,19 @@
 }
 
 /// Gives the share for each unit of weight of those that ask for more; `None` where there is room.
-fn level(standings: &[Standing]) -> Option<f64> {
-    let done: f64 = standings.iter().map(|s| s.done).sum();
-    let asked: f64 = standings.iter().map(|s| s.asked).sum();
+fn level(fair_shares: &[FairShare]) -> Option<f64> {
+    let done: f64 = fair_shares.iter().map(|s| s.done).sum();
+    let asked: f64 = fair_shares.iter().map(|s| s.asked).sum();
     if asked <= done * SHORT_PART {
         return None;
     }
-    let levels = standings.iter().map(|s| s.share / s.weight);
+    let levels = fair_shares.iter().map(|s| s.share / s.weight);
     levels.max_by(f64::total_cmp)
 }
 
 /// What an account asked for and had lately of a pool, and what its share is.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Standing {
+pub struct FairShare {
     /// Row of the account.
     pub account: usize,
     /// Its weight.
@@ -101,10 +101,10 @@
 }
 
 /// Gives how the accounts of a rank stand that asked for work of a pool lately.
-fn standings(t: &Tables, now: Time, pool: &str, rank: AccountRank) -> Vec<Standing> {
-    let mut rows: Vec<Standing> = Vec::new();
+fn fair_shares(t: &Tables, now: Time, pool: &str, rank: AccountRank) -> Vec<FairShare> {
+    let mut rows: Vec<FairShare> = Vec::new();
     for (at, account) in t.accounts.iter().filter(|(_, a)| a.rank == rank) {
-        let row = Standing {
+        let row = FairShare {
             account: at,
             weight: account.weight,
             asked: asked(t, now, at, pool),
@@ -116,12 +116,12 @@
         }
     }
     let room: f64 = rows.iter().map(|r| r.done).sum();
-    let ask = |r: &Standing| Ask {
+    let demand = |r: &FairShare| ShareDemand {
         weight: r.weight,
-        wants: r.asked.max(r.done),
+        amount: r.asked.max(r.done),
     };
-    let asks: Vec<Ask> = rows.iter().map(ask).collect();
-    for (row, share) in rows.iter_mut().zip(shares(room, &asks)) {
+    let demands: Vec<ShareDemand> = rows.iter().map(demand).collect();
+    for (row, share) in rows.iter_mut().zip(max_min_shares(room, &demands)) {
         row.share = share;
     }
     rows
@@ -129,11 +129,11 @@
 
 /// What one account asks for, and its weight.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Ask {
+pub struct ShareDemand {
     /// Weight.
     pub weight: f64,
     /// What it asks for.
-    pub wants: f64,
+    pub amount: f64,
 }
 
 /// Divides `room` by weight; what one does not ask for goes to the others by theirs.
@@ -141,19 +141,19 @@
 /// No account gets more than it asks for, all of the room is given where it is asked for, and no
 /// account gets less for its weight than another unless it asks for no more.
 #[must_use]
-pub fn shares(room: f64, asks: &[Ask]) -> Vec<f64> {
-    let mut by_need: Vec<usize> = (0..asks.len()).collect();
-    let need = |i: &usize| asks[*i].wants / asks[*i].weight;
+pub fn max_min_shares(room: f64, demands: &[ShareDemand]) -> Vec<f64> {
+    let mut by_need: Vec<usize> = (0..demands.len()).collect();
+    let need = |i: &usize| demands[*i].amount / demands[*i].weight;
     by_need.sort_by(|a, b| need(a).total_cmp(&need(b)));
     let mut left = room;
-    let mut weights: f64 = asks.iter().map(|a| a.weight).sum();
-    let mut parts = vec![0.0; asks.len()];
+    let mut weights: f64 = demands.iter().map(|a| a.weight).sum();
+    let mut parts = vec![0.0; demands.len()];
     for i in by_need {
-        let ask = asks[i];
-        let even = left * ask.weight / weights.max(f64::MIN_POSITIVE);
-        parts[i] = ask.wants.min(even).max(0.0);
+        let demand = demands[i];
+        let even = left * demand.weight / weights.max(f64::MIN_POSITIVE);
+        parts[i] = demand.amount.min(even).max(0.0);
         left -= parts[i];
-        weights -= ask.weight;
+        weights -= demand.weight;
     }
     parts
 }
