--- a/crates/firdock-policy/src/cost.rs
+++ b/crates/firdock-policy/src/cost.rs
@@ -18,7 +18,7 @@
 use crate::time::Time;
 
 /// Share of a crowded batch that slows each token, at a full batch.
-const CROWDING: f64 = 0.5;
+const ENGINE_CONTENTION: f64 = 0.5;
 /// Weight of prefill time against the caller's time in the choice of an endpoint.
 ///
 /// Computing a prefix again that another engine has cached costs all later requests, so it weighs
@@ -102,7 +102,7 @@
     } else {
         (work / declared.prefill_rate, declared.token_secs())
     };
-    let token = token_secs * crowd(endpoint);
+    let token = token_secs * contention(endpoint);
     let output = expected_output(row, service);
     let total_secs = first_secs + output * token;
     let weight = if mechanisms.affinity {
@@ -151,7 +151,7 @@
     } else {
         1.0
     };
-    let secs = by_pace.unwrap_or(PLAIN_SECS * slowdown * crowd(endpoint));
+    let secs = by_pace.unwrap_or(PLAIN_SECS * slowdown * contention(endpoint));
     Estimate {
         uncached: 0,
         work: 0.0,
@@ -215,18 +215,22 @@
 
 /// Gives by how much what runs at an endpoint slows what comes to it.
 #[must_use]
-pub fn crowd(e: &EndpointRow) -> f64 {
-    crowd_of(e, e.running)
+pub fn contention(e: &EndpointRow) -> f64 {
+    contention_at(e, e.running)
 }
 
 /// Gives by how much what runs at an endpoint slows one that runs there.
 #[must_use]
-pub fn crowd_around(e: &EndpointRow) -> f64 {
-    crowd_of(e, e.running.saturating_sub(1))
+pub fn contention_from_others(e: &EndpointRow) -> f64 {
+    contention_at(e, e.running.saturating_sub(1))
 }
 
-fn crowd_of(e: &EndpointRow, running: u32) -> f64 {
+fn contention_at(e: &EndpointRow, running: u32) -> f64 {
     let load = f64::from(running) / f64::from(e.budget.max(1));
-    let weight = if e.is_engine() { CROWDING } else { 1.0 };
+    let weight = if e.is_engine() {
+        ENGINE_CONTENTION
+    } else {
+        1.0
+    };
     1.0 + weight * load
 }
--- a/crates/firdock-policy/src/cost/told.rs
+++ b/crates/firdock-policy/src/cost/told.rs
@@ -1,7 +1,7 @@
 //! Estimates for servers that tell how long work takes there now.
 
 use super::{
-    Estimate, OVERRUN_WEIGHT, RISK_WEIGHT, crowd, expected_output, late_risk, load, overrun,
+    Estimate, OVERRUN_WEIGHT, RISK_WEIGHT, contention, expected_output, late_risk, load, overrun,
 };
 use crate::request::RequestRow;
 use crate::table::endpoint::EndpointRow;
@@ -42,7 +42,7 @@
         .map_or(pool.slowest(), |own| own * pool.noise.mean());
     let first_secs = pool.first_secs(work, pace(pool.first_secs(work, usual)));
     let output = expected_output(row, service);
-    let token = pool.token_secs() * crowd(e);
+    let token = pool.token_secs() * contention(e);
     let stream_secs = output * token * pace(first_secs + output * token * usual);
     let total_secs = first_secs + stream_secs;
     let risk = late_risk(service, first_secs);
@@ -82,5 +82,5 @@
 pub fn plain(now: Time, e: &EndpointRow, pool: &PoolPace) -> Option<f64> {
     let secs = pool.plain_secs();
     let pace = e.told.over(now, secs, pool)?;
-    Some(secs * pace * crowd(e))
+    Some(secs * pace * contention(e))
 }
--- a/crates/firdock-policy/src/system/paced.rs
+++ b/crates/firdock-policy/src/system/paced.rs
@@ -48,7 +48,7 @@
         return;
     }
     if !e.is_engine() {
-        let secs = took.as_secs_f64() / cost::crowd_around(e);
+        let secs = took.as_secs_f64() / cost::contention_from_others(e);
         pool.learn_plain(secs, pace);
         return;
     }
@@ -72,6 +72,9 @@
         return;
     };
     if tokens > 0 {
-        pool.learn_token(secs / f64::from(tokens) / cost::crowd_around(e), pace);
+        pool.learn_token(
+            secs / f64::from(tokens) / cost::contention_from_others(e),
+            pace,
+        );
     }
 }
--- a/crates/firdock-policy/src/system/rollout/decide.rs
+++ b/crates/firdock-policy/src/system/rollout/decide.rs
@@ -16,7 +16,7 @@
 use crate::time::Time;
 
 /// Pause between two looks at the evidence: peers tell every 200 ms.
-const LOOK_PAUSE: Duration = Duration::from_millis(50);
+const EVALUATION_INTERVAL: Duration = Duration::from_millis(50);
 /// Part of the old version's places that the new one must have before the old endpoints may stop.
 const READY_PART: f64 = 0.7;
 
@@ -65,17 +65,19 @@
 
 /// Looks at each roll-out that has not ended.
 pub fn run(t: &mut Tables, now: Time, out: &mut Vec<Action>) {
-    let due = |row: &RolloutRow| row.looked + LOOK_PAUSE <= now && !row.stage.is_recorded();
+    let due = |row: &RolloutRow| {
+        row.evaluated_at + EVALUATION_INTERVAL <= now && !row.stage.is_recorded()
+    };
     let rows = t.rollouts.rows.iter().filter(|(_, row)| due(row));
     let pools: Vec<PoolId> = rows.map(|(pool, _)| pool.clone()).collect();
     for pool in pools {
-        look(t, now, &pool, out);
+        evaluate(t, now, &pool, out);
     }
 }
 
 /// Chooses the endpoints that the new version is tried at; where this instance decides, judges what was
 /// seen, and goes on by it.
-fn look(t: &mut Tables, now: Time, pool: &str, out: &mut Vec<Action>) {
+fn evaluate(t: &mut Tables, now: Time, pool: &str, out: &mut Vec<Action>) {
     let Some(row) = t.rollouts.of(pool) else {
         return;
     };
@@ -85,7 +87,7 @@
     let Some(row) = t.rollouts.rows.get_mut(pool) else {
         return;
     };
-    row.looked = now;
+    row.evaluated_at = now;
     row.canaries = tried.into_iter().collect();
     let Some(seen) = seen else {
         return;
--- a/crates/firdock-policy/src/system/share.rs
+++ b/crates/firdock-policy/src/system/share.rs
@@ -1,7 +1,7 @@
 //! Budgets: each endpoint's slots are split among the instances by their demand.
 
-mod crowd;
 mod group;
+mod totals;
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -9,7 +9,7 @@
 use firdock_core::rendezvous;
 use firdock_core::{InstanceId, PoolId, ZoneId};
 
-use self::crowd::Crowd;
+use self::totals::InstanceTotals;
 use super::demand::{by_pool, on_endpoint};
 use crate::settings::Mechanisms;
 use crate::table::Tables;
@@ -43,7 +43,7 @@
     let budgets = if t.is_small_site() {
         exact_budgets(&Sharers::new(t, now), on, &shared)
     } else {
-        drawn_budgets(&Crowd::new(t, now), on, &shared)
+        drawn_budgets(&InstanceTotals::new(t, now), on, &shared)
     };
     for (at, budget) in budgets {
         t.endpoints.get_mut(at).budget = budget;
@@ -70,7 +70,7 @@
 /// million draws each 0.2 s, by reckoning all of an eighth of a core, for as long as no coordinator
 /// answers: right after a start, when there is most to do.
 fn drawn_budgets(
-    crowd: &Crowd,
+    totals: &InstanceTotals,
     on: Mechanisms,
     endpoints: &[(usize, &EndpointRow)],
 ) -> Vec<(usize, u32)> {
@@ -78,15 +78,15 @@
     let mut parts = Vec::with_capacity(endpoints.len());
     for (_, e) in endpoints {
         let part = by_pool.entry(&e.declared.pool);
-        parts.push(*part.or_insert_with(|| crowd.own_share(e)));
+        parts.push(*part.or_insert_with(|| totals.own_share(e)));
     }
     let places = places_part(endpoints, parts.iter().copied());
     let mut by_zone: HashMap<&str, f64> = HashMap::new();
     let rows = endpoints.iter().zip(&parts);
     rows.map(|((at, e), part)| {
         let near = by_zone.entry(&e.declared.zone);
-        let near = *near.or_insert_with(|| crowd.near_part(&e.declared.zone));
-        (*at, crowd.budget(on, places * near, e, *part))
+        let near = *near.or_insert_with(|| totals.near_part(&e.declared.zone));
+        (*at, totals.budget(on, places * near, e, *part))
     })
     .collect()
 }
--- a/crates/firdock-policy/src/system/share/crowd.rs
+++ b/crates/firdock-policy/src/system/share/totals.rs
@@ -15,7 +15,7 @@
 use crate::time::Time;
 
 /// Sums over the instances that use the endpoints.
-pub(super) struct Crowd<'a> {
+pub(super) struct InstanceTotals<'a> {
     name: &'a str,
     zone: &'a str,
     /// Demand of this instance, and of all of them.
@@ -29,11 +29,11 @@
     by_demand: bool,
 }
 
-impl<'a> Crowd<'a> {
+impl<'a> InstanceTotals<'a> {
     pub(super) fn new(t: &'a Tables, now: Time) -> Self {
         let own = by_pool(t);
         let zone = t.settings.zone.as_str();
-        let mut crowd = Self {
+        let mut totals = Self {
             name: &t.settings.member.name,
             zone,
             all: own.clone(),
@@ -45,18 +45,18 @@
         };
         let heard = t.peers.iter().filter(|(_, p)| t.is_heard(p, now));
         for (_, peer) in heard.filter(|(_, p)| !p.draining) {
-            crowd.count += 1;
-            *crowd.zones.entry(&peer.zone).or_default() += 1;
+            totals.count += 1;
+            *totals.zones.entry(&peer.zone).or_default() += 1;
             for (pool, rate) in &peer.demand {
-                if let Some(sum) = crowd.all.get_mut(pool) {
+                if let Some(sum) = totals.all.get_mut(pool) {
                     *sum += rate;
                 } else {
-                    crowd.all.insert(pool.clone(), *rate);
+                    totals.all.insert(pool.clone(), *rate);
                 }
             }
         }
-        crowd.grow_to(heard_of_known(t, now).0);
-        crowd
+        totals.grow_to(heard_of_known(t, now).0);
+        totals
     }
 
     /// Takes it that there are so many instances, of which those that are heard stand for all: of very
--- a/crates/firdock-policy/src/table/rollout.rs
+++ b/crates/firdock-policy/src/table/rollout.rs
@@ -40,7 +40,7 @@
     /// Last record that was asked for.
     pub asked: Option<Stage>,
     /// When it was last looked at.
-    pub looked: Time,
+    pub evaluated_at: Time,
 }
 
 impl RolloutRow {
@@ -61,7 +61,7 @@
             peers: BTreeMap::new(),
             groups: BTreeMap::new(),
             asked: None,
-            looked: Time::ZERO,
+            evaluated_at: Time::ZERO,
         }
     }
 
--- a/crates/firdock-standin/src/engine/model.rs
+++ b/crates/firdock-standin/src/engine/model.rs
@@ -12,7 +12,7 @@
 /// Most prompt tokens computed in one step beside the decoding.
 const CHUNK_TOKENS: u32 = 512;
 /// How much slower each token gets in a full batch.
-const CROWDING: f64 = 0.5;
+const ENGINE_CONTENTION: f64 = 0.5;
 /// Cache changes kept for reports.
 const MAX_CHANGES: usize = 4_096;
 
@@ -206,9 +206,9 @@
             return;
         }
         let decoding = self.active.iter().filter(|a| a.to_prefill == 0).count();
-        let crowd = 1.0 + CROWDING * decoding as f64 / self.spec.slots as f64;
+        let contention = 1.0 + ENGINE_CONTENTION * decoding as f64 / self.spec.slots as f64;
         let decode = if decoding > 0 {
-            self.spec.token_secs * crowd
+            self.spec.token_secs * contention
         } else {
             0.0
         };
--- a/crates/firdock-standin/src/measure/run/serve.rs
+++ b/crates/firdock-standin/src/measure/run/serve.rs
@@ -14,8 +14,8 @@
             Some(Place::Server(s)) => {
                 let server = &mut self.fleet.servers[s];
                 server.running += 1;
-                let crowd = f64::from(server.running.div_ceil(PLAIN_SLOTS));
-                let done = self.now + PLAIN_TIME.mul_f64(crowd);
+                let contention = f64::from(server.running.div_ceil(PLAIN_SLOTS));
+                let done = self.now + PLAIN_TIME.mul_f64(contention);
                 self.plan(done, Happening::PlainDone(i, s, dispatch));
             }
             _ => self.tell(i, &dispatch, DispatchNews::Refused { unreachable: true }),
