--- a/crates/firdock-node/src/peer/suspects.rs
+++ b/crates/firdock-node/src/peer/suspects.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use firdock_core::{Content, ContentId};
-use firdock_policy::suspect::{ToldEnd, ToldSuspect};
+use firdock_policy::suspect::{ReportedExit, ToldSuspect};
 use firdock_wire::message;
 use prost::Message as _;
 
@@ -38,7 +38,7 @@
         path: told.content.path.to_string(),
         account: told.account.clone(),
         service: told.service.clone(),
-        ends: told.ends.iter().map(|e| write_end(e, age)).collect(),
+        ends: told.exits.iter().map(|e| write_end(e, age)).collect(),
     }
 }
 
@@ -52,13 +52,13 @@
             content: Arc::new(Content { id, path }),
             account: s.account,
             service: s.service,
-            ends: s.ends.into_iter().take(MAX_ENDS).map(read_end).collect(),
+            exits: s.ends.into_iter().take(MAX_ENDS).map(read_end).collect(),
         })
     })
     .collect()
 }
 
-fn write_end(end: &ToldEnd, age: Duration) -> message::SuspectEnd {
+fn write_end(end: &ReportedExit, age: Duration) -> message::SuspectEnd {
     message::SuspectEnd {
         start: end.start.clone(),
         sent_ago: millis(end.sent_ago + age),
@@ -67,8 +67,8 @@
     }
 }
 
-fn read_end(end: message::SuspectEnd) -> ToldEnd {
-    ToldEnd {
+fn read_end(end: message::SuspectEnd) -> ReportedExit {
+    ReportedExit {
         start: end.start,
         sent_ago: Duration::from_millis(end.sent_ago),
         ended_ago: Duration::from_millis(end.ended_ago),
--- a/crates/firdock-node/src/telemetry/suspects.rs
+++ b/crates/firdock-node/src/telemetry/suspects.rs
@@ -41,7 +41,7 @@
 
 impl SuspectState {
     fn new(now: Time, suspect: &Suspect) -> Self {
-        let end = |e: &&firdock_policy::table::suspects::End| EndState {
+        let end = |e: &&firdock_policy::table::suspects::Exit| EndState {
             endpoint: e.start.clone(),
             age_millis: millis(now.saturating_sub(e.at)),
         };
@@ -120,7 +120,7 @@
         if !self.budget.allow(&self.log, now, LineKind::Quarantine) {
             return;
         }
-        let counting = told.ends.iter().filter(|e| !e.void);
+        let counting = told.exits.iter().filter(|e| !e.void);
         let ends: Vec<String> = counting
             .map(|e| format!("{} {} ms ago", e.start, millis(e.ended_ago)))
             .collect();
--- a/crates/firdock-node/tests/node/suspects.rs
+++ b/crates/firdock-node/tests/node/suspects.rs
@@ -6,7 +6,7 @@
 use firdock_core::Content;
 use firdock_core::settings::Settings;
 use firdock_node::peer::SelfNews;
-use firdock_policy::suspect::{ToldEnd, ToldSuspect};
+use firdock_policy::suspect::{ReportedExit, ToldSuspect};
 use firdock_policy::{Event, Policy as _, PolicySettings, Scheduler};
 use prost::Message as _;
 use uuid::Uuid;
@@ -14,7 +14,7 @@
 const NOW: Duration = Duration::from_mins(1);
 
 fn told(n: usize, ends: usize) -> ToldSuspect {
-    let end = |e: usize| ToldEnd {
+    let end = |e: usize| ReportedExit {
         start: format!("an-endpoint-with-a-long-name-{n}-{e}@1796279291159"),
         sent_ago: Duration::from_millis(200),
         ended_ago: Duration::from_millis(100),
@@ -24,7 +24,7 @@
         content: Arc::new(Content::new("account", "POST", "/path", &n.to_be_bytes())),
         account: format!("an account with a long name {}", n % 7),
         service: "a service with a long name".to_owned(),
-        ends: (0..ends).map(end).collect(),
+        exits: (0..ends).map(end).collect(),
     }
 }
 
--- a/crates/firdock-policy/src/suspect.rs
+++ b/crates/firdock-policy/src/suspect.rs
@@ -13,7 +13,7 @@
 ///
 /// Times are told as ages, since each instance has a clock of its own.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldEnd {
+pub struct ReportedExit {
     /// Start of the endpoint that ended.
     pub start: StartId,
     /// How long ago the request was sent there.
@@ -34,7 +34,8 @@
     /// Service that it matched when an endpoint first ended under it.
     pub service: ServiceId,
     /// The ends that are known.
-    pub ends: Vec<ToldEnd>,
+    #[serde(rename = "ends")]
+    pub exits: Vec<ReportedExit>,
 }
 
 /// A run whose connection ended early: its endpoint may have ended, and under it.
--- a/crates/firdock-policy/src/system/suspect.rs
+++ b/crates/firdock-policy/src/system/suspect.rs
@@ -102,7 +102,7 @@
     // One whose entry went before left in order; a later start takes the place of a listed one at once.
     let was_listed = e.present || e.absent_since.is_some_and(|gone| gone + JUST_NOW > now);
     let ended = match cause {
-        BreakCause::Closed if e.present => t.ends.take_run(now, &run),
+        BreakCause::Closed if e.present => t.endpoint_exits.record_run(now, &run),
         BreakCause::Restarted if was_listed => Some(now),
         _ => None,
     };
@@ -125,7 +125,7 @@
 
 /// Takes it that an endpoint's process has ended; all that broke there was on board.
 pub fn endpoint_ended(t: &mut Tables, now: Time, start: &StartId, out: &mut Vec<Action>) {
-    for run in t.ends.take_end(now, start) {
+    for run in t.endpoint_exits.record_exit(now, start) {
         blame(t, now, &run, run.broke, out);
     }
 }
@@ -134,7 +134,7 @@
 /// endpoint's end, unless it said that it leaves. What breaks later does not count, since an endpoint may
 /// leave so.
 pub fn entries_gone(t: &mut Tables, now: Time, out: &mut Vec<Action>) {
-    if !t.ends.has_runs() {
+    if !t.endpoint_exits.has_runs() {
         return;
     }
     let gone = |e: &EndpointRow| !e.present && e.absent_since == Some(now) && !e.is_replaced();
@@ -143,7 +143,7 @@
         .map(|(_, e)| (e.start_id.clone(), e.leaving(now)))
         .collect();
     for (start, leaving) in gone {
-        for run in t.ends.take_runs(&start) {
+        for run in t.endpoint_exits.remove_runs(&start) {
             if !leaving {
                 blame(t, now, &run, run.broke, out);
             }
@@ -154,7 +154,7 @@
 /// Takes it that an endpoint's address takes connections: what broke there until the look began broke for
 /// another reason. Ends that were seen stand: the address may be another start's by now.
 pub fn endpoint_open(t: &mut Tables, start: &StartId, began: Time) {
-    t.ends.drop_runs(start, began);
+    t.endpoint_exits.drop_runs_until(start, began);
 }
 
 /// Takes it that a request was answered whole: the endpoint that ran it lives, so that what was held
--- a/crates/firdock-policy/src/table.rs
+++ b/crates/firdock-policy/src/table.rs
@@ -3,7 +3,7 @@
 pub mod account;
 pub mod closed;
 pub mod endpoint;
-pub mod ends;
+pub mod endpoint_exits;
 pub mod group;
 pub mod key;
 pub mod limit;
@@ -117,7 +117,7 @@
     /// Requests under which endpoints ended.
     pub suspects: suspects::Suspects,
     /// Ends of endpoints and runs that broke, of the last seconds.
-    pub ends: ends::Ends,
+    pub endpoint_exits: endpoint_exits::EndpointExits,
     /// Counters.
     pub stats: Stats,
 }
@@ -205,7 +205,7 @@
             coordinated: false,
             rollouts: rollout::Rollouts::default(),
             suspects: suspects::Suspects::default(),
-            ends: ends::Ends::default(),
+            endpoint_exits: endpoint_exits::EndpointExits::default(),
             stats: Stats::default(),
         }
     }
--- a/crates/firdock-policy/src/table/ends.rs
+++ b/crates/firdock-policy/src/table/endpoint_exits.rs
@@ -15,41 +15,41 @@
 /// Broken runs that are kept: several endpoints full of requests.
 const MOST_RUNS: usize = 512;
 /// Ends that are kept.
-const MOST_ENDS: usize = 256;
+const MAX_EXITS: usize = 256;
 
 /// Ends and broken runs of the last seconds, in whichever order they become known.
 #[derive(Debug, Default)]
-pub struct Ends {
+pub struct EndpointExits {
     runs: VecDeque<BlamedRun>,
-    ended: BTreeMap<StartId, Time>,
+    exits: BTreeMap<StartId, Time>,
 }
 
-impl Ends {
+impl EndpointExits {
     /// Takes a run that broke with its connection; gives when its endpoint ended, if that is known, and
     /// keeps the run otherwise.
-    pub fn take_run(&mut self, now: Time, run: &BlamedRun) -> Option<Time> {
+    pub fn record_run(&mut self, now: Time, run: &BlamedRun) -> Option<Time> {
         self.sweep(now);
-        let ended = self.ended.get(&run.start).copied();
-        if ended.is_none() {
+        let exits = self.exits.get(&run.start).copied();
+        if exits.is_none() {
             if self.runs.len() >= MOST_RUNS {
                 self.runs.pop_front();
             }
             self.runs.push_back(run.clone());
         }
-        ended
+        exits
     }
 
     /// Takes it that an endpoint's process has ended; gives the runs that broke there.
-    pub fn take_end(&mut self, now: Time, start: &StartId) -> Vec<BlamedRun> {
+    pub fn record_exit(&mut self, now: Time, start: &StartId) -> Vec<BlamedRun> {
         self.sweep(now);
-        if self.ended.len() < MOST_ENDS {
-            self.ended.entry(start.clone()).or_insert(now);
+        if self.exits.len() < MAX_EXITS {
+            self.exits.entry(start.clone()).or_insert(now);
         }
-        self.take_runs(start)
+        self.remove_runs(start)
     }
 
     /// Gives the runs that broke at an endpoint, and keeps them no more.
-    pub fn take_runs(&mut self, start: &StartId) -> Vec<BlamedRun> {
+    pub fn remove_runs(&mut self, start: &StartId) -> Vec<BlamedRun> {
         let (there, others): (Vec<BlamedRun>, Vec<BlamedRun>) =
             self.runs.drain(..).partition(|r| r.start == *start);
         self.runs = others.into();
@@ -57,7 +57,7 @@
     }
 
     /// Drops the runs that broke at an endpoint up to a time.
-    pub fn drop_runs(&mut self, start: &StartId, until: Time) {
+    pub fn drop_runs_until(&mut self, start: &StartId, until: Time) {
         self.runs.retain(|r| r.start != *start || r.broke > until);
     }
 
@@ -70,6 +70,6 @@
     fn sweep(&mut self, now: Time) {
         let recent = |at: Time| at + TOGETHER > now;
         self.runs.retain(|r| recent(r.broke));
-        self.ended.retain(|_, at| recent(*at));
+        self.exits.retain(|_, at| recent(*at));
     }
 }
--- a/crates/firdock-policy/src/table/suspects.rs
+++ b/crates/firdock-policy/src/table/suspects.rs
@@ -10,18 +10,18 @@
 
 use firdock_core::{AccountId, Content, ContentId, ServiceId, StartId};
 
-use crate::suspect::{BlamedRun, ToldEnd, ToldSuspect};
+use crate::suspect::{BlamedRun, ReportedExit, ToldSuspect};
 use crate::time::Time;
 
 /// Ends that put a request into quarantine. One or two may be chance: a server that ends for another
 /// reason takes all with it that it runs.
-pub const ENDS_TO_QUARANTINE: usize = 3;
+pub const EXITS_TO_QUARANTINE: usize = 3;
 /// Suspects that are kept, some hundred bytes each.
 const MOST: usize = 1_024;
 /// Suspects of one account that are kept, so that what one account sends pushes out its own alone.
 const MOST_OF_ACCOUNT: usize = 128;
 /// Ends of one suspect that are kept: more than are needed while it still runs somewhere.
-const MOST_ENDS: usize = 16;
+const MAX_EXITS: usize = 16;
 /// Time for which a suspect out of quarantine is kept after its last change. Callers come back within
 /// minutes; a request that ends a server each day is for those who run the server.
 const KEEP: Duration = Duration::from_hours(1);
@@ -37,7 +37,7 @@
 
 /// One end of an endpoint with a suspect on board.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct End {
+pub struct Exit {
     /// Start of the endpoint.
     pub start: StartId,
     /// When the request was sent there.
@@ -57,7 +57,7 @@
     pub account: AccountId,
     /// Service that it matched when an endpoint first ended under it.
     pub service: ServiceId,
-    ends: Vec<End>,
+    exits: Vec<Exit>,
     changed: Time,
     /// When this instance saw a change of it itself.
     seen: Option<Time>,
@@ -69,7 +69,7 @@
             content,
             account,
             service,
-            ends: Vec::new(),
+            exits: Vec::new(),
             changed: now,
             seen: None,
         }
@@ -77,8 +77,8 @@
 
     /// Gives the ends that are known, with those that count no more.
     #[must_use]
-    pub fn ends(&self) -> &[End] {
-        &self.ends
+    pub fn exits(&self) -> &[Exit] {
+        &self.exits
     }
 
     /// Gives the ends that count, in order.
@@ -87,13 +87,13 @@
     /// ends many endpoints at one moment, and would convict whatever ran at three of them. A request
     /// that ends its endpoints goes on doing so, one after the other.
     #[must_use]
-    pub fn counted(&self) -> Vec<&End> {
-        let mut ends: Vec<&End> = self.ends.iter().filter(|e| !e.void).collect();
-        ends.sort_by_key(|e| e.at);
-        let mut counted: Vec<&End> = Vec::new();
-        for end in ends {
-            if counted.last().is_none_or(|last| last.at <= end.sent) {
-                counted.push(end);
+    pub fn counted(&self) -> Vec<&Exit> {
+        let mut exits: Vec<&Exit> = self.exits.iter().filter(|e| !e.void).collect();
+        exits.sort_by_key(|e| e.at);
+        let mut counted: Vec<&Exit> = Vec::new();
+        for exit in exits {
+            if counted.last().is_none_or(|last| last.at <= exit.sent) {
+                counted.push(exit);
             }
         }
         counted
@@ -102,41 +102,41 @@
     /// Gives since when it is in quarantine, if it is: nothing of it is sent any more.
     #[must_use]
     pub fn quarantined_since(&self) -> Option<Time> {
-        let third = ENDS_TO_QUARANTINE - 1;
-        self.counted().get(third).map(|end| end.at)
+        let third = EXITS_TO_QUARANTINE - 1;
+        self.counted().get(third).map(|exit| exit.at)
     }
 
     fn is_cleared(&self) -> bool {
-        self.ends.iter().all(|e| e.void)
+        self.exits.iter().all(|e| e.void)
     }
 
     /// Adds an end; one endpoint's end counts once, whoever saw it and however often it was sent there.
-    fn add(&mut self, end: End) -> bool {
-        if let Some(known) = self.ends.iter_mut().find(|e| e.start == end.start) {
-            let changed = end.void && !known.void;
-            known.void |= end.void;
+    fn add(&mut self, exit: Exit) -> bool {
+        if let Some(known) = self.exits.iter_mut().find(|e| e.start == exit.start) {
+            let changed = exit.void && !known.void;
+            known.void |= exit.void;
             // Told times grow later on their way, so that the earliest is nearest to what was seen.
-            known.sent = known.sent.min(end.sent);
-            known.at = known.at.min(end.at);
+            known.sent = known.sent.min(exit.sent);
+            known.at = known.at.min(exit.at);
             return changed;
         }
-        if self.ends.len() >= MOST_ENDS {
+        if self.exits.len() >= MAX_EXITS {
             // Those that count beside others say nothing more.
             let counted: Vec<StartId> = self.counted().iter().map(|e| e.start.clone()).collect();
-            self.ends.retain(|e| counted.contains(&e.start));
+            self.exits.retain(|e| counted.contains(&e.start));
         }
-        let room = self.ends.len() < MOST_ENDS;
+        let room = self.exits.len() < MAX_EXITS;
         if room {
-            self.ends.push(end);
+            self.exits.push(exit);
         }
         room
     }
 
     /// Makes all ends up to a time count no more; tells whether any did.
     fn void(&mut self, until: Time) -> bool {
-        let counting = self.ends.iter_mut().filter(|e| !e.void && e.at <= until);
-        counting.fold(false, |_, end| {
-            end.void = true;
+        let counting = self.exits.iter_mut().filter(|e| !e.void && e.at <= until);
+        counting.fold(false, |_, exit| {
+            exit.void = true;
             true
         })
     }
@@ -144,7 +144,7 @@
     /// Gives what other instances are told of it.
     #[must_use]
     pub fn told(&self, now: Time) -> ToldSuspect {
-        let told = |e: &End| ToldEnd {
+        let told = |e: &Exit| ReportedExit {
             start: e.start.clone(),
             sent_ago: now.saturating_sub(e.sent),
             ended_ago: now.saturating_sub(e.at),
@@ -154,7 +154,7 @@
             content: Arc::clone(&self.content),
             account: self.account.clone(),
             service: self.service.clone(),
-            ends: self.ends.iter().map(told).collect(),
+            exits: self.exits.iter().map(told).collect(),
         }
     }
 }
@@ -204,7 +204,7 @@
 
     /// Notes that an endpoint ended with a request on board; tells whether that is new.
     pub fn add(&mut self, now: Time, of: &BlamedRun, at: Time) -> bool {
-        let end = End {
+        let exit = Exit {
             start: of.start.clone(),
             sent: of.sent,
             at,
@@ -217,7 +217,7 @@
             of.service.clone(),
         );
         let id = new.content.id;
-        let changed = self.change(now, new, vec![end]);
+        let changed = self.change(now, new, vec![exit]);
         if changed {
             self.note_seen(now, id);
         }
@@ -234,33 +234,33 @@
 
     /// Takes what another instance tells of a suspect; tells whether any of it is new.
     pub fn hear(&mut self, now: Time, told: ToldSuspect) -> bool {
-        let ends = told.ends.into_iter().take(MOST_ENDS).map(|e| End {
+        let exits = told.exits.into_iter().take(MAX_EXITS).map(|e| Exit {
             start: e.start,
             sent: now.saturating_sub(e.sent_ago.max(e.ended_ago)),
             at: now.saturating_sub(e.ended_ago),
             void: e.void,
         });
-        let ends: Vec<End> = ends.collect();
+        let exits: Vec<Exit> = exits.collect();
         let known = self.rows.contains_key(&told.content.id);
-        if !known && ends.iter().all(|e| e.void) {
+        if !known && exits.iter().all(|e| e.void) {
             return false;
         }
         let new = Suspect::new(now, told.content, told.account, told.service);
-        self.change(now, new, ends)
+        self.change(now, new, exits)
     }
 
-    fn change(&mut self, now: Time, new: Suspect, mut ends: Vec<End>) -> bool {
+    fn change(&mut self, now: Time, new: Suspect, mut exits: Vec<Exit>) -> bool {
         let id = new.content.id;
         if let Some(until) = self.released.get(&id) {
-            for end in &mut ends {
-                end.void |= end.at <= *until;
+            for exit in &mut exits {
+                exit.void |= exit.at <= *until;
             }
         }
         if !self.rows.contains_key(&id) {
             self.make_room(&new.account);
         }
         let row = self.rows.entry(id).or_insert(new);
-        let added = ends.into_iter().map(|end| row.add(end));
+        let added = exits.into_iter().map(|exit| row.add(exit));
         let changed = added.fold(false, |any, one| any | one);
         if changed {
             row.changed = now;
--- a/crates/firdock-policy/tests/policy/suspects/words.rs
+++ b/crates/firdock-policy/tests/policy/suspects/words.rs
@@ -4,7 +4,7 @@
 
 use firdock_core::Outcome;
 use firdock_policy::event::{Grant, Liveness, PeerNews};
-use firdock_policy::suspect::{ToldEnd, ToldSuspect};
+use firdock_policy::suspect::{ReportedExit, ToldSuspect};
 use firdock_policy::{Action, Event, NewRequest};
 use proptest::prelude::*;
 
@@ -16,7 +16,7 @@
 use crate::scene::{dispatched, id, millis};
 
 pub fn told_of(body: &str, account: &str, starts: &[(&str, u64)]) -> ToldSuspect {
-    let end = |(start, ago): &(&str, u64)| ToldEnd {
+    let end = |(start, ago): &(&str, u64)| ReportedExit {
         start: (*start).to_owned(),
         sent_ago: millis(ago + 100),
         ended_ago: millis(*ago),
@@ -26,7 +26,7 @@
         content: content(body),
         account: account.to_owned(),
         service: "once".to_owned(),
-        ends: starts.iter().map(end).collect(),
+        exits: starts.iter().map(end).collect(),
     }
 }
 
@@ -196,7 +196,7 @@
             .map(|(start, ago, void)| {
                 let name = format!("x{start}");
                 let mut told = told_of("deadly", "free", &[(name.as_str(), *ago)]);
-                told.ends[0].void = *void;
+                told.exits[0].void = *void;
                 told
             })
             .collect();
