--- a/crates/firdock-policy/src/lib.rs
+++ b/crates/firdock-policy/src/lib.rs
@@ -18,11 +18,11 @@
 pub mod sums;
 pub mod suspect;
 mod system;
-pub use system::fair::{
+pub use system::fair_share::{
     FairShare, OVER_SHARE_FACTOR, PoolFairShares, ShareDemand, fair_shares_by_pool, max_min_shares,
 };
 pub use system::{
-    demand::by_pool as pool_demand, fair::told as told_work, limit::used as used_limits,
+    demand::by_pool as pool_demand, fair_share::told as told_work, limit::used as used_limits,
     rollout::told as told_rollouts,
 };
 pub mod table;
--- a/crates/firdock-policy/src/scheduler.rs
+++ b/crates/firdock-policy/src/scheduler.rs
@@ -4,8 +4,9 @@
 use crate::event::Event;
 use crate::settings::PolicySettings;
 use crate::system::{
-    admit, backoff, check, config, coordinate, demand, drain, early, expire, fair, handover,
-    health, key, limit, liveness, news, notice, paced, place, rollout, share, shed, suspect,
+    admit, backoff, budget, config, coordinate, demand, dispatch_updates, drain, early_refusal,
+    expire, fair_share, handover, health, invariants, key, limit, liveness, notice, pace_reports,
+    place, rollout, shed, suspect,
 };
 use crate::table::{Reach, Tables};
 use crate::time::Time;
@@ -43,17 +44,17 @@
     ///
     /// Panics where an invariant is broken: going on would break a promise to a caller.
     pub fn check_invariants(&self, now: Time) {
-        check::all(&self.tables, now);
+        invariants::all(&self.tables, now);
     }
 
     fn apply(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         let t = &mut self.tables;
         match event {
             Event::Arrived(new) => admit::arrived(t, now, new, out),
-            Event::CallerLeft(id) => news::caller_left(t, now, id, out),
-            Event::Endpoint(e) => news::endpoint(t, now, &e, out),
+            Event::CallerLeft(id) => dispatch_updates::caller_left(t, now, id, out),
+            Event::Endpoint(e) => dispatch_updates::endpoint(t, now, &e, out),
             Event::LivenessChecked(result) => liveness::handle_result(t, now, &result, out),
-            Event::Paced(told) => paced::take(t, &told),
+            Event::Paced(told) => pace_reports::take(t, &told),
             Event::Noticed(told) => notice::take(t, &told, out),
             Event::Report(report) => health::report(t, now, &report),
             Event::ReportMissed(name) => health::missed(t, now, &name),
@@ -84,7 +85,7 @@
             Event::Drain => t.draining = true,
             Event::Timer => {
                 demand::take_rates(t, now);
-                share::refresh_budgets(t, now);
+                budget::refresh_budgets(t, now);
                 handover::end_silent(t, now, out);
                 handover::forget_silent(t, now);
                 t.suspects.sweep(now);
@@ -92,8 +93,8 @@
                 expire::end_impatient(t, now, out);
                 expire::put_late_last(t, now);
                 expire::run(t, now, out);
-                fair::set_levels(t, now);
-                early::run(t, now, out);
+                fair_share::set_levels(t, now);
+                early_refusal::run(t, now, out);
                 rollout::run(t, now, out);
             }
         }
--- a/crates/firdock-policy/src/system/admit.rs
+++ b/crates/firdock-policy/src/system/admit.rs
@@ -5,7 +5,7 @@
 use firdock_core::resource::request_rank;
 use firdock_core::{Outcome, Reason, RequestId};
 
-use super::{end, fair, key, limit, suspect, tries};
+use super::{attempts, fair_share, key, lifecycle, limit, suspect};
 use crate::action::Action;
 use crate::request::{KeyClaim, NewRequest, Origin, RequestRow, Verdict};
 use crate::table::Tables;
@@ -38,7 +38,7 @@
         decision => {
             let Some(charge) = limit::take(t, now, account, &new) else {
                 let verdict = limit::verdict(t, account);
-                tries::count_turned_away(t, now, service, &new);
+                attempts::count_turned_away(t, now, service, &new);
                 turn_away(t, &new, verdict, out);
                 return;
             };
@@ -93,8 +93,8 @@
 
 /// Answers a request that never entered the tables.
 fn turn_away(t: &mut Tables, new: &NewRequest, verdict: Verdict, out: &mut Vec<Action>) {
-    end::count_verdict(t, verdict);
-    out.push(end::final_word(new, verdict, Vec::new()));
+    lifecycle::count_verdict(t, verdict);
+    out.push(lifecycle::final_word(new, verdict, Vec::new()));
 }
 
 /// Puts a request into the tables, as held.
@@ -124,11 +124,11 @@
     let arrived = now.saturating_sub(new.age);
     let row = RequestRow::new(arrived, new, service, account, rank);
     let row = row.with_service(&s.declared, charge);
-    let mut row = tries::with_first_try(s, now, row);
-    row.rank = fair::rank(t, now, &row);
+    let mut row = attempts::with_first_try(s, now, row);
+    row.rank = fair_share::rank(t, now, &row);
     t.paces.note_arrival(row.pool_key(), row.rank);
     let queue = &mut t.services.get_mut(service).queue;
     queue.push(account, row.arrived, id);
     t.requests.insert(row);
-    fair::arrived(t, now, id);
+    fair_share::arrived(t, now, id);
 }
--- a/crates/firdock-policy/src/system/backoff.rs
+++ b/crates/firdock-policy/src/system/backoff.rs
@@ -8,7 +8,7 @@
 use firdock_core::rendezvous;
 use firdock_core::{Reason, RequestId};
 
-use super::{coordinate, end, expire, place, rollout};
+use super::{coordinate, expire, lifecycle, place, rollout};
 use crate::action::Action;
 use crate::request::{Phase, RequestRow};
 use crate::table::Tables;
@@ -29,7 +29,7 @@
     };
     let ids: Vec<RequestId> = t.requests.iter().filter(over).map(|r| r.new.id).collect();
     for id in ids {
-        end::give_up(t, now, id, Reason::BackingOff, out);
+        lifecycle::give_up(t, now, id, Reason::BackingOff, out);
     }
 }
 
--- a/crates/firdock-policy/src/system/config.rs
+++ b/crates/firdock-policy/src/system/config.rs
@@ -4,7 +4,7 @@
 
 use firdock_core::resource::{Catalog, Tier};
 
-use super::{limit, restart, rollout, share, suspect};
+use super::{budget, limit, restart, rollout, suspect};
 use crate::action::Action;
 use crate::table::Tables;
 use crate::table::account::AccountRow;
@@ -25,7 +25,7 @@
     rollout::apply(t, now, catalog);
     sweep(t, now);
     limit::forget_unlimited(t);
-    share::set_budgets(t, now);
+    budget::set_budgets(t, now);
 }
 
 fn apply_accounts(t: &mut Tables, now: Time, catalog: &Catalog) {
--- a/crates/firdock-policy/src/system/coordinate.rs
+++ b/crates/firdock-policy/src/system/coordinate.rs
@@ -9,7 +9,7 @@
 use firdock_core::{RequestId, StartId};
 
 use super::suspect::{self, Gate};
-use super::{admit, end, fair, place, rollout, share};
+use super::{admit, budget, fair_share, lifecycle, place, rollout};
 use crate::action::Action;
 use crate::event::Grant;
 use crate::request::{NewRequest, Phase, Placing, RequestRow, Verdict};
@@ -21,7 +21,7 @@
 pub fn set(t: &mut Tables, now: Time, answers: bool) {
     t.coordinated = answers;
     if !answers {
-        share::set_budgets(t, now);
+        budget::set_budgets(t, now);
     }
 }
 
@@ -121,14 +121,14 @@
         return;
     };
     if t.requests
-        .holds_below(fair::rank_refused(t, row, verdict.reason))
+        .holds_below(fair_share::rank_refused(t, row, verdict.reason))
     {
         return;
     }
     let service = row.service;
     let outcome = row.outcome_unanswered();
-    end::count_shed(t, service);
-    end::answer(t, now, id, Verdict { outcome, ..verdict }, out);
+    lifecycle::count_shed(t, service);
+    lifecycle::answer(t, now, id, Verdict { outcome, ..verdict }, out);
 }
 
 /// Takes a request into a coordinator's tables that a member already runs.
@@ -143,9 +143,9 @@
     };
     let id = new.id;
     admit::insert(t, now, new, service, account, 0.0);
-    end::set_phase(t, id, Phase::Running(at), false);
+    lifecycle::set_phase(t, id, Phase::Running(at), false);
     t.endpoints.get_mut(at).running += 1;
-    fair::charge(t, now, id);
+    fair_share::charge(t, now, id);
     if let Some(row) = t.requests.get_mut(id) {
         row.dispatch = 1;
         row.runs = 1;
--- a/crates/firdock-policy/src/system/news.rs
+++ b/crates/firdock-policy/src/system/dispatch_updates.rs
@@ -2,7 +2,7 @@
 
 use firdock_core::{Outcome, Reason, RequestId};
 
-use super::{end, fair, health, key, liveness, paced, rollout, suspect};
+use super::{fair_share, health, key, lifecycle, liveness, pace_reports, rollout, suspect};
 use crate::action::Action;
 use crate::event::{BreakCause, DispatchNews, EndpointEvent};
 use crate::request::{Failure, Passed, Phase, Placing, Proof, RequestRow, Verdict};
@@ -62,12 +62,12 @@
     }
     if t.settings.coordinates && matches!(row.phase, Phase::Dispatching(_)) {
         // The member gave the place back, or its request was never sent.
-        fair::take_back(t, now, id);
+        fair_share::take_back(t, now, id);
     }
-    end::count_waste(t, id, WasteCause::CallerLeft);
+    lifecycle::count_waste(t, id, WasteCause::CallerLeft);
     let row = t.requests.get(id);
     let outcome = row.map_or(Outcome::NotRun, RequestRow::outcome_unanswered);
-    end::finish(t, now, id, outcome);
+    lifecycle::finish(t, now, id, outcome);
     *t.stats.reasons.entry(Reason::CallerLeft).or_default() += 1;
 }
 
@@ -82,12 +82,12 @@
     if unreachable {
         health::eject(t, now, at);
     }
-    fair::take_back(t, now, id);
+    fair_share::take_back(t, now, id);
     if t.settings.coordinates {
-        end::finish(t, now, id, Outcome::NotRun);
+        lifecycle::finish(t, now, id, Outcome::NotRun);
         return;
     }
-    end::set_phase(t, id, Phase::Held, true);
+    lifecycle::set_phase(t, id, Phase::Held, true);
     take_back_run(t, id);
     if unreachable {
         return;
@@ -101,7 +101,7 @@
     if t.retries.allow(row.pool_key(), most) {
         t.retries.spend(row.pool_key(), most);
     } else {
-        end::give_up(t, now, id, Reason::NoEndpoint, out);
+        lifecycle::give_up(t, now, id, Reason::NoEndpoint, out);
     }
 }
 
@@ -116,18 +116,18 @@
     withheld(t, now, id);
     let keyed = t.requests.get(id).is_some_and(|r| r.new.key.is_some());
     if keyed {
-        end::answer(t, now, id, key::unconfirmed_verdict(), out);
+        lifecycle::answer(t, now, id, key::unconfirmed_verdict(), out);
     }
 }
 
 /// Takes a request back of which nothing was sent: the endpoint may still get it, once it may be sent.
 fn withheld(t: &mut Tables, now: Time, id: RequestId) {
-    fair::take_back(t, now, id);
+    fair_share::take_back(t, now, id);
     if t.settings.coordinates {
-        end::finish(t, now, id, Outcome::NotRun);
+        lifecycle::finish(t, now, id, Outcome::NotRun);
         return;
     }
-    end::set_phase(t, id, Phase::Held, true);
+    lifecycle::set_phase(t, id, Phase::Held, true);
     take_back_run(t, id);
     if let Some(row) = t.requests.get_mut(id) {
         row.tried.pop();
@@ -135,7 +135,7 @@
 }
 
 fn started(t: &mut Tables, id: RequestId, at: usize, head_sent: bool) {
-    end::set_phase(t, id, Phase::Running(at), false);
+    lifecycle::set_phase(t, id, Phase::Running(at), false);
     let row = t.requests.get_mut(id).filter(|_| head_sent);
     if let Some(row) = row.filter(|row| !row.head_sent()) {
         row.passed = Passed::Head;
@@ -177,8 +177,8 @@
     };
     let took = now.saturating_sub(row.dispatched);
     let (predicted, work) = (row.predicted, row.work);
-    end::release_prefill(t, id, at);
-    paced::learn_first(t, now, at, work, took);
+    lifecycle::release_prefill(t, id, at);
+    pace_reports::learn_first(t, now, at, work, took);
     let e = t.endpoints.get_mut(at);
     let engine = e.is_engine();
     if engine {
@@ -217,13 +217,13 @@
     if prompt > 0 && row.tried.len() == 1 && row.placing != Placing::Adopted {
         let took = now.saturating_sub(first);
         t.endpoints.get_mut(at).learn_tokens(fresh, took);
-        paced::learn_tokens(t, now, at, fresh, took);
+        pace_reports::learn_tokens(t, now, at, fresh, took);
     }
     if prompt > 0 {
         t.services.get_mut(service).learn_output(output);
-        fair::settle(t, now, id, output);
+        fair_share::settle(t, now, id, output);
     }
-    end::answered(t, now, id);
+    lifecycle::answered(t, now, id);
     if let Some(content) = content {
         suspect::answered(t, now, content);
     }
@@ -256,7 +256,7 @@
     delivered: u32,
     out: &mut Vec<Action>,
 ) {
-    end::count_waste(t, id, WasteCause::EndpointLost);
+    lifecycle::count_waste(t, id, WasteCause::EndpointLost);
     rollout::lost(t, id, at);
     if !backs_off(t, now, id, at) {
         health::broke(t, now, at);
@@ -265,7 +265,7 @@
     let goes_on = may_go_on(t, id, at);
     suspect::broke(t, now, id, at, out);
     if t.settings.coordinates {
-        end::finish(t, now, id, Outcome::Unknown);
+        lifecycle::finish(t, now, id, Outcome::Unknown);
         return;
     }
     if goes_on {
@@ -278,7 +278,7 @@
             row.ran_before = true;
             row.delivered = row.delivered.max(delivered);
         }
-        end::set_phase(t, id, Phase::Held, true);
+        lifecycle::set_phase(t, id, Phase::Held, true);
         return;
     }
     let retry_after = None;
@@ -288,7 +288,7 @@
         reason,
         retry_after,
     };
-    end::answer(t, now, id, verdict, out);
+    lifecycle::answer(t, now, id, verdict, out);
 }
 
 /// Tells whether the endpoint wants no request now from the instance that sent it one: what breaks
--- a/crates/firdock-policy/src/system/early.rs
+++ b/crates/firdock-policy/src/system/early_refusal.rs
@@ -7,7 +7,7 @@
 
 use firdock_core::{RequestId, TierRank};
 
-use super::{backoff, coordinate, fair, shed};
+use super::{backoff, coordinate, fair_share, shed};
 use crate::action::Action;
 use crate::request::{Phase, RequestRow};
 use crate::table::Tables;
@@ -33,7 +33,7 @@
             && backoff::waits_until(t, now, r).is_none()
     };
     let held: Vec<&RequestRow> = t.requests.iter().filter(waits).collect();
-    for row in fair::in_order(t, now, held) {
+    for row in fair_share::in_order(t, now, held) {
         let before = ahead.entry(row.pool_key()).or_default();
         if is_hopeless(t, now, row, *before) {
             hopeless.push((row.rank, row.new.id));
@@ -43,7 +43,7 @@
     }
     // The last in order of a tier goes first.
     hopeless.reverse();
-    shed::lowest_first(t, now, hopeless, fair::reason, out);
+    shed::lowest_first(t, now, hopeless, fair_share::reason, out);
 }
 
 /// Tells whether `before` requests that go first leave too little of the target.
@@ -55,7 +55,7 @@
     let target = t.services.get(row.service).tier.target();
     let age = now.saturating_sub(row.arrived);
     if age > target {
-        return fair::is_behind(row);
+        return fair_share::is_behind(row);
     }
     let pace = if t.settings.account_shares.is_on() {
         t.paces.sent_from(row.pool_key(), row.rank)
--- a/crates/firdock-policy/src/system/expire.rs
+++ b/crates/firdock-policy/src/system/expire.rs
@@ -2,7 +2,7 @@
 
 use firdock_core::{Reason, RequestId, TierRank};
 
-use super::{end, shed};
+use super::{lifecycle, shed};
 use crate::action::Action;
 use crate::request::{Phase, RequestRow};
 use crate::table::Tables;
@@ -47,7 +47,7 @@
                 dispatch: row.dispatch,
             });
         }
-        end::give_up(t, now, id, Reason::TimedOut, out);
+        lifecycle::give_up(t, now, id, Reason::TimedOut, out);
     }
 }
 
--- a/crates/firdock-policy/src/system/handover.rs
+++ b/crates/firdock-policy/src/system/handover.rs
@@ -2,7 +2,7 @@
 
 use firdock_core::{Outcome, Reason, RequestId};
 
-use super::{end, key, limit, rollout, shed, suspect};
+use super::{key, lifecycle, limit, rollout, shed, suspect};
 use crate::action::{Action, HandOverCause};
 use crate::event::{HandOverEvent, HandOverRefusal, Member, PeerNews};
 use crate::request::{Passed, Phase, RequestRow, Verdict};
@@ -112,7 +112,7 @@
     cause: HandOverCause,
     out: &mut Vec<Action>,
 ) {
-    end::set_phase(t, id, Phase::HandedOver(at), false);
+    lifecycle::set_phase(t, id, Phase::HandedOver(at), false);
     let peer = t.peers.get_mut(at);
     peer.handed += 1;
     if let Some(row) = t.requests.get_mut(id) {
@@ -141,7 +141,7 @@
         HandOverEvent::Ended(id) => ended(t, now, *id),
         HandOverEvent::Unknown(id, verdict) => {
             if handed_to(t, *id).is_some() {
-                end::answer(t, now, *id, *verdict, out);
+                lifecycle::answer(t, now, *id, *verdict, out);
             }
         }
         HandOverEvent::Broke(id) => broke(t, now, *id, out),
@@ -160,7 +160,7 @@
     let id = refusal.id;
     let Some(at) = handed_to(t, id) else { return };
     let peer = t.peers.get(at).name.clone();
-    end::set_phase(t, id, Phase::Held, true);
+    lifecycle::set_phase(t, id, Phase::Held, true);
     let Some(row) = t.requests.get_mut(id) else {
         return;
     };
@@ -189,14 +189,14 @@
     };
     if shed::is_load(verdict.outcome, verdict.reason) {
         let service = row.service;
-        end::count_shed(t, service);
+        lifecycle::count_shed(t, service);
     }
-    end::answer(t, now, id, verdict, out);
+    lifecycle::answer(t, now, id, verdict, out);
 }
 
 fn ended(t: &mut Tables, now: Time, id: RequestId) {
     if handed_to(t, id).is_some() {
-        end::answered(t, now, id);
+        lifecycle::answered(t, now, id);
     }
 }
 
@@ -214,7 +214,7 @@
         reason,
         retry_after: None,
     };
-    end::answer(t, now, id, verdict, out);
+    lifecycle::answer(t, now, id, verdict, out);
 }
 
 /// Ends hand-overs to peers that fell silent: a cut link may not show for many minutes.
--- a/crates/firdock-policy/src/system/end.rs
+++ b/crates/firdock-policy/src/system/lifecycle.rs
@@ -6,7 +6,7 @@
 
 use firdock_core::{Outcome, Reason, RequestId, StartId};
 
-use super::{backoff, limit, tries};
+use super::{attempts, backoff, limit};
 use crate::action::Action;
 use crate::request::{Failure, NewRequest, Origin, Phase, Placing, RequestRow, Verdict};
 use crate::stats::{RefusalKey, WasteCause};
@@ -80,7 +80,7 @@
         leave_place(t, id, phase, Phase::Held);
     }
     let row = t.requests.remove(id)?;
-    tries::count(t, now, &row, outcome);
+    attempts::count(t, now, &row, outcome);
     t.services.get_mut(row.service).live -= 1;
     t.accounts.get_mut(row.account).live -= 1;
     if outcome == Outcome::NotRun {
--- a/crates/firdock-policy/src/system/place.rs
+++ b/crates/firdock-policy/src/system/place.rs
@@ -10,7 +10,7 @@
 use self::choice::{Choice, Placement, choose, estimate};
 use self::lane::{is_held_up, try_lane};
 use super::suspect::{self, Gate};
-use super::{coordinate, end, fair, key, rollout};
+use super::{coordinate, fair_share, key, lifecycle, rollout};
 use crate::action::{Action, Dispatch};
 use crate::request::{Failure, Phase, Proof, RequestRow};
 use crate::table::Tables;
@@ -117,7 +117,7 @@
         Placement::Blocked => {}
     }
     if exhausted(t, row) {
-        end::give_up(t, now, id, Reason::NoEndpoint, out);
+        lifecycle::give_up(t, now, id, Reason::NoEndpoint, out);
         return Tried::Left;
     }
     Tried::Waits
@@ -136,11 +136,11 @@
     let confirm_by = key::confirm_by(t, row);
     let fresh_by = fresh_by(t, row);
     if confirm_by.is_some_and(|until| until <= now) {
-        end::answer(t, now, id, key::unconfirmed_verdict(), out);
+        lifecycle::answer(t, now, id, key::unconfirmed_verdict(), out);
         return false;
     }
     if fresh_by.is_some_and(|until| until <= now) {
-        end::give_up(t, now, id, Reason::StateStale, out);
+        lifecycle::give_up(t, now, id, Reason::StateStale, out);
         return false;
     }
     let overdue = t
@@ -149,7 +149,7 @@
         .is_some_and(|r| r.deadline.is_some_and(|by| by <= now));
     if overdue {
         // Its caller is gone: an instance that stood still for a while takes up what came meanwhile.
-        end::give_up(t, now, id, Reason::TimedOut, out);
+        lifecycle::give_up(t, now, id, Reason::TimedOut, out);
         return false;
     }
     if let Some(row) = t.requests.get_mut(id) {
@@ -220,9 +220,9 @@
 /// repeated may have run already.
 fn dispatch(t: &mut Tables, now: Time, id: RequestId, choice: Choice, out: &mut Vec<Action>) {
     charge(t, id, choice);
-    fair::charge(t, now, id);
+    fair_share::charge(t, now, id);
     let most = t.most_retries();
-    end::set_phase(t, id, Phase::Dispatching(choice.endpoint), false);
+    lifecycle::set_phase(t, id, Phase::Dispatching(choice.endpoint), false);
     let e = t.endpoints.get(choice.endpoint);
     let closed = t
         .requests
--- a/crates/firdock-policy/src/system/place/choice.rs
+++ b/crates/firdock-policy/src/system/place/choice.rs
@@ -6,7 +6,7 @@
 use super::in_pool;
 use crate::cost::{self, Estimate};
 use crate::request::RequestRow;
-use crate::system::{fit, paced, rollout};
+use crate::system::{lateness, pace_reports, rollout};
 use crate::table::Tables;
 use crate::table::endpoint::EndpointRow;
 use crate::time::Time;
@@ -48,7 +48,7 @@
         row,
         service,
         e,
-        paced::pool_of(t, e),
+        pace_reports::pool_of(t, e),
     )
 }
 
@@ -67,10 +67,10 @@
     let Some(best) = best_of(t, now, row, &open) else {
         return Placement::Blocked;
     };
-    if fit::may_wait(t, now, row, &best.estimate) {
+    if lateness::may_wait(t, now, row, &best.estimate) {
         let taken: Vec<usize> = full.iter().copied().filter(|e| comes_free(t, *e)).collect();
         let taken = best_of(t, now, row, &taken);
-        if taken.is_some_and(|taken| fit::is_better(&best.estimate, &taken.estimate)) {
+        if taken.is_some_and(|taken| lateness::is_better(&best.estimate, &taken.estimate)) {
             return Placement::Wait;
         }
     }
@@ -95,7 +95,7 @@
 /// Tells whether a place on a full engine comes free here, and is reckoned by the pace that it tells.
 fn comes_free(t: &Tables, at: usize) -> bool {
     let e = t.endpoints.get(at);
-    e.running > 0 && paced::pool_of(t, e).is_some()
+    e.running > 0 && pace_reports::pool_of(t, e).is_some()
 }
 
 /// Gives the endpoint with the least score.
@@ -109,7 +109,14 @@
     };
     let choices = endpoints.iter().map(|e| {
         let e_row = t.endpoints.get(*e);
-        let mut estimate = cost::estimate(now, on, row, service, e_row, paced::pool_of(t, e_row));
+        let mut estimate = cost::estimate(
+            now,
+            on,
+            row,
+            service,
+            e_row,
+            pace_reports::pool_of(t, e_row),
+        );
         estimate.score += cost::far_secs(on, zone, e_row);
         Choice {
             endpoint: *e,
--- a/crates/firdock-policy/src/system/place/shared.rs
+++ b/crates/firdock-policy/src/system/place/shared.rs
@@ -7,7 +7,7 @@
 use super::Tried;
 use super::lane::try_lane;
 use crate::action::Action;
-use crate::system::fair;
+use crate::system::fair_share;
 use crate::table::Tables;
 use crate::time::Time;
 
@@ -30,7 +30,7 @@
         let ids = row.queue.heads().map(|(_, id)| id).filter(ranked);
         heads.extend(ids.map(|id| (service, id)));
     }
-    fair::sort_heads(t, now, &mut heads);
+    fair_share::sort_heads(t, now, &mut heads);
     for (service, id) in heads {
         if blocked.contains(&service) {
             continue;
--- a/crates/firdock-policy/src/system/shed.rs
+++ b/crates/firdock-policy/src/system/shed.rs
@@ -4,7 +4,7 @@
 
 use firdock_core::{Outcome, Reason, RequestId, TierRank};
 
-use super::{end, fair, handover};
+use super::{fair_share, handover, lifecycle};
 use crate::action::Action;
 use crate::request::Origin;
 use crate::table::Tables;
@@ -15,7 +15,7 @@
 pub fn run(t: &mut Tables, now: Time, out: &mut Vec<Action>) {
     while over_bounds(t) {
         let Some(id) = victim(t, now) else { break };
-        let reason = fair::reason(t, now, id);
+        let reason = fair_share::reason(t, now, id);
         shed(t, now, id, reason, out);
     }
     shed_accounts(t, now, out);
@@ -43,8 +43,8 @@
     if from_caller && handover::to_lower_holder(t, now, id, out) {
         return;
     }
-    end::count_shed(t, service);
-    end::give_up(t, now, id, reason, out);
+    lifecycle::count_shed(t, service);
+    lifecycle::give_up(t, now, id, reason, out);
 }
 
 /// Sheds of these requests those that may go, the lowest tier first and else in the order given.
@@ -69,7 +69,7 @@
 /// Picks from the account that holds most for its share, in the lowest tier: late ones first.
 fn victim(t: &Tables, now: Time) -> Option<RequestId> {
     if t.settings.account_shares.is_on() {
-        return fair::furthest_over(t, now);
+        return fair_share::furthest_over(t, now);
     }
     let rank = t.requests.lowest_held()?;
     let lanes = lanes_of(t, rank);
--- a/crates/firdock-policy/src/system/suspect.rs
+++ b/crates/firdock-policy/src/system/suspect.rs
@@ -6,7 +6,7 @@
 
 use firdock_core::{ContentId, Outcome, Reason, RequestId, StartId};
 
-use super::end;
+use super::lifecycle;
 use crate::action::Action;
 use crate::event::BreakCause;
 use crate::request::{Phase, RequestRow, Verdict};
@@ -84,7 +84,7 @@
         outcome,
         ..verdict()
     };
-    end::answer(t, now, id, told, out);
+    lifecycle::answer(t, now, id, told, out);
 }
 
 /// Takes a run that broke, while its row is still there: where its connection ended early, the
--- a/crates/firdock-policy/src/table/endpoint_exits.rs
+++ b/crates/firdock-policy/src/table/endpoint_exits.rs
@@ -29,14 +29,14 @@
     /// keeps the run otherwise.
     pub fn record_run(&mut self, now: Time, run: &BlamedRun) -> Option<Time> {
         self.sweep(now);
-        let exits = self.exits.get(&run.start).copied();
-        if exits.is_none() {
+        let exited_at = self.exits.get(&run.start).copied();
+        if exited_at.is_none() {
             if self.runs.len() >= MOST_RUNS {
                 self.runs.pop_front();
             }
             self.runs.push_back(run.clone());
         }
-        exits
+        exited_at
     }
 
     /// Takes it that an endpoint's process has ended; gives the runs that broke there.
