--- a/crates/firdock-node/src/peer/heartbeat.rs
+++ b/crates/firdock-node/src/peer/heartbeat.rs
@@ -10,7 +10,7 @@
 use firdock_policy::suspect::ToldSuspect;
 use firdock_policy::table::Tables;
 use firdock_policy::table::suspects::Revision;
-use firdock_policy::{Time, pool_demand, told_rollouts, used_limits};
+use firdock_policy::{Time, limit_usage, pool_demand, rollout_report};
 use firdock_wire::Body;
 use firdock_wire::message::{self, Heartbeat};
 use slog::{Logger, debug};
@@ -92,8 +92,8 @@
                 .map(|e| e.start_id.clone())
                 .collect(),
             version: t.version,
-            used: used_limits(t, now),
-            rollouts: told_rollouts(t, now),
+            used: limit_usage(t, now),
+            rollouts: rollout_report(t, now),
             work: Vec::new(),
             suspects: t.suspects.told(now, turn_at(now)),
             heard_suspects: t.suspects.heard_told(now),
--- a/crates/firdock-node/src/placement.rs
+++ b/crates/firdock-node/src/placement.rs
@@ -25,7 +25,7 @@
 use firdock_policy::load::PaceTold;
 use firdock_policy::notice::NoticeTold;
 use firdock_policy::table::Tables;
-use firdock_policy::{Event, Scheduler, Time, told_work};
+use firdock_policy::{Event, Scheduler, Time, work_report};
 use firdock_wire::message::datagram;
 use slog::{Logger, debug};
 use tokio::net::UdpSocket;
@@ -119,7 +119,7 @@
     /// Gives what engines did lately for accounts, by what was placed here.
     #[must_use]
     pub fn work(&self, now: Time) -> Vec<AccountWork> {
-        told_work(self.coordinator.tables(), now)
+        work_report(self.coordinator.tables(), now)
     }
 
     /// Notes that a request waits for a place.
--- a/crates/firdock-policy/src/lib.rs
+++ b/crates/firdock-policy/src/lib.rs
@@ -22,8 +22,8 @@
     FairShare, OVER_SHARE_FACTOR, PoolFairShares, ShareDemand, fair_shares_by_pool, max_min_shares,
 };
 pub use system::{
-    demand::by_pool as pool_demand, fair_share::told as told_work, limit::used as used_limits,
-    rollout::told as told_rollouts,
+    demand::by_pool as pool_demand, fair_share::work_report, limit::usage as limit_usage,
+    rollout::report as rollout_report,
 };
 pub mod table;
 pub mod time;
--- a/crates/firdock-policy/src/scheduler.rs
+++ b/crates/firdock-policy/src/scheduler.rs
@@ -44,47 +44,47 @@
     ///
     /// Panics where an invariant is broken: going on would break a promise to a caller.
     pub fn check_invariants(&self, now: Time) {
-        invariants::all(&self.tables, now);
+        invariants::check_all(&self.tables, now);
     }
 
     fn apply(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         let t = &mut self.tables;
         match event {
-            Event::Arrived(new) => admit::arrived(t, now, new, out),
+            Event::Arrived(new) => admit::admit_request(t, now, new, out),
             Event::CallerLeft(id) => dispatch_updates::caller_left(t, now, id, out),
-            Event::Endpoint(e) => dispatch_updates::endpoint(t, now, &e, out),
+            Event::Endpoint(e) => dispatch_updates::handle_update(t, now, &e, out),
             Event::LivenessChecked(result) => liveness::handle_result(t, now, &result, out),
-            Event::Paced(told) => pace_reports::take(t, &told),
-            Event::Noticed(told) => notice::take(t, &told, out),
-            Event::Report(report) => health::report(t, now, &report),
-            Event::ReportMissed(name) => health::missed(t, now, &name),
+            Event::Paced(told) => pace_reports::record(t, &told),
+            Event::Noticed(told) => notice::record(t, &told, out),
+            Event::Report(report) => health::record_report(t, now, &report),
+            Event::ReportMissed(name) => health::record_missed_report(t, now, &name),
             Event::Config(catalog) => config::apply(t, now, &catalog, out),
-            Event::View(view) => key::take_view(t, view, out),
-            Event::KeyTransfer(transfer) => key::take_transfer(t, now, &transfer),
+            Event::View(view) => key::apply_view(t, view, out),
+            Event::KeyTransfer(transfer) => key::apply_transfer(t, now, &transfer),
             Event::LogRead(reading) => t.views.read(reading),
-            Event::Listed(rows) => health::listed(t, &rows),
-            Event::Suspected(told) => suspect::hear(t, now, told, out),
+            Event::Listed(rows) => health::apply_instance_list(t, &rows),
+            Event::Suspected(told) => suspect::merge_reports(t, now, told, out),
             Event::Released(content, until) => suspect::release(t, now, content, until),
-            Event::Peer(peer) => handover::peer_news(t, now, peer, out),
-            Event::SiteUsed(word) => limit::take_site(t, now, &word),
-            Event::PeerLost(name) => handover::peer_lost(t, &name),
+            Event::Peer(peer) => handover::apply_heartbeat(t, now, peer, out),
+            Event::SiteUsed(word) => limit::apply_site_use(t, now, &word),
+            Event::PeerLost(name) => handover::mark_peer_lost(t, &name),
             Event::PeersKnown(count) => t.known_peers = Some(count),
             Event::GroupDemand(group) => t.groups.take(now, group),
             Event::GroupWork(group) => t.told_work.take(now, group.zone, group.work),
             Event::Reach(count) => t.reach = Some(Reach { at: now, count }),
             Event::Fresh(at) => t.fresh_at = t.fresh_at.max(Some(at)),
-            Event::Coordinated(answers) => coordinate::set(t, now, answers),
-            Event::Granted(grant) => coordinate::granted(t, now, &grant, out),
-            Event::NotGranted(id, verdict) => coordinate::not_granted(t, now, id, verdict, out),
+            Event::Coordinated(answers) => coordinate::set_coordinated(t, now, answers),
+            Event::Granted(grant) => coordinate::apply_grant(t, now, &grant, out),
+            Event::NotGranted(id, verdict) => coordinate::apply_refusal(t, now, id, verdict, out),
             Event::Adopted(new, endpoint) => coordinate::adopt(t, now, new, &endpoint),
-            Event::HandOver(e) => handover::news(t, now, &e, out),
-            Event::Rollout(word) => rollout::hear(t, now, &word),
-            Event::GroupEvidence(word) => rollout::hear_group(t, word),
-            Event::Recorded(record) => rollout::hear_recorded(t, now, &record),
-            Event::Decides(decides) => rollout::take_decides(t, decides),
+            Event::HandOver(e) => handover::handle_event(t, now, &e, out),
+            Event::Rollout(word) => rollout::apply_status(t, now, &word),
+            Event::GroupEvidence(word) => rollout::merge_group_evidence(t, word),
+            Event::Recorded(record) => rollout::apply_record(t, now, &record),
+            Event::Decides(decides) => rollout::set_decides(t, decides),
             Event::Drain => t.draining = true,
             Event::Timer => {
-                demand::take_rates(t, now);
+                demand::update_rates(t, now);
                 budget::refresh_budgets(t, now);
                 handover::end_silent(t, now, out);
                 handover::forget_silent(t, now);
@@ -92,8 +92,8 @@
                 expire::end_overdue(t, now, out);
                 expire::end_impatient(t, now, out);
                 expire::put_late_last(t, now);
-                expire::run(t, now, out);
-                fair_share::set_levels(t, now);
+                expire::end_expired(t, now, out);
+                fair_share::update_levels(t, now);
                 early_refusal::run(t, now, out);
                 rollout::run(t, now, out);
             }
@@ -107,7 +107,7 @@
         let t = &mut self.tables;
         place::run(t, now, out);
         backoff::run(t, now, out);
-        coordinate::ask(t, out);
+        coordinate::request_placements(t, out);
         shed::run(t, now, out);
         drain::run(t, now, out);
     }
--- a/crates/firdock-policy/src/system/admit.rs
+++ b/crates/firdock-policy/src/system/admit.rs
@@ -15,15 +15,15 @@
 const NO_ENDPOINT_RETRY: Duration = Duration::from_secs(5);
 
 /// Takes a request that arrived.
-pub fn arrived(t: &mut Tables, now: Time, new: NewRequest, out: &mut Vec<Action>) {
+pub fn admit_request(t: &mut Tables, now: Time, new: NewRequest, out: &mut Vec<Action>) {
     let Some((service, account)) = in_force(t, &new) else {
-        turn_away(t, &new, undeclared(&new), out);
+        reject(t, &new, undeclared(&new), out);
         return;
     };
     let unserved = t.services.get(service).endpoints.is_empty();
     let (id, claim) = (new.id, new.key);
     match key::decide(t, now, service, &new) {
-        key::Decision::Refuse(verdict) => turn_away(t, &new, verdict, out),
+        key::Decision::Refuse(verdict) => reject(t, &new, verdict, out),
         key::Decision::Replay(earlier) => {
             *t.stats.outcomes.entry(Outcome::Answered).or_default() += 1;
             out.push(Action::Replay { id, earlier });
@@ -33,13 +33,13 @@
             insert(t, now, new, service, account, 0.0);
             super::handover::to_key_owner(t, now, id, &owner, out);
         }
-        _ if is_quarantined(t, &new) => turn_away(t, &new, suspect::verdict(), out),
-        _ if unserved => turn_away(t, &new, no_endpoint(Outcome::NotRun), out),
+        _ if is_quarantined(t, &new) => reject(t, &new, suspect::verdict(), out),
+        _ if unserved => reject(t, &new, no_endpoint(Outcome::NotRun), out),
         decision => {
-            let Some(charge) = limit::take(t, now, account, &new) else {
+            let Some(charge) = limit::charge(t, now, account, &new) else {
                 let verdict = limit::verdict(t, account);
-                attempts::count_turned_away(t, now, service, &new);
-                turn_away(t, &new, verdict, out);
+                attempts::count_rejected(t, now, service, &new);
+                reject(t, &new, verdict, out);
                 return;
             };
             insert(t, now, new, service, account, charge);
@@ -92,7 +92,7 @@
 }
 
 /// Answers a request that never entered the tables.
-fn turn_away(t: &mut Tables, new: &NewRequest, verdict: Verdict, out: &mut Vec<Action>) {
+fn reject(t: &mut Tables, new: &NewRequest, verdict: Verdict, out: &mut Vec<Action>) {
     lifecycle::count_verdict(t, verdict);
     out.push(lifecycle::final_word(new, verdict, Vec::new()));
 }
--- a/crates/firdock-policy/src/system/attempts.rs
+++ b/crates/firdock-policy/src/system/attempts.rs
@@ -50,7 +50,7 @@
 }
 
 /// Counts a try that is refused before it enters the tables.
-pub fn count_turned_away(t: &mut Tables, now: Time, service: usize, new: &NewRequest) {
+pub fn count_rejected(t: &mut Tables, now: Time, service: usize, new: &NewRequest) {
     let tried_for = tried_for(t.services.get_mut(service), now, new);
     add(t, service, tried_for, TryEnd::NotRun);
 }
--- a/crates/firdock-policy/src/system/budget/totals.rs
+++ b/crates/firdock-policy/src/system/budget/totals.rs
@@ -9,7 +9,7 @@
 use super::{NEAR_WEIGHT, demand_share, rounded_places};
 use crate::settings::Mechanisms;
 use crate::system::demand::{by_pool, on_endpoint};
-use crate::system::limit::heard_of_known;
+use crate::system::limit::live_and_known;
 use crate::table::Tables;
 use crate::table::endpoint::EndpointRow;
 use crate::time::Time;
@@ -55,7 +55,7 @@
                 }
             }
         }
-        totals.grow_to(heard_of_known(t, now).0);
+        totals.grow_to(live_and_known(t, now).0);
         totals
     }
 
--- a/crates/firdock-policy/src/system/config.rs
+++ b/crates/firdock-policy/src/system/config.rs
@@ -46,7 +46,7 @@
         row.absent_since = row.absent_since.or(Some(now));
     }
     for declared in &catalog.endpoints {
-        restart::make_way(t, now, declared, out);
+        restart::detach_previous_start(t, now, declared, out);
         let at = t
             .endpoints
             .find_or_add(&declared.name, || EndpointRow::new(declared.clone()));
--- a/crates/firdock-policy/src/system/coordinate.rs
+++ b/crates/firdock-policy/src/system/coordinate.rs
@@ -18,7 +18,7 @@
 use crate::time::Time;
 
 /// Takes it that a coordinator answers now, or that none does.
-pub fn set(t: &mut Tables, now: Time, answers: bool) {
+pub fn set_coordinated(t: &mut Tables, now: Time, answers: bool) {
     t.coordinated = answers;
     if !answers {
         budget::set_budgets(t, now);
@@ -31,7 +31,7 @@
 }
 
 /// Asks the coordinator for places for the requests that have come to be held.
-pub fn ask(t: &mut Tables, out: &mut Vec<Action>) {
+pub fn request_placements(t: &mut Tables, out: &mut Vec<Action>) {
     if !t.coordinated || t.requests.held() == 0 {
         return;
     }
@@ -49,7 +49,7 @@
 /// Sends a request to the engine on which the coordinator gave it a place.
 ///
 /// A place that comes twice is used once; one that cannot be used is given back.
-pub fn granted(t: &mut Tables, now: Time, grant: &Grant, out: &mut Vec<Action>) {
+pub fn apply_grant(t: &mut Tables, now: Time, grant: &Grant, out: &mut Vec<Action>) {
     let endpoint = t.endpoints.find_start(&grant.endpoint);
     let Some(row) = t.requests.get(grant.id) else {
         out.push(Action::Decline(grant.clone()));
@@ -110,7 +110,7 @@
 /// Gives a request up that the coordinator will not place in time.
 ///
 /// It stays held while a request of a lower tier is, which the coordinator may not know of.
-pub fn not_granted(
+pub fn apply_refusal(
     t: &mut Tables,
     now: Time,
     id: RequestId,
--- a/crates/firdock-policy/src/system/demand.rs
+++ b/crates/firdock-policy/src/system/demand.rs
@@ -14,7 +14,7 @@
 const RATE_PERIOD: Duration = Duration::from_millis(500);
 
 /// Takes the rates of arrivals, dispatches and ends, once a period.
-pub fn take_rates(t: &mut Tables, now: Time) {
+pub fn update_rates(t: &mut Tables, now: Time) {
     let period = now.saturating_sub(t.rates_taken);
     if period < RATE_PERIOD {
         return;
--- a/crates/firdock-policy/src/system/dispatch_updates.rs
+++ b/crates/firdock-policy/src/system/dispatch_updates.rs
@@ -11,7 +11,7 @@
 use crate::time::Time;
 
 /// Takes news of a dispatch; late news of an earlier dispatch is dropped and counted.
-pub fn endpoint(t: &mut Tables, now: Time, e: &EndpointEvent, out: &mut Vec<Action>) {
+pub fn handle_update(t: &mut Tables, now: Time, e: &EndpointEvent, out: &mut Vec<Action>) {
     let current = t.requests.get(e.id).filter(|r| r.dispatch == e.dispatch);
     let Some(Phase::Dispatching(at) | Phase::Running(at)) = current.map(|r| r.phase) else {
         t.stats.stale_news += 1;
@@ -259,7 +259,7 @@
     lifecycle::count_waste(t, id, WasteCause::EndpointLost);
     rollout::lost(t, id, at);
     if !backs_off(t, now, id, at) {
-        health::broke(t, now, at);
+        health::record_broken_dispatch(t, now, at);
     }
     // By what was held against it before: one end is no reason yet to give a caller up.
     let goes_on = may_go_on(t, id, at);
--- a/crates/firdock-policy/src/system/expire.rs
+++ b/crates/firdock-policy/src/system/expire.rs
@@ -87,7 +87,7 @@
 ///
 /// A request of a higher tier stays held while one of a lower tier is, so that it is never shed
 /// before it.
-pub fn run(t: &mut Tables, now: Time, out: &mut Vec<Action>) {
+pub fn end_expired(t: &mut Tables, now: Time, out: &mut Vec<Action>) {
     let wait = |r: &RequestRow| t.services.get(r.service).tier.wait();
     let late = held_where(t, |r| r.arrived + wait(r) <= now);
     shed::lowest_first(t, now, late, waited, out);
--- a/crates/firdock-policy/src/system/fair_share.rs
+++ b/crates/firdock-policy/src/system/fair_share.rs
@@ -7,7 +7,7 @@
 mod level;
 
 pub use level::{
-    FairShare, PoolFairShares, ShareDemand, fair_shares_by_pool, max_min_shares, set_levels,
+    FairShare, PoolFairShares, ShareDemand, fair_shares_by_pool, max_min_shares, update_levels,
 };
 
 use std::collections::HashMap;
@@ -256,7 +256,7 @@
 
 /// Gives what accounts asked for and had here lately, the greatest first, to tell other groups.
 #[must_use]
-pub fn told(t: &Tables, now: Time) -> Vec<AccountWork> {
+pub fn work_report(t: &Tables, now: Time) -> Vec<AccountWork> {
     if !t.settings.account_shares.is_on() {
         return Vec::new();
     }
--- a/crates/firdock-policy/src/system/fair_share/level.rs
+++ b/crates/firdock-policy/src/system/fair_share/level.rs
@@ -19,7 +19,7 @@
 const LEVEL_PAUSE: Duration = Duration::from_millis(100);
 
 /// Takes anew what accounts may have of each pool, by what they asked for and had lately.
-pub fn set_levels(t: &mut Tables, now: Time) {
+pub fn update_levels(t: &mut Tables, now: Time) {
     if !t.settings.account_shares.is_on() || now < t.levels.taken + LEVEL_PAUSE {
         return;
     }
--- a/crates/firdock-policy/src/system/handover.rs
+++ b/crates/firdock-policy/src/system/handover.rs
@@ -18,8 +18,8 @@
 const SILENT_PEER: std::time::Duration = std::time::Duration::from_mins(1);
 
 /// Takes a peer's heartbeat.
-pub fn peer_news(t: &mut Tables, now: Time, mut news: PeerNews, out: &mut Vec<Action>) {
-    suspect::hear(t, now, std::mem::take(&mut news.suspects), out);
+pub fn apply_heartbeat(t: &mut Tables, now: Time, mut news: PeerNews, out: &mut Vec<Action>) {
+    suspect::merge_reports(t, now, std::mem::take(&mut news.suspects), out);
     for name in &news.leaving {
         if let Some(at) = t.endpoints.find_start(name) {
             t.endpoints.get_mut(at).peer_leaving = Some(now + LEAVING_WORD);
@@ -30,16 +30,16 @@
     }
     let small = t.is_small_site();
     if small {
-        limit::take_peer(t, now, &news);
+        limit::apply_peer_use(t, now, &news);
     }
     let seen = std::mem::take(&mut news.seen);
-    rollout::hear_peer(t, &news.name, &news.zone, news.incarnation, seen);
+    rollout::merge_peer_evidence(t, &news.name, &news.zone, news.incarnation, seen);
     let at = t.peers.find_or_add(&news.name, || PeerRow::new(&news.name));
     t.peers.get_mut(at).update(now, news, small);
 }
 
 /// Takes it that the link to a peer broke: its news no longer counts.
-pub fn peer_lost(t: &mut Tables, name: &str) {
+pub fn mark_peer_lost(t: &mut Tables, name: &str) {
     if let Some(at) = t.peers.find(name) {
         t.peers.get_mut(at).heard = Time::ZERO;
         t.peers.get_mut(at).held.clear();
@@ -128,7 +128,7 @@
 }
 
 /// Takes news of a hand-over.
-pub fn news(t: &mut Tables, now: Time, event: &HandOverEvent, out: &mut Vec<Action>) {
+pub fn handle_event(t: &mut Tables, now: Time, event: &HandOverEvent, out: &mut Vec<Action>) {
     match event {
         HandOverEvent::Refused(refusal) => refused(t, now, refusal, out),
         HandOverEvent::Started(id) => {
--- a/crates/firdock-policy/src/system/health.rs
+++ b/crates/firdock-policy/src/system/health.rs
@@ -6,7 +6,7 @@
 use crate::time::Time;
 
 /// Takes a report of load and cache changes.
-pub fn report(t: &mut Tables, now: Time, report: &LoadReport) {
+pub fn record_report(t: &mut Tables, now: Time, report: &LoadReport) {
     let Some(at) = t.endpoints.find(&report.endpoint) else {
         return;
     };
@@ -33,7 +33,7 @@
 }
 
 /// Takes it that a report could not be had.
-pub fn missed(t: &mut Tables, now: Time, name: &str) {
+pub fn record_missed_report(t: &mut Tables, now: Time, name: &str) {
     let Some(at) = t.endpoints.find(name) else {
         return;
     };
@@ -45,7 +45,7 @@
 }
 
 /// Takes the platform's instance list.
-pub fn listed(t: &mut Tables, rows: &[ListedInstance]) {
+pub fn apply_instance_list(t: &mut Tables, rows: &[ListedInstance]) {
     for row in rows {
         if let Some(at) = t.endpoints.find(&row.name) {
             t.endpoints.get_mut(at).listed_leaving = row.leaving;
@@ -54,7 +54,7 @@
 }
 
 /// Notes a broken dispatch; ejects the endpoint if too many broke in a row.
-pub fn broke(t: &mut Tables, now: Time, at: usize) {
+pub fn record_broken_dispatch(t: &mut Tables, now: Time, at: usize) {
     let e = t.endpoints.get_mut(at);
     e.broken += 1;
     let probing = e.health != Health::Well;
--- a/crates/firdock-policy/src/system/invariants.rs
+++ b/crates/firdock-policy/src/system/invariants.rs
@@ -11,7 +11,7 @@
 /// # Panics
 ///
 /// Panics where an invariant is broken.
-pub fn all(t: &Tables, now: Time) {
+pub fn check_all(t: &Tables, now: Time) {
     check_queues(t);
     check_endpoints(t);
     check_bounds(t);
--- a/crates/firdock-policy/src/system/key.rs
+++ b/crates/firdock-policy/src/system/key.rs
@@ -93,7 +93,7 @@
 }
 
 /// Takes a view over and transfers to the other members the keys that they own now.
-pub fn take_view(t: &mut Tables, view: MemberView, out: &mut Vec<Action>) {
+pub fn apply_view(t: &mut Tables, view: MemberView, out: &mut Vec<Action>) {
     if view.number <= t.views.number() {
         return;
     }
@@ -122,7 +122,7 @@
 }
 
 /// Takes another member's transfer.
-pub fn take_transfer(t: &mut Tables, now: Time, transfer: &KeyTransfer) {
+pub fn apply_transfer(t: &mut Tables, now: Time, transfer: &KeyTransfer) {
     let me = t.settings.member.incarnation;
     t.transfers.take(now, me, transfer, t.settings.max_keys);
 }
--- a/crates/firdock-policy/src/system/lifecycle.rs
+++ b/crates/firdock-policy/src/system/lifecycle.rs
@@ -84,7 +84,7 @@
     t.services.get_mut(row.service).live -= 1;
     t.accounts.get_mut(row.account).live -= 1;
     if outcome == Outcome::NotRun {
-        limit::give_back(t, &row);
+        limit::refund(t, &row);
     }
     if let Some(claim) = row.new.key.filter(|_| row.minted.is_some()) {
         t.keys.end(now, claim.hash, id, outcome);
--- a/crates/firdock-policy/src/system/limit.rs
+++ b/crates/firdock-policy/src/system/limit.rs
@@ -23,7 +23,7 @@
 const MAX_WAIT_SECS: f64 = 60.0;
 
 /// Charges a request to its account's limit and gives the charge; `None` if there was no room.
-pub fn take(t: &mut Tables, now: Time, account: usize, new: &NewRequest) -> Option<f64> {
+pub fn charge(t: &mut Tables, now: Time, account: usize, new: &NewRequest) -> Option<f64> {
     if t.settings.coordinates {
         return Some(0.0);
     }
@@ -61,7 +61,7 @@
 }
 
 /// Gives a request's charge back, since it ran nowhere.
-pub fn give_back(t: &mut Tables, row: &RequestRow) {
+pub fn refund(t: &mut Tables, row: &RequestRow) {
     if let Some(bucket) = &mut t.accounts.get_mut(row.account).bucket {
         bucket.give_back(row.charge);
     }
@@ -70,12 +70,12 @@
 /// Takes out of the buckets what a peer let pass since its last heartbeat.
 ///
 /// After a restart, the peer's totals begin anew. Where instances are many, leads tell the sums of all
-/// instead ([`take_site`]).
+/// instead ([`apply_site_use`]).
 ///
 /// What a peer used before this instance first heard of it is not known to be recent, so it does not
 /// count. Nor does what it used of an account before it first told of that, unless it began with
 /// this instance or later. A word that was overtaken has smaller totals, and is made up for by the next.
-pub fn take_peer(t: &mut Tables, now: Time, news: &PeerNews) {
+pub fn apply_peer_use(t: &mut Tables, now: Time, news: &PeerNews) {
     let peer = t.peers.find(&news.name).map(|at| t.peers.get(at));
     let Some(peer) = peer.filter(|p| p.heard > Time::ZERO) else {
         return;
@@ -106,7 +106,7 @@
 ///
 /// This instance's own use is among what is counted, and was taken out when it was let pass. A count that
 /// does not hold the newest of it yet falls short until it does.
-pub fn take_site(t: &mut Tables, now: Time, word: &UseCounts) {
+pub fn apply_site_use(t: &mut Tables, now: Time, word: &UseCounts) {
     let mut others = word.clone();
     others.counts.retain_mut(|told| {
         let Some(bucket) = bucket_of(&mut t.accounts, &told.account) else {
@@ -151,7 +151,7 @@
 
 /// Gives what this instance let pass of the limits that are in use.
 #[must_use]
-pub fn used(t: &Tables, now: Time) -> Vec<AccountUse> {
+pub fn usage(t: &Tables, now: Time) -> Vec<AccountUse> {
     let rows = t.accounts.iter().filter_map(|(_, a)| {
         let bucket = a.bucket?;
         let recent = bucket.asked > 0.0 && bucket.touched + TOLD_AFTER_USE > now;
@@ -179,12 +179,12 @@
     if t.settings.await_peers && t.known_peers.is_none() {
         return UNAWARE_PART;
     }
-    let (heard, known) = heard_of_known(t, now);
+    let (heard, known) = live_and_known(t, now);
     heard as f64 / known as f64
 }
 
 /// Gives how many instances are heard, and how many are known of, this one among both.
-pub fn heard_of_known(t: &Tables, now: Time) -> (usize, usize) {
+pub fn live_and_known(t: &Tables, now: Time) -> (usize, usize) {
     let known = 1 + t.peers_known();
     let heard = match t.reach.filter(|_| !t.is_small_site()) {
         Some(reach) => reached(t, now, reach).min(known),
--- a/crates/firdock-policy/src/system/notice.rs
+++ b/crates/firdock-policy/src/system/notice.rs
@@ -9,7 +9,7 @@
 /// Takes what an endpoint said of itself; the word of a start that is over is passed over.
 ///
 /// What it said to another instance counts as that one's word.
-pub fn take(t: &mut Tables, told: &NoticeTold, out: &mut Vec<Action>) {
+pub fn record(t: &mut Tables, told: &NoticeTold, out: &mut Vec<Action>) {
     let Some(at) = t.endpoints.find_start(&told.endpoint) else {
         return;
     };
--- a/crates/firdock-policy/src/system/pace_reports.rs
+++ b/crates/firdock-policy/src/system/pace_reports.rs
@@ -15,7 +15,7 @@
 const MAX_FIGURE_AGE: Duration = Duration::from_millis(1_500);
 
 /// Takes the pace that a server told; one that is not known is passed over.
-pub fn take(t: &mut Tables, told: &PaceTold) {
+pub fn record(t: &mut Tables, told: &PaceTold) {
     let Some(at) = t.endpoints.find(&told.endpoint) else {
         return;
     };
@@ -31,7 +31,7 @@
 }
 
 /// Gives what is known of the pool of an endpoint whose figures are told and true.
-pub fn pool_of<'a>(t: &'a Tables, e: &EndpointRow) -> Option<&'a PoolPace> {
+pub fn trusted_pool_of<'a>(t: &'a Tables, e: &EndpointRow) -> Option<&'a PoolPace> {
     t.told.get(&e.declared.pool).filter(|_| e.told.is_true())
 }
 
--- a/crates/firdock-policy/src/system/place/choice.rs
+++ b/crates/firdock-policy/src/system/place/choice.rs
@@ -48,7 +48,7 @@
         row,
         service,
         e,
-        pace_reports::pool_of(t, e),
+        pace_reports::trusted_pool_of(t, e),
     )
 }
 
@@ -95,7 +95,7 @@
 /// Tells whether a place on a full engine comes free here, and is reckoned by the pace that it tells.
 fn comes_free(t: &Tables, at: usize) -> bool {
     let e = t.endpoints.get(at);
-    e.running > 0 && pace_reports::pool_of(t, e).is_some()
+    e.running > 0 && pace_reports::trusted_pool_of(t, e).is_some()
 }
 
 /// Gives the endpoint with the least score.
@@ -115,7 +115,7 @@
             row,
             service,
             e_row,
-            pace_reports::pool_of(t, e_row),
+            pace_reports::trusted_pool_of(t, e_row),
         );
         estimate.score += cost::far_secs(on, zone, e_row);
         Choice {
--- a/crates/firdock-policy/src/system/restart.rs
+++ b/crates/firdock-policy/src/system/restart.rs
@@ -16,7 +16,12 @@
 ///
 /// What was sent to the earlier start before this one began ended with it. What was sent later reached
 /// the new one, though this instance did not know of it yet, and ends there.
-pub fn make_way(t: &mut Tables, now: Time, declared: &Endpoint, out: &mut Vec<Action>) {
+pub fn detach_previous_start(
+    t: &mut Tables,
+    now: Time,
+    declared: &Endpoint,
+    out: &mut Vec<Action>,
+) {
     let Some(at) = t.endpoints.find(&declared.name) else {
         return;
     };
--- a/crates/firdock-policy/src/system/rollout.rs
+++ b/crates/firdock-policy/src/system/rollout.rs
@@ -5,6 +5,6 @@
 mod evidence;
 mod versions;
 
-pub use decide::{hear, hear_recorded, run, take_decides};
-pub use evidence::{ended, failed, hear_group, hear_peer, lost, sent, told};
+pub use decide::{apply_record, apply_status, run, set_decides};
+pub use evidence::{ended, failed, lost, merge_group_evidence, merge_peer_evidence, report, sent};
 pub use versions::{admits, admits_grant, apply, is_new, trial};
--- a/crates/firdock-policy/src/system/rollout/decide.rs
+++ b/crates/firdock-policy/src/system/rollout/decide.rs
@@ -25,12 +25,12 @@
 const ALONE_PATIENCE: Duration = Duration::from_secs(3);
 
 /// Takes it that this instance leads the site now, or does not.
-pub fn take_decides(t: &mut Tables, decides: bool) {
+pub fn set_decides(t: &mut Tables, decides: bool) {
     t.rollouts.decides = decides;
 }
 
 /// Takes a peer's word on a roll-out.
-pub fn hear(t: &mut Tables, now: Time, word: &RolloutWord) {
+pub fn apply_status(t: &mut Tables, now: Time, word: &RolloutWord) {
     let decides = t.rollouts.decides;
     let Some(row) = t.rollouts.find_mut(&word.pool, word.order) else {
         return;
@@ -43,7 +43,7 @@
 }
 
 /// Takes what the platform's store has of a roll-out.
-pub fn hear_recorded(t: &mut Tables, now: Time, record: &RolloutRecord) {
+pub fn apply_record(t: &mut Tables, now: Time, record: &RolloutRecord) {
     let Some(row) = t.rollouts.find_mut(&record.pool, record.order) else {
         return;
     };
@@ -197,6 +197,6 @@
 
 /// Tells whether this instance hears enough of the others to decide for all.
 fn hears_most(t: &Tables, now: Time) -> bool {
-    let (heard, known) = limit::heard_of_known(t, now);
+    let (heard, known) = limit::live_and_known(t, now);
     2 * heard > known
 }
--- a/crates/firdock-policy/src/system/rollout/evidence.rs
+++ b/crates/firdock-policy/src/system/rollout/evidence.rs
@@ -89,7 +89,13 @@
 }
 
 /// Takes what a peer saw; that of other groups comes from their leads.
-pub fn hear_peer(t: &mut Tables, name: &str, zone: &str, start: Uuid, seen: Vec<Evidence>) {
+pub fn merge_peer_evidence(
+    t: &mut Tables,
+    name: &str,
+    zone: &str,
+    start: Uuid,
+    seen: Vec<Evidence>,
+) {
     let near = zone == t.settings.zone || t.is_small_site();
     if !near || t.settings.coordinates {
         return;
@@ -103,7 +109,7 @@
 }
 
 /// Takes what the lead of another group tells of it.
-pub fn hear_group(t: &mut Tables, word: GroupEvidence) {
+pub fn merge_group_evidence(t: &mut Tables, word: GroupEvidence) {
     if word.zone == t.settings.zone || t.is_small_site() {
         return;
     }
@@ -118,7 +124,7 @@
 /// Gives what peers are told of roll-outs: how far they are for as long as the orders stand, what was
 /// seen of them until they end.
 #[must_use]
-pub fn told(t: &Tables, now: Time) -> ToldRollouts {
+pub fn report(t: &Tables, now: Time) -> ToldRollouts {
     let mut told = ToldRollouts::default();
     for row in t.rollouts.rows.values() {
         told.words.push(row.word(now));
--- a/crates/firdock-policy/src/system/suspect.rs
+++ b/crates/firdock-policy/src/system/suspect.rs
@@ -169,7 +169,7 @@
 }
 
 /// Takes what other instances tell.
-pub fn hear(t: &mut Tables, now: Time, told: Vec<ToldSuspect>, out: &mut Vec<Action>) {
+pub fn merge_reports(t: &mut Tables, now: Time, told: Vec<ToldSuspect>, out: &mut Vec<Action>) {
     for one in told {
         let id = one.content.id;
         if t.suspects.hear(now, one) {
--- a/crates/firdock-policy/tests/policy/limits.rs
+++ b/crates/firdock-policy/tests/policy/limits.rs
@@ -8,7 +8,7 @@
     UseTotals,
 };
 use firdock_policy::sums::UseSums;
-use firdock_policy::{Action, Event, NewRequest, Verdict, used_limits};
+use firdock_policy::{Action, Event, NewRequest, Verdict, limit_usage};
 use uuid::Uuid;
 
 use crate::edge::{Edge, REFUSED, edge_settings, request, resources, verdict};
@@ -243,7 +243,7 @@
         edge.now += millis(pause);
         edge.step(Event::Fresh(edge.now));
         edge.arrive(request(n as u64, "safe", "limited"));
-        let used = used_limits(edge.scheduler.tables(), edge.now);
+        let used = limit_usage(edge.scheduler.tables(), edge.now);
         told.push((used[0].units, used[0].before.units));
     }
     let expected = [(100.0, 0.0), (200.0, 0.0), (300.0, 0.0), (400.0, 300.0)];
@@ -300,7 +300,7 @@
     PeerUse {
         name: t.settings.member.name.clone(),
         incarnation: t.settings.member.incarnation,
-        used: used_limits(t, edge.now),
+        used: limit_usage(t, edge.now),
     }
 }
 
--- a/crates/firdock-policy/tests/policy/shares.rs
+++ b/crates/firdock-policy/tests/policy/shares.rs
@@ -9,7 +9,7 @@
 mod parts;
 
 use firdock_core::{Outcome, Reason};
-use firdock_policy::{AccountShares, Action, Event, NewRequest, Verdict, told_work};
+use firdock_policy::{AccountShares, Action, Event, NewRequest, Verdict, work_report};
 
 use crate::edge::{Edge, edge_settings, request, resources};
 use crate::scene::{dispatched, id, millis};
@@ -248,7 +248,7 @@
 
 /// Sums what accounts asked for and had done.
 fn work(edge: &Edge) -> (f64, f64) {
-    let told = told_work(edge.scheduler.tables(), edge.now);
+    let told = work_report(edge.scheduler.tables(), edge.now);
     let asked = told.iter().map(|w| w.asked).sum();
     let done = told.iter().map(|w| w.done).sum();
     (asked, done)
--- a/crates/firdock-policy/tests/policy/shares/load.rs
+++ b/crates/firdock-policy/tests/policy/shares/load.rs
@@ -7,7 +7,7 @@
 use firdock_core::RequestId;
 use firdock_core::resource::{Account, Endpoint, Resource, Service, Tier};
 use firdock_policy::event::{AccountWork, DispatchNews, EndpointEvent, GroupWork};
-use firdock_policy::{AccountShares, Action, Event, NewRequest, Time, told_work};
+use firdock_policy::{AccountShares, Action, Event, NewRequest, Time, work_report};
 
 use crate::edge::{Edge, edge_settings, request, resources};
 use crate::scene::millis;
@@ -327,7 +327,7 @@
 
     /// What the group tells of the work that it placed.
     pub fn told(&self) -> Vec<AccountWork> {
-        told_work(self.edge.scheduler.tables(), self.edge.now)
+        work_report(self.edge.scheduler.tables(), self.edge.now)
     }
 
     /// Takes the word of another group's lead.
