--- a/crates/firdock-policy/src/system/coordinate.rs
+++ b/crates/firdock-policy/src/system/coordinate.rs
@@ -9,7 +9,7 @@
 use firdock_core::{RequestId, StartId};
 
 use super::suspect::{self, Gate};
-use super::{admit, end, fair, place, rollout, share};
+use super::{admit, budget, fair_share, lifecycle, place, rollout};
 use crate::action::Action;
 use crate::event::Grant;
 use crate::request::{NewRequest, Phase, Placing, RequestRow, Verdict};
@@ -18,10 +18,10 @@
 use crate::time::Time;
 
 /// Takes it that a coordinator answers now, or that none does.
-pub fn set(t: &mut Tables, now: Time, answers: bool) {
+pub fn set_coordinated(t: &mut Tables, now: Time, answers: bool) {
     t.coordinated = answers;
     if !answers {
-        share::set_budgets(t, now);
+        budget::set_budgets(t, now);
     }
 }
 
@@ -31,7 +31,7 @@
 }
 
 /// Asks the coordinator for places for the requests that have come to be held.
-pub fn ask(t: &mut Tables, out: &mut Vec<Action>) {
+pub fn request_placements(t: &mut Tables, out: &mut Vec<Action>) {
     if !t.coordinated || t.requests.held() == 0 {
         return;
     }
@@ -49,7 +49,7 @@
 /// Sends a request to the engine on which the coordinator gave it a place.
 ///
 /// A place that comes twice is used once; one that cannot be used is given back.
-pub fn granted(t: &mut Tables, now: Time, grant: &Grant, out: &mut Vec<Action>) {
+pub fn apply_grant(t: &mut Tables, now: Time, grant: &Grant, out: &mut Vec<Action>) {
     let endpoint = t.endpoints.find_start(&grant.endpoint);
     let Some(row) = t.requests.get(grant.id) else {
         out.push(Action::Decline(grant.clone()));
@@ -110,7 +110,7 @@
 /// Gives a request up that the coordinator will not place in time.
 ///
 /// It stays held while a request of a lower tier is, which the coordinator may not know of.
-pub fn not_granted(
+pub fn apply_refusal(
     t: &mut Tables,
     now: Time,
     id: RequestId,
@@ -121,14 +121,14 @@
         return;
     };
     if t.requests
-        .holds_below(fair::rank_refused(t, row, verdict.reason))
+        .holds_below(fair_share::rank_refused(t, row, verdict.reason))
     {
         return;
     }
     let service = row.service;
     let outcome = row.outcome_unanswered();
-    end::count_shed(t, service);
-    end::answer(t, now, id, Verdict { outcome, ..verdict }, out);
+    lifecycle::count_shed(t, service);
+    lifecycle::answer(t, now, id, Verdict { outcome, ..verdict }, out);
 }
 
 /// Takes a request into a coordinator's tables that a member already runs.
@@ -143,9 +143,9 @@
     };
     let id = new.id;
     admit::insert(t, now, new, service, account, 0.0);
-    end::set_phase(t, id, Phase::Running(at), false);
+    lifecycle::set_phase(t, id, Phase::Running(at), false);
     t.endpoints.get_mut(at).running += 1;
-    fair::charge(t, now, id);
+    fair_share::charge(t, now, id);
     if let Some(row) = t.requests.get_mut(id) {
         row.dispatch = 1;
         row.runs = 1;
--- a/crates/firdock-policy/src/system/expire.rs
+++ b/crates/firdock-policy/src/system/expire.rs
@@ -2,7 +2,7 @@
 
 use firdock_core::{Reason, RequestId, TierRank};
 
-use super::{end, shed};
+use super::{lifecycle, shed};
 use crate::action::Action;
 use crate::request::{Phase, RequestRow};
 use crate::table::Tables;
@@ -47,7 +47,7 @@
                 dispatch: row.dispatch,
             });
         }
-        end::give_up(t, now, id, Reason::TimedOut, out);
+        lifecycle::give_up(t, now, id, Reason::TimedOut, out);
     }
 }
 
@@ -87,7 +87,7 @@
 ///
 /// A request of a higher tier stays held while one of a lower tier is, so that it is never shed
 /// before it.
-pub fn run(t: &mut Tables, now: Time, out: &mut Vec<Action>) {
+pub fn end_expired(t: &mut Tables, now: Time, out: &mut Vec<Action>) {
     let wait = |r: &RequestRow| t.services.get(r.service).tier.wait();
     let late = held_where(t, |r| r.arrived + wait(r) <= now);
     shed::lowest_first(t, now, late, waited, out);
--- a/crates/firdock-policy/src/system/handover.rs
+++ b/crates/firdock-policy/src/system/handover.rs
@@ -2,7 +2,7 @@
 
 use firdock_core::{Outcome, Reason, RequestId};
 
-use super::{end, key, limit, rollout, shed, suspect};
+use super::{key, lifecycle, limit, rollout, shed, suspect};
 use crate::action::{Action, HandOverCause};
 use crate::event::{HandOverEvent, HandOverRefusal, Member, PeerNews};
 use crate::request::{Passed, Phase, RequestRow, Verdict};
@@ -18,8 +18,8 @@
 const SILENT_PEER: std::time::Duration = std::time::Duration::from_mins(1);
 
 /// Takes a peer's heartbeat.
-pub fn peer_news(t: &mut Tables, now: Time, mut news: PeerNews, out: &mut Vec<Action>) {
-    suspect::hear(t, now, std::mem::take(&mut news.suspects), out);
+pub fn apply_heartbeat(t: &mut Tables, now: Time, mut news: PeerNews, out: &mut Vec<Action>) {
+    suspect::merge_reports(t, now, std::mem::take(&mut news.suspects), out);
     for name in &news.leaving {
         if let Some(at) = t.endpoints.find_start(name) {
             t.endpoints.get_mut(at).peer_leaving = Some(now + LEAVING_WORD);
@@ -30,16 +30,16 @@
     }
     let small = t.is_small_site();
     if small {
-        limit::take_peer(t, now, &news);
+        limit::apply_peer_use(t, now, &news);
     }
     let seen = std::mem::take(&mut news.seen);
-    rollout::hear_peer(t, &news.name, &news.zone, news.incarnation, seen);
+    rollout::merge_peer_evidence(t, &news.name, &news.zone, news.incarnation, seen);
     let at = t.peers.find_or_add(&news.name, || PeerRow::new(&news.name));
     t.peers.get_mut(at).update(now, news, small);
 }
 
 /// Takes it that the link to a peer broke: its news no longer counts.
-pub fn peer_lost(t: &mut Tables, name: &str) {
+pub fn mark_peer_lost(t: &mut Tables, name: &str) {
     if let Some(at) = t.peers.find(name) {
         t.peers.get_mut(at).heard = Time::ZERO;
         t.peers.get_mut(at).held.clear();
@@ -112,7 +112,7 @@
     cause: HandOverCause,
     out: &mut Vec<Action>,
 ) {
-    end::set_phase(t, id, Phase::HandedOver(at), false);
+    lifecycle::set_phase(t, id, Phase::HandedOver(at), false);
     let peer = t.peers.get_mut(at);
     peer.handed += 1;
     if let Some(row) = t.requests.get_mut(id) {
@@ -128,7 +128,7 @@
 }
 
 /// Takes news of a hand-over.
-pub fn news(t: &mut Tables, now: Time, event: &HandOverEvent, out: &mut Vec<Action>) {
+pub fn handle_event(t: &mut Tables, now: Time, event: &HandOverEvent, out: &mut Vec<Action>) {
     match event {
         HandOverEvent::Refused(refusal) => refused(t, now, refusal, out),
         HandOverEvent::Started(id) => {
@@ -141,7 +141,7 @@
         HandOverEvent::Ended(id) => ended(t, now, *id),
         HandOverEvent::Unknown(id, verdict) => {
             if handed_to(t, *id).is_some() {
-                end::answer(t, now, *id, *verdict, out);
+                lifecycle::answer(t, now, *id, *verdict, out);
             }
         }
         HandOverEvent::Broke(id) => broke(t, now, *id, out),
@@ -160,7 +160,7 @@
     let id = refusal.id;
     let Some(at) = handed_to(t, id) else { return };
     let peer = t.peers.get(at).name.clone();
-    end::set_phase(t, id, Phase::Held, true);
+    lifecycle::set_phase(t, id, Phase::Held, true);
     let Some(row) = t.requests.get_mut(id) else {
         return;
     };
@@ -189,14 +189,14 @@
     };
     if shed::is_load(verdict.outcome, verdict.reason) {
         let service = row.service;
-        end::count_shed(t, service);
+        lifecycle::count_shed(t, service);
     }
-    end::answer(t, now, id, verdict, out);
+    lifecycle::answer(t, now, id, verdict, out);
 }
 
 fn ended(t: &mut Tables, now: Time, id: RequestId) {
     if handed_to(t, id).is_some() {
-        end::answered(t, now, id);
+        lifecycle::answered(t, now, id);
     }
 }
 
@@ -214,7 +214,7 @@
         reason,
         retry_after: None,
     };
-    end::answer(t, now, id, verdict, out);
+    lifecycle::answer(t, now, id, verdict, out);
 }
 
 /// Ends hand-overs to peers that fell silent: a cut link may not show for many minutes.
--- a/crates/firdock-policy/src/system/paced.rs
+++ b/crates/firdock-policy/src/system/pace_reports.rs
@@ -15,7 +15,7 @@
 const MAX_FIGURE_AGE: Duration = Duration::from_millis(1_500);
 
 /// Takes the pace that a server told; one that is not known is passed over.
-pub fn take(t: &mut Tables, told: &PaceTold) {
+pub fn record(t: &mut Tables, told: &PaceTold) {
     let Some(at) = t.endpoints.find(&told.endpoint) else {
         return;
     };
@@ -31,7 +31,7 @@
 }
 
 /// Gives what is known of the pool of an endpoint whose figures are told and true.
-pub fn pool_of<'a>(t: &'a Tables, e: &EndpointRow) -> Option<&'a PoolPace> {
+pub fn trusted_pool_of<'a>(t: &'a Tables, e: &EndpointRow) -> Option<&'a PoolPace> {
     t.told.get(&e.declared.pool).filter(|_| e.told.is_true())
 }
 
@@ -48,7 +48,7 @@
         return;
     }
     if !e.is_engine() {
-        let secs = took.as_secs_f64() / cost::crowd_around(e);
+        let secs = took.as_secs_f64() / cost::contention_from_others(e);
         pool.learn_plain(secs, pace);
         return;
     }
@@ -72,6 +72,9 @@
         return;
     };
     if tokens > 0 {
-        pool.learn_token(secs / f64::from(tokens) / cost::crowd_around(e), pace);
+        pool.learn_token(
+            secs / f64::from(tokens) / cost::contention_from_others(e),
+            pace,
+        );
     }
 }
