--- a/crates/firdock-node/src/edge/parts.rs
+++ b/crates/firdock-node/src/edge/parts.rs
@@ -27,7 +27,9 @@
 use crate::http::{ServerOptions, serve};
 use crate::input::Input;
 use crate::instance::{ListenSnafu, StartError, UnsetSnafu, open};
-use crate::peer::{Beacons, Dialer, PeerBook, SelfNews, SharedReads, Taken, open_beacons};
+use crate::peer::{
+    AppliedRecords, BeaconService, Dialer, PeerDirectory, SelfNews, SharedReads, bind_beacon_socket,
+};
 use crate::placement::{DatagramLink, Membership, Placement};
 use crate::site::Site;
 use crate::source::{SourceSink, WantedRecords};
@@ -52,7 +54,7 @@
     pub door: DoorState,
     room: AnswerRoom,
     metrics: Arc<Metrics>,
-    peers: Arc<PeerBook>,
+    peers: Arc<PeerDirectory>,
     reads: Arc<SharedReads>,
     log: Logger,
     pub lines: Arc<LineBudget>,
@@ -117,7 +119,7 @@
             room,
             metrics,
             peers: Arc::new(
-                PeerBook::new(name, settings.instance.zone.clone())
+                PeerDirectory::new(name, settings.instance.zone.clone())
                     .with_power(settings.instance.power()),
             ),
             reads: Arc::new(SharedReads::default().with_peers_first(asks_first(settings))),
@@ -130,7 +132,7 @@
     pub fn sink(
         &self,
         inputs: &mpsc::Sender<Input>,
-        changes: mpsc::Sender<Taken>,
+        changes: mpsc::Sender<AppliedRecords>,
         records: watch::Receiver<WantedRecords>,
     ) -> SourceSink {
         SourceSink {
@@ -220,7 +222,7 @@
     pub async fn open_datagrams(&self) -> Result<Arc<UdpSocket>, StartError> {
         let field = "instance.peers";
         let address = self.settings.instance.peers.context(UnsetSnafu { field })?;
-        let socket = open_beacons(address)
+        let socket = bind_beacon_socket(address)
             .await
             .context(ListenSnafu { address })?;
         Ok(Arc::new(socket))
@@ -232,10 +234,10 @@
         socket: &Arc<UdpSocket>,
         inputs: &mpsc::Sender<Input>,
         news: watch::Receiver<SelfNews>,
-        changes: mpsc::Receiver<Taken>,
+        changes: mpsc::Receiver<AppliedRecords>,
         stop: watch::Receiver<bool>,
     ) {
-        let beacons = Beacons {
+        let beacons = BeaconService {
             socket: Arc::clone(socket),
             member: self.member.clone(),
             key: self.key(),
--- a/crates/firdock-node/src/peer.rs
+++ b/crates/firdock-node/src/peer.rs
@@ -20,20 +20,22 @@
 mod suspects;
 mod topic;
 
-pub use beacon::{Beacons, Taken, open_socket as open_beacons};
-pub use book::{Hearing, KnownPeer, PeerBook, PeerWord, Place, Power, Reader, Turn};
+pub use beacon::{AppliedRecords, BeaconService, bind_socket as bind_beacon_socket};
+pub use book::{HeartbeatOutcome, PeerDirectory, PeerInfo, PeerRecord, Place, Power, Reader, Turn};
 pub use datagram::{read_incarnation, seal};
 pub use dial::{DialError, Dialer};
 pub use hand_over::{Order, hand_over, read_reason};
 pub use heartbeat::{SelfNews, beat};
 pub use keys::transfer_keys;
-pub use known::{Answer, KnownState, Question, Teller};
+pub use known::{Answer, KnownState, PeerProcess, Question};
 pub use link::{Link, LinkError};
-pub use parts::{BadPart, Lacking, PART_BYTES, PartialAnswers, StateId, count_parts, part_of};
-pub use reads::{Due, Heard, ReadReason, Reads, SharedReads};
+pub use parts::{
+    InvalidPart, MissingParts, PART_BYTES, PartialAnswers, StateId, count_parts, part_of,
+};
+pub use reads::{DueReads, Heard, ReadReason, ReadState, SharedReads};
 pub use serve::{PeerServer, serve_peers};
 pub use state::ask_for_state;
-pub use topic::{Image, KeyedRecord, Topic, TopicRecords};
+pub use topic::{KeyedRecord, Topic, TopicRecords, TopicSnapshot};
 
 use std::time::Duration;
 
--- a/crates/firdock-node/src/peer/beacon.rs
+++ b/crates/firdock-node/src/peer/beacon.rs
@@ -33,7 +33,7 @@
 use self::due::PeersDue;
 use self::meet::Meeting;
 use self::usage::ToldUse;
-use super::book::{KnownPeer, PeerBook, Reader};
+use super::book::{PeerDirectory, PeerRecord, Reader};
 use super::datagram::{seal, write_address, write_reads, write_uses};
 use super::heartbeat::{SelfNews, write_demand, write_work};
 use super::known::records_body;
@@ -56,7 +56,7 @@
 
 /// Records that this instance took, for its peers.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Taken {
+pub struct AppliedRecords {
     /// The records.
     pub records: TopicRecords,
     /// Whether it read them itself; what a peer told is passed on by those that lead alone.
@@ -83,7 +83,7 @@
 
 /// What sending and taking beacons needs.
 #[derive(Debug)]
-pub struct Beacons {
+pub struct BeaconService {
     /// Socket for both.
     pub socket: Arc<UdpSocket>,
     /// This instance and this start of it.
@@ -91,13 +91,13 @@
     /// Key that all instances share.
     pub key: Arc<[u8]>,
     /// The other instances.
-    pub book: Arc<PeerBook>,
+    pub book: Arc<PeerDirectory>,
     /// What this instance read of the platform's store, with what peers told of theirs.
     pub reads: Arc<SharedReads>,
     /// What this instance tells of itself.
     pub news: watch::Receiver<SelfNews>,
     /// Changes in the platform's store that this instance took, for its peers.
-    pub changes: mpsc::Receiver<Taken>,
+    pub changes: mpsc::Receiver<AppliedRecords>,
     /// Instances that are asked first at the start.
     pub seeds: Vec<SocketAddr>,
     /// Counts of what all instances let pass of limits, where this one leads.
@@ -116,7 +116,7 @@
     pub log: Logger,
 }
 
-impl Beacons {
+impl BeaconService {
     /// Sends and takes beacons until `stop` turns true; a last one tells that this instance ends.
     pub async fn run(mut self, mut stop: watch::Receiver<bool>) {
         let mut ticks = interval(self.pause);
@@ -204,7 +204,7 @@
 
     /// Sends the beacons to instances far away that lead nothing, which need to know little of this one:
     /// the leads of their groups tell them the rest, and bytes between zones are paid for.
-    async fn send_far(&self, peers: &[KnownPeer]) {
+    async fn send_far(&self, peers: &[PeerRecord]) {
         if peers.is_empty() {
             return;
         }
@@ -247,7 +247,7 @@
     }
 
     /// Sends a beacon that tells of `heard` and of what was used; where nobody gets it, none is made.
-    async fn send_all(&self, peers: &[KnownPeer], heard: &[KnownPeer], used: &ToldUse) {
+    async fn send_all(&self, peers: &[PeerRecord], heard: &[PeerRecord], used: &ToldUse) {
         if peers.is_empty() {
             return;
         }
@@ -256,7 +256,7 @@
     }
 
     /// Sends a beacon to an instance that was not heard before: what it may have missed goes with it.
-    async fn send_first(&self, peer: &KnownPeer) {
+    async fn send_first(&self, peer: &PeerRecord) {
         let full = self.news.borrow().in_full();
         let beacon = Beacon {
             heartbeat: Some(full.message(self.clock.now(), 0)),
@@ -265,7 +265,7 @@
         self.send_sealed(std::slice::from_ref(peer), beacon).await;
     }
 
-    async fn send_sealed(&self, peers: &[KnownPeer], beacon: Beacon) {
+    async fn send_sealed(&self, peers: &[PeerRecord], beacon: Beacon) {
         let sealed = seal(&self.key, datagram::Body::Beacon(beacon));
         for peer in peers {
             self.send_to(&sealed, &peer.name, peer.address).await;
@@ -273,7 +273,7 @@
     }
 
     /// Tells changes in the platform's store to the peers that rely on this instance for them.
-    async fn tell_changes(&self, taken: &Taken) {
+    async fn tell_changes(&self, taken: &AppliedRecords) {
         let now = self.clock.now();
         if !taken.read_here && !self.book.leads(now) {
             return;
@@ -295,7 +295,7 @@
         }
     }
 
-    fn beacon(&self, peers: &[KnownPeer], used: &ToldUse) -> Beacon {
+    fn beacon(&self, peers: &[PeerRecord], used: &ToldUse) -> Beacon {
         let news = self.news.borrow();
         let now = self.clock.now();
         let lead = self.lead_word(now, &news);
@@ -413,6 +413,6 @@
 /// # Errors
 ///
 /// Returns the operating system's error, such as an address in use.
-pub async fn open_socket(address: SocketAddr) -> io::Result<UdpSocket> {
+pub async fn bind_socket(address: SocketAddr) -> io::Result<UdpSocket> {
     UdpSocket::bind(address).await
 }
--- a/crates/firdock-node/src/peer/beacon/answer.rs
+++ b/crates/firdock-node/src/peer/beacon/answer.rs
@@ -14,12 +14,12 @@
 use firdock_wire::message::PeerAddress;
 use slog::warn;
 
-use super::Beacons;
-use crate::peer::book::{KnownPeer, PeerBook};
+use super::BeaconService;
+use crate::peer::book::{PeerDirectory, PeerRecord};
 use crate::peer::datagram::{seal, write_address};
 use crate::peer::known::{KnownState, Question, ToldPart, answer_body, queued_body};
-use crate::peer::parts::{Lacking, StateId, count_parts, part_of};
-use crate::peer::reads::{Reads, SharedReads};
+use crate::peer::parts::{MissingParts, StateId, count_parts, part_of};
+use crate::peer::reads::{ReadState, SharedReads};
 
 /// Shortest pause between two answers: some 8 KB each are 3 ms of a link of 20 Mbit/s, to which they come
 /// spread over its queue.
@@ -63,7 +63,7 @@
     at: Time,
     id: StateId,
     /// When it was the newest.
-    reads: Reads,
+    reads: ReadState,
     state: Vec<u8>,
     /// Whether the topics are left out for their length.
     large: bool,
@@ -108,14 +108,14 @@
     /// Gives when the next answer is due; `None` while nobody waits or not all is known.
     ///
     /// Who is told of few instances takes more of the accounts' limits for its own than it may.
-    pub(super) fn next(&self, reads: &SharedReads, book: &PeerBook) -> Option<Time> {
+    pub(super) fn next(&self, reads: &SharedReads, book: &PeerDirectory) -> Option<Time> {
         let can_answer = reads.is_known() && book.was_listed();
         let due = can_answer && !self.waiting.is_empty();
         due.then_some(self.free_at)
     }
 
     /// Gives the state of which parts are asked for, if it is still kept.
-    fn kept(&self, lacking: Option<&Lacking>) -> Option<usize> {
+    fn kept(&self, lacking: Option<&MissingParts>) -> Option<usize> {
         let id = lacking?.state;
         self.made.iter().position(|m| m.id == id)
     }
@@ -129,7 +129,7 @@
     }
 }
 
-impl Beacons {
+impl BeaconService {
     /// Answers the peer that has waited longest, by one part of the answer where it goes in several.
     pub(super) async fn answer_next(&self, answers: &mut Answers) {
         let Some(Waiting { from, mut question }) = answers.waiting.pop_front() else {
@@ -171,7 +171,7 @@
         let asked = question.asked;
         if !lacking.is_empty() {
             // The rest goes before others' answers: half of an answer is of no use.
-            question.lacking = Some(Lacking {
+            question.lacking = Some(MissingParts {
                 state: made.id,
                 parts: lacking,
             });
@@ -272,7 +272,7 @@
         self.book.sweep(now);
         let mut known = self.book.told_to(zone);
         if let Ok(address) = self.socket.local_addr() {
-            known.push(KnownPeer {
+            known.push(PeerRecord {
                 name: self.member.name.clone(),
                 address,
                 zone: self.book.zone().to_owned(),
--- a/crates/firdock-node/src/peer/beacon/due.rs
+++ b/crates/firdock-node/src/peer/beacon/due.rs
@@ -7,7 +7,7 @@
 use firdock_policy::Time;
 
 use crate::peer::book::Place;
-use crate::peer::{KnownPeer, PeerBook};
+use crate::peer::{PeerDirectory, PeerRecord};
 
 /// Near peers that get a beacon at each tick; with more of them, each gets one at every few ticks.
 const NEAR_PEERS_A_TICK: usize = 16;
@@ -24,17 +24,17 @@
 #[derive(Debug, Default)]
 pub struct PeersDue {
     /// Those of the own group.
-    pub near: Vec<KnownPeer>,
+    pub near: Vec<PeerRecord>,
     /// The leads of other groups, where this instance leads its own.
-    pub leads: Vec<KnownPeer>,
+    pub leads: Vec<PeerRecord>,
     /// All others.
-    pub far: Vec<KnownPeer>,
+    pub far: Vec<PeerRecord>,
 }
 
 impl PeersDue {
     /// Gives the peers that get a beacon at a tick: of many, every few ticks a part of them; the
     /// leads of groups get one at each.
-    pub fn at(tick: usize, book: &PeerBook, now: Time) -> Self {
+    pub fn at(tick: usize, book: &PeerDirectory, now: Time) -> Self {
         let known = book.count(now);
         let leads = book.leads_of_all(now);
         let i_lead = book.tells(now);
@@ -66,7 +66,7 @@
     /// All of them would be some 300 times 300 datagrams where all instances start at one moment, each
     /// answered: seconds of work for an instance with an eighth of a core. The others hear within
     /// the first ticks, or by the leads.
-    pub fn at_once(book: &PeerBook, now: Time) -> Self {
+    pub fn at_once(book: &PeerDirectory, now: Time) -> Self {
         let mut leads = book.leads_of_all(now);
         leads.extend(book.likely_leads());
         let mut due = Self::default();
--- a/crates/firdock-node/src/peer/beacon/meet.rs
+++ b/crates/firdock-node/src/peer/beacon/meet.rs
@@ -9,8 +9,8 @@
 use firdock_core::rendezvous;
 use firdock_policy::Time;
 
-use super::Beacons;
-use crate::peer::book::PeerBook;
+use super::BeaconService;
+use crate::peer::book::PeerDirectory;
 use crate::peer::datagram::seal;
 use crate::peer::known::Question;
 use crate::peer::reads::SharedReads;
@@ -83,7 +83,12 @@
     }
 
     /// Gives when the next one is to be asked; `None` if no more are.
-    pub(super) fn next(&mut self, now: Time, reads: &SharedReads, book: &PeerBook) -> Option<Time> {
+    pub(super) fn next(
+        &mut self,
+        now: Time,
+        reads: &SharedReads,
+        book: &PeerDirectory,
+    ) -> Option<Time> {
         if self.seeds.is_empty() {
             return None;
         }
@@ -106,7 +111,7 @@
 
     /// Gives whom to ask now: one that is above in the own zone, for what is long; who has nobody above,
     /// or nobody that answers, asks those that the platform names.
-    fn take_next(&mut self, now: Time, reads: &SharedReads, book: &PeerBook) -> Next {
+    fn take_next(&mut self, now: Time, reads: &SharedReads, book: &PeerDirectory) -> Next {
         let again = self.again_at.is_some_and(|at| at <= now);
         if again {
             self.again_at = None;
@@ -134,7 +139,7 @@
     }
 }
 
-impl Beacons {
+impl BeaconService {
     /// Asks the next of those that are likely to be up.
     pub(super) async fn ask_seed(&self, meeting: &mut Meeting) {
         let now = self.clock.now();
--- a/crates/firdock-node/src/peer/beacon/take.rs
+++ b/crates/firdock-node/src/peer/beacon/take.rs
@@ -11,19 +11,19 @@
 };
 use slog::warn;
 
-use super::{Beacons, MAX_TOLD};
+use super::{BeaconService, MAX_TOLD};
 use crate::clock::millis;
 use crate::input::Input;
-use crate::peer::book::{Hearing, KnownPeer, PeerWord};
+use crate::peer::book::{HeartbeatOutcome, PeerInfo, PeerRecord};
 use crate::peer::datagram::{open, read_incarnation, read_reads, read_uses, seal};
 use crate::peer::heartbeat::{peer_news, read_demand, read_work};
-use crate::peer::known::{Answer, Question, Teller, read_records};
-use crate::peer::parts::BadPart;
-use crate::peer::reads::Reads;
+use crate::peer::known::{Answer, PeerProcess, Question, read_records};
+use crate::peer::parts::InvalidPart;
+use crate::peer::reads::ReadState;
 use crate::peer::rollouts::{read_seen, read_words};
 use crate::placement::{PlacementInput, read_reply, read_report};
 
-impl Beacons {
+impl BeaconService {
     /// Takes a datagram; one that is not sealed with the shared key is dropped. Gives a question that
     /// is to be answered.
     pub(super) async fn take(&self, sealed: &[u8], from: SocketAddr) -> Option<Question> {
@@ -67,7 +67,7 @@
         match whole {
             Ok(Some(Some(answer))) => self.take_answer(answer),
             Ok(None) => {}
-            Ok(Some(None)) | Err(BadPart) => self.drop_malformed("an answer", from),
+            Ok(Some(None)) | Err(InvalidPart) => self.drop_malformed("an answer", from),
         }
     }
 
@@ -99,7 +99,7 @@
                 warn!(self.log, "address of an instance not taken"; "instance" => peer.instance);
                 continue;
             };
-            let known = KnownPeer {
+            let known = PeerRecord {
                 name: peer.instance,
                 address,
                 zone: peer.zone,
@@ -132,9 +132,9 @@
         }
         let now = self.clock.now();
         let hearing = self.note(&beacon, from, now);
-        if hearing == Some(Hearing::First) {
+        if hearing == Some(HeartbeatOutcome::First) {
             // It may not know of this one, and its turn among many would come late.
-            let known = KnownPeer {
+            let known = PeerRecord {
                 name: beacon.instance.clone(),
                 address: from,
                 zone: String::new(),
@@ -178,7 +178,7 @@
                 self.sums().hear_group(now, &news.zone, &counts);
             }
         }
-        if hearing != Some(Hearing::NotKept) {
+        if hearing != Some(HeartbeatOutcome::NotKept) {
             self.tell(Event::Peer(news)).await;
         }
     }
@@ -231,9 +231,9 @@
 
     /// Takes what a peer read; it is asked for what it has newer, and for its clock where its word
     /// counts.
-    async fn take_reads(&self, news: &PeerNews, told: Reads, from: SocketAddr) {
+    async fn take_reads(&self, news: &PeerNews, told: ReadState, from: SocketAddr) {
         let now = self.clock.now();
-        let teller = Teller {
+        let teller = PeerProcess {
             name: news.name.clone(),
             incarnation: news.incarnation,
         };
@@ -273,13 +273,13 @@
 
     /// Notes the sender and the instances that it tells of; gives what follows for the sender, unless it
     /// stops.
-    fn note(&self, beacon: &Beacon, from: SocketAddr, now: Time) -> Option<Hearing> {
+    fn note(&self, beacon: &Beacon, from: SocketAddr, now: Time) -> Option<HeartbeatOutcome> {
         let heartbeat = beacon.heartbeat.as_ref();
         let hearing = if heartbeat.is_some_and(|b| b.draining) {
             self.book.forget(&beacon.instance, now);
             None
         } else {
-            let word = PeerWord {
+            let word = PeerInfo {
                 name: &beacon.instance,
                 zone: heartbeat.map_or("", |b| &b.zone),
                 power: beacon.power,
--- a/crates/firdock-node/src/peer/beacon/usage.rs
+++ b/crates/firdock-node/src/peer/beacon/usage.rs
@@ -8,7 +8,7 @@
 use firdock_wire::message::Beacon;
 use uuid::Uuid;
 
-use super::{Beacons, TELL_EVERY};
+use super::{BeaconService, TELL_EVERY};
 use crate::peer::datagram::write_uses;
 
 /// What a beacon tells of the use of limits.
@@ -37,7 +37,7 @@
     }
 }
 
-impl Beacons {
+impl BeaconService {
     /// Counts what instances let pass of limits, where this one leads; gives what is told of that to its
     /// group and to other leads.
     ///
--- a/crates/firdock-node/src/peer/book.rs
+++ b/crates/firdock-node/src/peer/book.rs
@@ -26,7 +26,7 @@
 
 /// Where another instance takes heartbeats.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct KnownPeer {
+pub struct PeerRecord {
     /// Name.
     pub name: InstanceId,
     /// Address.
@@ -39,7 +39,7 @@
 
 /// What follows from a heartbeat for what is known of its sender.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Hearing {
+pub enum HeartbeatOutcome {
     /// It was not heard before.
     First,
     /// It was.
@@ -50,7 +50,7 @@
 
 /// What an instance tells of itself in each heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct PeerWord<'a> {
+pub struct PeerInfo<'a> {
     /// Name.
     pub name: &'a str,
     /// Availability zone.
@@ -92,7 +92,7 @@
 
 /// The other instances.
 #[derive(Debug)]
-pub struct PeerBook {
+pub struct PeerDirectory {
     me: InstanceId,
     zone: ZoneId,
     power: Power,
@@ -109,7 +109,7 @@
     departed: Mutex<BTreeMap<InstanceId, Time>>,
 }
 
-impl PeerBook {
+impl PeerDirectory {
     /// Makes a book for the instance `me` in `zone`.
     #[must_use]
     pub fn new(me: InstanceId, zone: ZoneId) -> Self {
@@ -147,7 +147,7 @@
     }
 
     /// Notes that someone told of an instance, if it is to be known here.
-    pub fn know(&self, peer: KnownPeer, now: Time) {
+    pub fn know(&self, peer: PeerRecord, now: Time) {
         let kept = self.keeps(&self.lock(), &peer.name, &peer.zone, peer.power);
         if kept || peer.name == self.me {
             self.know_listed(peer, now);
@@ -156,7 +156,7 @@
 
     /// Notes that the list of instances has one: who read it tells others of all for a while, though it
     /// need not know them itself.
-    pub fn know_listed(&self, peer: KnownPeer, now: Time) {
+    pub fn know_listed(&self, peer: PeerRecord, now: Time) {
         if self.departed().contains_key(&peer.name) {
             return;
         }
@@ -216,23 +216,28 @@
     }
 
     /// Notes that an instance was heard.
-    pub fn hear(&self, word: PeerWord<'_>, address: SocketAddr, now: Time) -> Hearing {
+    pub fn hear(&self, word: PeerInfo<'_>, address: SocketAddr, now: Time) -> HeartbeatOutcome {
         let kept = self.keeps(&self.lock(), word.name, word.zone, word.power);
         if kept {
             self.hear_lead(word, address, now)
         } else {
             self.lock().remove(word.name);
-            Hearing::NotKept
+            HeartbeatOutcome::NotKept
         }
     }
 
     /// Notes that an instance was heard that tells for its group: it is kept whatever stands before it,
     /// for that has fallen.
-    pub fn hear_lead(&self, word: PeerWord<'_>, address: SocketAddr, now: Time) -> Hearing {
+    pub fn hear_lead(
+        &self,
+        word: PeerInfo<'_>,
+        address: SocketAddr,
+        now: Time,
+    ) -> HeartbeatOutcome {
         let mut entries = self.lock();
         let known = entries.contains_key(word.name) || entries.len() < MAX_PEERS;
         if word.name == self.me || !known {
-            return Hearing::NotKept;
+            return HeartbeatOutcome::NotKept;
         }
         let entry = Entry {
             address,
@@ -244,8 +249,8 @@
         };
         let before = entries.insert(word.name.to_owned(), entry);
         match before {
-            Some(before) if before.heard => Hearing::Again,
-            _ => Hearing::First,
+            Some(before) if before.heard => HeartbeatOutcome::Again,
+            _ => HeartbeatOutcome::First,
         }
     }
 
@@ -283,14 +288,14 @@
 
     /// Gives all instances, by name.
     #[must_use]
-    pub fn known(&self) -> Vec<KnownPeer> {
+    pub fn known(&self) -> Vec<PeerRecord> {
         let entries = self.lock();
         entries.iter().map(known_peer).collect()
     }
 
     /// Gives the instances that were heard a short while ago, by name.
     #[must_use]
-    pub fn heard(&self, now: Time) -> Vec<KnownPeer> {
+    pub fn heard(&self, now: Time) -> Vec<PeerRecord> {
         let entries = self.lock();
         let heard = entries.iter().filter(|(_, e)| e.is_heard(now));
         heard.map(known_peer).collect()
@@ -305,8 +310,8 @@
     }
 }
 
-fn known_peer((name, entry): (&InstanceId, &Entry)) -> KnownPeer {
-    KnownPeer {
+fn known_peer((name, entry): (&InstanceId, &Entry)) -> PeerRecord {
+    PeerRecord {
         name: name.clone(),
         address: entry.address,
         zone: entry.zone.clone(),
--- a/crates/firdock-node/src/peer/book/fleet.rs
+++ b/crates/firdock-node/src/peer/book/fleet.rs
@@ -8,7 +8,7 @@
 use firdock_policy::Time;
 
 use super::group::{standing_of, strongest_of_zones};
-use super::{Entries, Entry, FORGET_AFTER, KnownPeer, PeerBook, Power, known_peer};
+use super::{Entries, Entry, FORGET_AFTER, PeerDirectory, PeerRecord, Power, known_peer};
 
 /// Instances up to which each knows all others. Of more, it knows its own group and the strongest of each
 /// other one, which tell for theirs: what it keeps and tells grows with its group alone.
@@ -22,7 +22,7 @@
 /// How many instances there are, as was told, and when.
 pub(super) type ToldKnown = Option<(Time, usize)>;
 
-impl PeerBook {
+impl PeerDirectory {
     /// Notes how many instances there are, as the list of them or a lead tells, this one among them.
     pub fn note_known(&self, count: usize, now: Time) {
         *self.told_known() = Some((now, count));
@@ -116,7 +116,7 @@
     /// Gives the instances that are told to one of `zone`: all that are known, or of many those of its
     /// zone and the strongest of the others.
     #[must_use]
-    pub fn told_to(&self, zone: &str) -> Vec<KnownPeer> {
+    pub fn told_to(&self, zone: &str) -> Vec<PeerRecord> {
         let entries = self.lock();
         let all = zone.is_empty() || !self.are_many(entries.len());
         let strongest = strongest_of_zones(entries.iter(), STRONGEST);
--- a/crates/firdock-node/src/peer/book/group.rs
+++ b/crates/firdock-node/src/peer/book/group.rs
@@ -15,7 +15,7 @@
 use firdock_policy::event::PoolDemand;
 use firdock_policy::table::SMALL_SITE;
 
-use super::{Entries, Entry, KnownPeer, PeerBook, Power, known_peer};
+use super::{Entries, Entry, PeerDirectory, PeerRecord, Power, known_peer};
 
 /// Silence after which an instance neither leads a group nor counts in it: six heartbeats of the
 /// deployments' 200 ms (`deploy/settings.toml`).
@@ -109,7 +109,7 @@
     entries.iter().filter(move |(_, e)| e.is_present(now))
 }
 
-impl PeerBook {
+impl PeerDirectory {
     /// Gives the demand of this one's group by pool, with `own` as this instance's.
     #[must_use]
     pub fn group_demand(&self, now: Time, own: &[PoolDemand]) -> Vec<PoolDemand> {
@@ -224,7 +224,7 @@
         &self,
         now: Time,
         open: impl Fn(&str) -> bool,
-    ) -> Option<(KnownPeer, bool)> {
+    ) -> Option<(PeerRecord, bool)> {
         let entries = self.lock();
         let few = self.are_few(&entries);
         let group =
@@ -237,7 +237,7 @@
     /// Gives whom this instance asks at its start for what is long, nearest first: those above it in the
     /// tree that the instances of its zone make by their standing. Nobody is above the first one.
     #[must_use]
-    pub fn ancestors(&self) -> Vec<KnownPeer> {
+    pub fn ancestors(&self) -> Vec<PeerRecord> {
         let entries = self.lock();
         let zone = entries.iter().filter(|(_, e)| e.zone == self.zone);
         let mut before: Vec<_> = zone.filter(|p| standing(p) < self.standing()).collect();
@@ -275,7 +275,7 @@
         &self,
         leads: &BTreeSet<InstanceId>,
         wanted: impl Fn(Place) -> bool,
-    ) -> Vec<(KnownPeer, Place)> {
+    ) -> Vec<(PeerRecord, Place)> {
         let entries = self.lock();
         let few = self.are_few(&entries);
         let placed = entries.iter().enumerate().map(|(at, peer)| {
--- a/crates/firdock-node/src/peer/datagram.rs
+++ b/crates/firdock-node/src/peer/datagram.rs
@@ -9,8 +9,8 @@
 use prost::Message as _;
 use uuid::Uuid;
 
-use super::book::KnownPeer;
-use super::reads::Reads;
+use super::book::PeerRecord;
+use super::reads::ReadState;
 use crate::clock::millis;
 
 /// Writes a datagram and seals it.
@@ -33,7 +33,7 @@
 }
 
 /// Writes where an instance takes heartbeats.
-pub fn write_address(peer: &KnownPeer) -> PeerAddress {
+pub fn write_address(peer: &PeerRecord) -> PeerAddress {
     PeerAddress {
         instance: peer.name.clone(),
         address: peer.address.to_string(),
@@ -43,7 +43,7 @@
 }
 
 /// Writes what an instance knows to be the newest in the platform's store.
-pub fn write_reads(reads: Reads) -> message::Reads {
+pub fn write_reads(reads: ReadState) -> message::Reads {
     message::Reads {
         version: reads.version,
         config_next: reads.config_next,
@@ -55,8 +55,8 @@
 }
 
 /// Reads what a peer knows to be the newest, with times by the peer's clock.
-pub fn read_reads(reads: message::Reads) -> Reads {
-    Reads {
+pub fn read_reads(reads: message::Reads) -> ReadState {
+    ReadState {
         version: reads.version,
         config_next: reads.config_next,
         endpoints_next: reads.endpoints_next,
--- a/crates/firdock-node/src/peer/known.rs
+++ b/crates/firdock-node/src/peer/known.rs
@@ -17,9 +17,9 @@
 use uuid::Uuid;
 
 use super::datagram::{read_incarnation, read_reads, write_reads};
-use super::parts::{Lacking, StateId};
-use super::reads::Reads;
-use super::topic::{Image, Topic, TopicRecords, read_record, write_record};
+use super::parts::{MissingParts, StateId};
+use super::reads::ReadState;
+use super::topic::{Topic, TopicRecords, TopicSnapshot, read_record, write_record};
 use crate::clock::millis;
 
 /// Bytes of deflated changes beyond which they are not told: a datagram holds no more.
@@ -29,7 +29,7 @@
 
 /// A peer's word: who told it, and by which start of its process.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Teller {
+pub struct PeerProcess {
     /// Instance.
     pub name: String,
     /// Start of it, which its clock belongs to.
@@ -48,7 +48,7 @@
     /// Whether the topics are asked for however long they are.
     pub whole: bool,
     /// Parts of an earlier answer that did not come; `None` where all is asked for.
-    pub lacking: Option<Lacking>,
+    pub lacking: Option<MissingParts>,
     /// Availability zone of who asks.
     pub zone: ZoneId,
 }
@@ -74,7 +74,7 @@
             topics: !told.topics.is_empty(),
             instances: told.instances,
             whole: told.whole,
-            lacking: (!told.lacking.is_empty()).then(|| Lacking {
+            lacking: (!told.lacking.is_empty()).then(|| MissingParts {
                 state: told.state_id,
                 parts: told.lacking.clone(),
             }),
@@ -87,7 +87,7 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct KnownState {
     /// Topics, each whole.
-    pub topics: Vec<(Topic, Image)>,
+    pub topics: Vec<(Topic, TopicSnapshot)>,
     /// Instances.
     pub instances: Vec<PeerAddress>,
 }
@@ -95,7 +95,7 @@
 impl KnownState {
     /// Deflates it.
     pub(super) fn deflate(self) -> Option<Vec<u8>> {
-        let image = |(topic, image): (Topic, Image)| message::TopicImage {
+        let image = |(topic, image): (Topic, TopicSnapshot)| message::TopicImage {
             topic: topic.write().into(),
             next: image.next(),
             entries: image.records().map(write_record).collect(),
@@ -111,13 +111,13 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Answer {
     /// Who told it.
-    pub teller: Teller,
+    pub teller: PeerProcess,
     /// When this instance had asked, by its own clock.
     pub asked: Time,
     /// The peer's clock when it answered.
     pub clock: Time,
     /// When what it knows was the newest.
-    pub reads: Reads,
+    pub reads: ReadState,
     /// Topics, each whole.
     pub topics: Vec<TopicRecords>,
     /// Instances.
@@ -148,7 +148,7 @@
             })
         };
         Some(Self {
-            teller: Teller {
+            teller: PeerProcess {
                 name: told.instance,
                 incarnation: read_incarnation(&told.incarnation),
             },
@@ -167,7 +167,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct ToldPart {
     /// When what is told was the newest.
-    pub reads: Reads,
+    pub reads: ReadState,
     /// Number of the state, of the part, and of all parts.
     pub state: StateId,
     pub part: u32,
@@ -230,7 +230,7 @@
 }
 
 /// Reads a peer's word of changes, with times by its clock; `None` for a malformed one.
-pub(super) fn read_records(told: message::TopicRecords) -> Option<(Teller, TopicRecords)> {
+pub(super) fn read_records(told: message::TopicRecords) -> Option<(PeerProcess, TopicRecords)> {
     let entries: message::Entries = inflate(&told.entries)?;
     let records = TopicRecords {
         topic: Topic::read(told.topic)?,
@@ -239,7 +239,7 @@
         read_at: Duration::from_millis(told.read_at),
         records: entries.entries.into_iter().map(read_record).collect(),
     };
-    let teller = Teller {
+    let teller = PeerProcess {
         name: told.instance,
         incarnation: read_incarnation(&told.incarnation),
     };
--- a/crates/firdock-node/src/peer/parts.rs
+++ b/crates/firdock-node/src/peer/parts.rs
@@ -24,7 +24,7 @@
 
 /// What lacks of an answer.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Lacking {
+pub struct MissingParts {
     /// The state that the answer tells.
     pub state: StateId,
     /// Its parts that did not come, by their numbers.
@@ -80,7 +80,7 @@
 
 /// Why a part is not taken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct BadPart;
+pub struct InvalidPart;
 
 /// The answers of which parts came, by who tells them.
 #[derive(Debug, Default)]
@@ -101,12 +101,12 @@
         now: Time,
         from: SocketAddr,
         told: StateAnswer,
-    ) -> Result<Option<StateAnswer>, BadPart> {
+    ) -> Result<Option<StateAnswer>, InvalidPart> {
         if told.parts <= 1 {
             return Ok(Some(told));
         }
         if told.parts as usize > MAX_PARTS || told.part >= told.parts {
-            return Err(BadPart);
+            return Err(InvalidPart);
         }
         self.by_teller
             .retain(|_, partial| partial.heard + GIVE_UP_AFTER > now);
@@ -130,11 +130,11 @@
 
     /// Gives what lacks of the answer of one that is to be asked again; `None` where nothing came of it.
     #[must_use]
-    pub fn lacking(&self, from: SocketAddr) -> Option<Lacking> {
+    pub fn lacking(&self, from: SocketAddr) -> Option<MissingParts> {
         let partial = self.by_teller.get(&from)?;
         let lacks = partial.parts.iter().enumerate();
         let lacks = lacks.filter(|(_, part)| part.is_none());
-        Some(Lacking {
+        Some(MissingParts {
             state: partial.state,
             parts: lacks.map(|(at, _)| at as u32).collect(),
         })
--- a/crates/firdock-node/src/peer/reads.rs
+++ b/crates/firdock-node/src/peer/reads.rs
@@ -21,11 +21,11 @@
 use tokio::time::sleep;
 use uuid::Uuid;
 
-pub use self::due::{Due, ReadReason};
+pub use self::due::{DueReads, ReadReason};
 use self::state::Inner;
 use super::book::Turn;
-use super::known::{Answer, Teller};
-use super::topic::{Image, Topic, TopicRecords};
+use super::known::{Answer, PeerProcess};
+use super::topic::{Topic, TopicRecords, TopicSnapshot};
 use crate::clock::Clock;
 
 /// Age of what is known beyond which every peer's word counts, and not that of leads alone: a read
@@ -36,7 +36,7 @@
 
 /// What an instance knows to be the newest.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Reads {
+pub struct ReadState {
     /// Version of the configuration.
     pub version: Version,
     /// Offset after the last record of the configuration's topic: not every record there is a new
@@ -122,7 +122,7 @@
 
     /// Notes what this instance read; times never go back, and a time of zero stands for what was not
     /// read.
-    pub fn note(&self, now: Time, reads: Reads) {
+    pub fn note(&self, now: Time, reads: ReadState) {
         let mut inner = self.lock();
         inner.read_at = now;
         inner.failed_at = None;
@@ -132,7 +132,7 @@
     }
 
     /// Notes what this instance took from its peers' words, likewise.
-    pub fn note_told(&self, reads: Reads) {
+    pub fn note_told(&self, reads: ReadState) {
         self.lock().take(reads);
         self.known.notify_one();
     }
@@ -172,14 +172,14 @@
 
     /// Gives the topics as they stand in the store, for a peer that asks.
     #[must_use]
-    pub fn images(&self) -> Vec<(Topic, Image)> {
+    pub fn images(&self) -> Vec<(Topic, TopicSnapshot)> {
         let mut inner = self.lock();
         let image = |topic| inner.images.of(topic).clone().map(|image| (topic, image));
         Topic::ALL.into_iter().filter_map(image).collect()
     }
 
     /// Takes changes that a peer read, whose times are by its own clock, unless that is not known.
-    pub fn hear_changes(&self, teller: &Teller, changes: TopicRecords) {
+    pub fn hear_changes(&self, teller: &PeerProcess, changes: TopicRecords) {
         let inner = self.lock();
         let Some(bound) = inner.clocks.get(&teller.name, teller.incarnation) else {
             return;
@@ -190,7 +190,7 @@
 
     /// Takes a peer's answer to a question.
     pub fn hear_answer(&self, answer: Answer) {
-        let Teller { name, incarnation } = &answer.teller;
+        let PeerProcess { name, incarnation } = &answer.teller;
         self.take_clock(name, *incarnation, answer.asked, answer.clock);
         let inner = self.lock();
         let Some(bound) = inner.clocks.get(name, *incarnation) else {
@@ -240,13 +240,13 @@
 
     /// Gives what this instance knows.
     #[must_use]
-    pub fn own(&self) -> Reads {
+    pub fn own(&self) -> ReadState {
         self.lock().own
     }
 
     /// Takes a peer's word, whose times are by its own clock.
     #[must_use]
-    pub fn hear(&self, now: Time, teller: &Teller, told: Reads) -> Heard {
+    pub fn hear(&self, now: Time, teller: &PeerProcess, told: ReadState) -> Heard {
         let mut inner = self.lock();
         let ask_state = inner.hear_news(now, told);
         let Some(bound) = inner.clocks.get(&teller.name, teller.incarnation) else {
@@ -257,7 +257,7 @@
                 ask_state,
             };
         };
-        let told = Reads {
+        let told = ReadState {
             config_at: bound.place(told.config_at),
             endpoints_at: bound.place(told.endpoints_at),
             steady_since: bound.place(told.steady_since),
@@ -279,14 +279,14 @@
 
     /// Gives what is due now, and when to look again if nothing is and no peer tells anything.
     #[must_use]
-    pub fn due_at(&self, now: Time, pause: Duration, turn: Turn) -> (Due, Time) {
+    pub fn due_at(&self, now: Time, pause: Duration, turn: Turn) -> (DueReads, Time) {
         self.lock().due(now, pause, turn)
     }
 
     /// Waits until this instance has to read, or a peer told something; tells what.
     ///
     /// `turn` gives this instance's part in the reading.
-    pub async fn due(&self, clock: Clock, pause: Duration, turn: impl Fn() -> Turn) -> Due {
+    pub async fn due(&self, clock: Clock, pause: Duration, turn: impl Fn() -> Turn) -> DueReads {
         loop {
             let now = clock.now();
             let (due, next) = self.due_at(now, pause, turn());
--- a/crates/firdock-node/src/peer/reads/due.rs
+++ b/crates/firdock-node/src/peer/reads/due.rs
@@ -71,7 +71,7 @@
 
 /// What an instance has to read, and why.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Due {
+pub struct DueReads {
     /// The configuration.
     pub config: Option<ReadReason>,
     /// The list of endpoints.
@@ -80,7 +80,7 @@
     pub told: bool,
 }
 
-impl Due {
+impl DueReads {
     /// Only what a peer told.
     pub const TOLD: Self = Self {
         config: None,
--- a/crates/firdock-node/src/peer/reads/state.rs
+++ b/crates/firdock-node/src/peer/reads/state.rs
@@ -4,11 +4,11 @@
 
 use firdock_policy::Time;
 
-use super::Reads;
+use super::ReadState;
 use super::clocks::PeerClocks;
-use super::due::{Due, LastRead, QUEUE_PATIENCE, TopicAge, start_by};
+use super::due::{DueReads, LastRead, QUEUE_PATIENCE, TopicAge, start_by};
 use crate::peer::book::Turn;
-use crate::peer::topic::{Image, Topic, TopicRecords};
+use crate::peer::topic::{Topic, TopicRecords, TopicSnapshot};
 
 /// Time in which no instance read the list of endpoints that counts as an outage of it: longer
 /// than an instance waits for its peers' words, shorter than entries live without being renewed.
@@ -19,12 +19,12 @@
 /// What is known of the topics, as it stands in the store.
 #[derive(Debug, Default)]
 pub(super) struct Images {
-    config: Option<Image>,
-    endpoints: Option<Image>,
+    config: Option<TopicSnapshot>,
+    endpoints: Option<TopicSnapshot>,
 }
 
 impl Images {
-    pub(super) fn of(&mut self, topic: Topic) -> &mut Option<Image> {
+    pub(super) fn of(&mut self, topic: Topic) -> &mut Option<TopicSnapshot> {
         match topic {
             Topic::Config => &mut self.config,
             Topic::Endpoints => &mut self.endpoints,
@@ -35,7 +35,7 @@
 /// What an instance knows, and what follows from it.
 #[derive(Debug, Default)]
 pub(super) struct Inner {
-    pub(super) own: Reads,
+    pub(super) own: ReadState,
     pub(super) read_at: Time,
     /// When the last read failed, if it did, and until when nothing is read again.
     pub(super) failed_at: Option<Time>,
@@ -72,7 +72,7 @@
     ///
     /// An instance that was cut off alone saw no read for as long, while the list was read by others
     /// and endpoints renewed their entries. What differs by less than an outage is the clocks' doing.
-    pub(super) fn hear_steady(&mut self, told: Reads) {
+    pub(super) fn hear_steady(&mut self, told: ReadState) {
         let own = self.own.steady_since;
         let known = told.steady_since > Time::ZERO;
         let spans = known && told.steady_since + OUTAGE < own && own <= told.endpoints_at + OUTAGE;
@@ -82,20 +82,20 @@
     }
 
     /// Gives what is due now, and when to look again if nothing is.
-    pub(super) fn due(&mut self, now: Time, pause: Duration, turn: Turn) -> (Due, Time) {
+    pub(super) fn due(&mut self, now: Time, pause: Duration, turn: Turn) -> (DueReads, Time) {
         if !self.told.is_empty() {
-            return (Due::TOLD, now);
+            return (DueReads::TOLD, now);
         }
         if now < self.held_until {
-            return (Due::default(), self.held_until);
+            return (DueReads::default(), self.held_until);
         }
         let started = *self.started.get_or_insert(now);
         if self.own.config_at == Time::ZERO {
             let by = self.start_by(started);
             let due = if by <= now {
-                Due::START
+                DueReads::START
             } else {
-                Due::default()
+                DueReads::default()
             };
             return (due, by);
         }
@@ -105,7 +105,7 @@
         };
         let (config_by, config) = self.config_age().next_read(pause, turn, last);
         let (endpoints_by, endpoints) = self.endpoints_age().next_read(pause, turn, last);
-        let due = Due {
+        let due = DueReads {
             config: (config_by <= now).then_some(config),
             endpoints: (endpoints_by <= now).then_some(endpoints),
             told: false,
@@ -139,7 +139,7 @@
     }
 
     /// Notes what a peer has newer; tells whether it is to be asked for that now.
-    pub(super) fn hear_news(&mut self, now: Time, told: Reads) -> bool {
+    pub(super) fn hear_news(&mut self, now: Time, told: ReadState) -> bool {
         let config = told.version > self.own.version || told.config_next > self.own.config_next;
         let endpoints = told.endpoints_next > self.own.endpoints_next;
         if config {
@@ -158,7 +158,7 @@
 
     /// Takes over when a peer found what is known here to be the newest; gives that time for the
     /// configuration, if it is later than what was known.
-    pub(super) fn confirm(&mut self, told: Reads) -> Option<Time> {
+    pub(super) fn confirm(&mut self, told: ReadState) -> Option<Time> {
         let known = self.own.endpoints_at > Time::ZERO && told.endpoints_at > Time::ZERO;
         if known && self.own.endpoints_next >= told.endpoints_next {
             // What is known here holds all that the peer saw.
@@ -175,7 +175,7 @@
     }
 
     /// Takes what was read or told, by times of the own clock.
-    pub(super) fn take(&mut self, reads: Reads) {
+    pub(super) fn take(&mut self, reads: ReadState) {
         self.own.version = reads.version;
         self.own.config_next = reads.config_next;
         self.own.endpoints_next = reads.endpoints_next;
--- a/crates/firdock-node/src/peer/serve.rs
+++ b/crates/firdock-node/src/peer/serve.rs
@@ -208,9 +208,9 @@
     }
 }
 
-type Taken = (Arc<Exchange>, Parts, Vec<String>);
+type ReceivedRequest = (Arc<Exchange>, Parts, Vec<String>);
 
-fn read_order(order: message::HandOver, room: &AnswerRoom) -> Option<Taken> {
+fn read_order(order: message::HandOver, room: &AnswerRoom) -> Option<ReceivedRequest> {
     let id = Uuid::from_slice(&order.request_id).ok()?;
     let method = Method::from_bytes(order.method.as_bytes()).ok()?;
     let body = Bytes::from(order.body);
--- a/crates/firdock-node/src/peer/topic.rs
+++ b/crates/firdock-node/src/peer/topic.rs
@@ -98,7 +98,7 @@
 
 /// The newest record of each key of a topic.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Image {
+pub struct TopicSnapshot {
     next: Offset,
     values: BTreeMap<String, Newest>,
 }
@@ -106,7 +106,7 @@
 /// The newest record of a key: its value, and its offset as in [`KeyedRecord`].
 type Newest = (Bytes, Offset);
 
-impl Image {
+impl TopicSnapshot {
     /// Takes records of its topic over.
     ///
     /// Gives what changed, for those who know what was known here before; `None` if nothing was
--- a/crates/firdock-node/src/placement/member.rs
+++ b/crates/firdock-node/src/placement/member.rs
@@ -16,7 +16,7 @@
 
 use super::report::{Course, News, Noticed, Paced, Placed, Refused, Reply, Report, Wanted};
 use super::told::{course, engine_of, next_attempt, noticed, notices, running, waits, wanted};
-use crate::peer::PeerBook;
+use crate::peer::PeerDirectory;
 
 /// Pause between two whole reports.
 const WHOLE_PAUSE: Duration = Duration::from_millis(200);
@@ -42,7 +42,7 @@
 pub struct Membership {
     me: Member,
     zone: ZoneId,
-    book: Arc<PeerBook>,
+    book: Arc<PeerDirectory>,
     lead: Option<Lead>,
     shunned: BTreeMap<InstanceId, Time>,
     /// Whether the coordinator answers.
@@ -64,7 +64,7 @@
 impl Membership {
     /// Makes a member that has asked nobody yet.
     #[must_use]
-    pub fn new(me: Member, zone: ZoneId, book: Arc<PeerBook>, log: Logger) -> Self {
+    pub fn new(me: Member, zone: ZoneId, book: Arc<PeerDirectory>, log: Logger) -> Self {
         Self {
             me,
             zone,
--- a/crates/firdock-node/src/source.rs
+++ b/crates/firdock-node/src/source.rs
@@ -19,7 +19,8 @@
 use crate::clock::Clock;
 use crate::input::Input;
 use crate::peer::{
-    Due, KnownPeer, PeerBook, Power, Reader, Reads, SharedReads, Taken, Topic, TopicRecords,
+    AppliedRecords, DueReads, PeerDirectory, PeerRecord, Power, ReadState, Reader, SharedReads,
+    Topic, TopicRecords,
 };
 use crate::telemetry::{LineBudget, LineKind, Metrics};
 
@@ -94,9 +95,9 @@
 pub struct SourceSink {
     pub(crate) records: watch::Receiver<WantedRecords>,
     pub(crate) inputs: mpsc::Sender<Input>,
-    pub(crate) peers: Arc<PeerBook>,
+    pub(crate) peers: Arc<PeerDirectory>,
     pub(crate) reads: Arc<SharedReads>,
-    pub(crate) changes: mpsc::Sender<Taken>,
+    pub(crate) changes: mpsc::Sender<AppliedRecords>,
     pub(crate) clock: Clock,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) lines: Arc<LineBudget>,
@@ -125,7 +126,7 @@
     /// # Errors
     ///
     /// Fails if the instance was stopped.
-    pub async fn note(&self, reads: Reads) -> Result<(), Stopped> {
+    pub async fn note(&self, reads: ReadState) -> Result<(), Stopped> {
         self.reads.note(self.clock.now(), reads);
         self.refresh(reads).await
     }
@@ -135,12 +136,12 @@
     /// # Errors
     ///
     /// Fails if the instance was stopped.
-    pub async fn note_told(&self, reads: Reads) -> Result<(), Stopped> {
+    pub async fn note_told(&self, reads: ReadState) -> Result<(), Stopped> {
         self.reads.note_told(reads);
         self.refresh(reads).await
     }
 
-    async fn refresh(&self, reads: Reads) -> Result<(), Stopped> {
+    async fn refresh(&self, reads: ReadState) -> Result<(), Stopped> {
         if reads.config_at == Time::ZERO || reads.version == 0 {
             return Ok(());
         }
@@ -169,7 +170,7 @@
 
     /// Gives what is known to be the newest.
     #[must_use]
-    pub fn known(&self) -> Reads {
+    pub fn known(&self) -> ReadState {
         self.reads.own()
     }
 
@@ -188,7 +189,7 @@
     /// Waits until this instance has to read again, or a peer told something; tells what.
     ///
     /// It has to after `pause` if it reads for its peers, and later if another one does.
-    pub async fn due(&self, pause: Duration) -> Due {
+    pub async fn due(&self, pause: Duration) -> DueReads {
         let turn = || self.peers.turn(self.clock.now());
         self.reads.due(self.clock, pause, turn).await
     }
@@ -210,7 +211,7 @@
     pub fn keep(&self, records: &TopicRecords, read_here: bool) {
         if let Some(records) = self.reads.keep(records) {
             // A peer that does not hear of them asks for them.
-            let _ = self.changes.try_send(Taken { records, read_here });
+            let _ = self.changes.try_send(AppliedRecords { records, read_here });
         }
     }
 
@@ -255,7 +256,7 @@
     }
 
     /// Tells of another instance and where it takes heartbeats.
-    pub fn know_peer(&self, peer: KnownPeer) {
+    pub fn know_peer(&self, peer: PeerRecord) {
         self.peers.know_listed(peer, self.clock.now());
     }
 
--- a/crates/firdock-node/tests/node/fleet.rs
+++ b/crates/firdock-node/tests/node/fleet.rs
@@ -3,7 +3,8 @@
 use std::time::Duration;
 
 use firdock_node::peer::{
-    Hearing, KnownPeer, PeerBook, PeerWord, Power, ReadReason, Reader, SharedReads, Turn,
+    HeartbeatOutcome, PeerDirectory, PeerInfo, PeerRecord, Power, ReadReason, Reader, SharedReads,
+    Turn,
 };
 
 use crate::starts::address;
@@ -12,8 +13,8 @@
 const ZONES: usize = 6;
 
 /// Gives instance `n`; ten of each zone have eight times the processor of the others.
-fn instance(n: usize) -> KnownPeer {
-    KnownPeer {
+fn instance(n: usize) -> PeerRecord {
+    PeerRecord {
         name: format!("front-{n:04}"),
         address: address(n),
         zone: format!("zone-{}", n % ZONES),
@@ -25,18 +26,18 @@
     if n < 10 * ZONES { 1_000 } else { 120 }
 }
 
-fn book_of(n: usize) -> PeerBook {
+fn book_of(n: usize) -> PeerDirectory {
     let me = instance(n);
-    PeerBook::new(me.name, me.zone).with_power(me.power)
+    PeerDirectory::new(me.name, me.zone).with_power(me.power)
 }
 
-fn hear(book: &PeerBook, n: usize, now: Duration) -> Hearing {
+fn hear(book: &PeerDirectory, n: usize, now: Duration) -> HeartbeatOutcome {
     let peer = instance(n);
     book.hear(word(&peer), peer.address, now)
 }
 
-fn word(peer: &KnownPeer) -> PeerWord<'_> {
-    PeerWord {
+fn word(peer: &PeerRecord) -> PeerInfo<'_> {
+    PeerInfo {
         name: &peer.name,
         zone: &peer.zone,
         power: peer.power,
@@ -73,7 +74,7 @@
     let book = book_of(300);
     for n in 0..300 {
         book.know(instance(n), START);
-        assert_eq!(hear(&book, n, START), Hearing::First);
+        assert_eq!(hear(&book, n, START), HeartbeatOutcome::First);
     }
     assert_eq!(book.sweep(START), 300);
     assert_eq!(book.known().len(), 300);
@@ -86,13 +87,13 @@
     for n in 0..24 {
         hear(&book, n, START);
     }
-    assert_eq!(hear(&book, 100, START), Hearing::NotKept);
+    assert_eq!(hear(&book, 100, START), HeartbeatOutcome::NotKept);
     // The first four of each group fall; the next ones tell all leads that they know of.
     let later = START + Duration::from_secs(7);
     for n in 24..36 {
         let peer = instance(n);
         let hearing = book.hear_lead(word(&peer), peer.address, later);
-        assert_eq!(hearing, Hearing::First);
+        assert_eq!(hearing, HeartbeatOutcome::First);
     }
     book.sweep(later);
     let leads = book.leads_of_all(later);
--- a/crates/firdock-node/tests/node/parts.rs
+++ b/crates/firdock-node/tests/node/parts.rs
@@ -3,7 +3,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use firdock_node::peer::{BadPart, Lacking, PART_BYTES, PartialAnswers, count_parts, part_of};
+use firdock_node::peer::{
+    InvalidPart, MissingParts, PART_BYTES, PartialAnswers, count_parts, part_of,
+};
 use firdock_wire::message::StateAnswer;
 use proptest::prelude::*;
 
@@ -36,7 +38,7 @@
     for n in [0, 2] {
         assert_eq!(answers.take(NOW, teller(1), part(9, &told, n)), Ok(None));
     }
-    let lacking = Lacking {
+    let lacking = MissingParts {
         state: 9,
         parts: vec![1],
     };
@@ -75,7 +77,7 @@
     };
     for (part_no, parts) in [(2, 2), (0, u32::MAX), (u32::MAX, 3)] {
         let taken = answers.take(NOW, teller(1), hostile(part_no, parts));
-        assert_eq!(taken, Err(BadPart), "{part_no} of {parts}");
+        assert_eq!(taken, Err(InvalidPart), "{part_no} of {parts}");
     }
     for n in 1..=200 {
         let now = NOW + Duration::from_millis(n.into());
--- a/crates/firdock-node/tests/node/party.rs
+++ b/crates/firdock-node/tests/node/party.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use firdock_node::clock::Clock;
-use firdock_node::peer::{Beacons, PeerBook, SelfNews, SharedReads};
+use firdock_node::peer::{BeaconService, PeerDirectory, SelfNews, SharedReads};
 use firdock_node::telemetry::silent;
 use firdock_policy::event::Member;
 use tokio::net::UdpSocket;
@@ -16,8 +16,8 @@
 const WAITING: usize = 256;
 
 pub struct Party {
-    pub beacons: Beacons,
-    pub book: Arc<PeerBook>,
+    pub beacons: BeaconService,
+    pub book: Arc<PeerDirectory>,
     pub reads: Arc<SharedReads>,
     pub events: mpsc::Receiver<firdock_node::Input>,
     pub news: watch::Sender<SelfNews>,
@@ -26,12 +26,12 @@
 impl Party {
     /// Makes an instance that asks `seeds` at its start, if there are any.
     pub fn new(name: &str, socket: UdpSocket, clock: Clock, seeds: Vec<SocketAddr>) -> Self {
-        let book = Arc::new(PeerBook::new(name.to_owned(), "zone".to_owned()));
+        let book = Arc::new(PeerDirectory::new(name.to_owned(), "zone".to_owned()));
         let reads = SharedReads::default().with_peers_first(!seeds.is_empty());
         let reads = Arc::new(reads);
         let (inputs, events) = mpsc::channel(WAITING);
         let (news, told) = watch::channel(SelfNews::default());
-        let beacons = Beacons {
+        let beacons = BeaconService {
             socket: Arc::new(socket),
             member: Member {
                 name: name.to_owned(),
--- a/crates/firdock-node/tests/node/peers.rs
+++ b/crates/firdock-node/tests/node/peers.rs
@@ -7,8 +7,8 @@
 use firdock_core::settings::Settings;
 use firdock_node::clock::Clock;
 use firdock_node::peer::{
-    KnownPeer, PeerBook, PeerWord, Power, Reader, Reads, SelfNews, SharedReads, Teller, Topic,
-    TopicRecords, Turn, open_beacons, seal,
+    PeerDirectory, PeerInfo, PeerProcess, PeerRecord, Power, ReadState, Reader, SelfNews,
+    SharedReads, Topic, TopicRecords, Turn, bind_beacon_socket, seal,
 };
 use firdock_policy::{Event, Policy as _, PolicySettings, Scheduler};
 use firdock_wire::PROTOCOL;
@@ -25,26 +25,26 @@
     Duration::from_millis(n)
 }
 
-fn teller(name: &str, incarnation: Uuid) -> Teller {
+fn teller(name: &str, incarnation: Uuid) -> PeerProcess {
     let name = name.to_owned();
-    Teller { name, incarnation }
+    PeerProcess { name, incarnation }
 }
 
 /// The peer whose clock is known.
-fn p() -> Teller {
+fn p() -> PeerProcess {
     teller("p", INCARNATION)
 }
 
 /// The present time where it does not matter.
 const NOW: Duration = Duration::from_mins(1);
 
-fn reads(version: u64, endpoints_next: u64, at: Duration) -> Reads {
-    Reads {
+fn reads(version: u64, endpoints_next: u64, at: Duration) -> ReadState {
+    ReadState {
         version,
         endpoints_next,
         config_at: at,
         endpoints_at: at,
-        ..Reads::default()
+        ..ReadState::default()
     }
 }
 
@@ -146,14 +146,14 @@
     shared.note(millis(20_000), reads(5, 1, millis(20_000)));
     assert_eq!(shared.steady_since(millis(20_000)), millis(20_000));
     // The peer has read all the while, since 2 s by our clock.
-    let told = Reads {
+    let told = ReadState {
         steady_since: millis(1_000),
         ..reads(5, 1, millis(18_900))
     };
     let _ = shared.hear(NOW, &p(), told);
     assert_eq!(shared.steady_since(millis(20_200)), millis(2_000));
     // Its clock is known a little better at the next word, which is no news.
-    let nearly = Reads {
+    let nearly = ReadState {
         steady_since: millis(990),
         ..told
     };
@@ -165,7 +165,7 @@
 fn a_peer_that_has_not_read_since_an_outage_does_not_tell_it_away() {
     let shared = shared();
     shared.note(millis(20_000), reads(5, 1, millis(20_000)));
-    let told = Reads {
+    let told = ReadState {
         steady_since: millis(1_000),
         ..reads(5, 1, millis(15_000))
     };
@@ -186,7 +186,7 @@
 fn party(name: &str, socket: UdpSocket, clock: Clock, other: (&str, &UdpSocket)) -> Party {
     let party = Party::new(name, socket, clock, Vec::new());
     party.news.send_replace(news(4));
-    let known = KnownPeer {
+    let known = PeerRecord {
         power: 0,
         name: other.0.to_owned(),
         address: other.1.local_addr().expect("an address"),
@@ -201,7 +201,7 @@
 #[tokio::test]
 async fn a_lead_that_stops_or_is_of_another_group_does_not_tell_how_many_are_heard() {
     let any = "127.0.0.1:0".parse().expect("an address");
-    let socket = open_beacons(any).await.expect("a socket");
+    let socket = bind_beacon_socket(any).await.expect("a socket");
     let to = socket.local_addr().expect("an address");
     let other = UdpSocket::bind(any).await.expect("a socket");
     let mut party = party("z", socket, Clock::new(), ("b", &other));
@@ -257,7 +257,7 @@
 #[tokio::test]
 async fn work_of_accounts_is_heard_from_leads_of_other_groups() {
     let any = "127.0.0.1:0".parse().expect("an address");
-    let socket = open_beacons(any).await.expect("a socket");
+    let socket = bind_beacon_socket(any).await.expect("a socket");
     let to = socket.local_addr().expect("an address");
     let other = UdpSocket::bind(any).await.expect("a socket");
     let mut party = party("z", socket, Clock::new(), ("b", &other));
@@ -310,7 +310,7 @@
 #[tokio::test]
 async fn a_first_heartbeat_is_answered() {
     let any = "127.0.0.1:0".parse().expect("an address");
-    let socket = open_beacons(any).await.expect("a socket");
+    let socket = bind_beacon_socket(any).await.expect("a socket");
     let to = socket.local_addr().expect("an address");
     let stranger = UdpSocket::bind(any).await.expect("a socket");
     // It knows of another instance, and not of the one that will send.
@@ -341,7 +341,7 @@
 #[tokio::test]
 async fn a_read_is_told_with_its_own_version_and_not_the_published_one() {
     let any = "127.0.0.1:0".parse().expect("an address");
-    let (a, b) = (open_beacons(any).await, open_beacons(any).await);
+    let (a, b) = (bind_beacon_socket(any).await, bind_beacon_socket(any).await);
     let (a, b) = (a.expect("a socket"), b.expect("a socket"));
     let clock = Clock::new();
     let probe = UdpSocket::bind(any).await.expect("a socket");
@@ -409,7 +409,7 @@
     let told = shared.take_told();
     assert_eq!(told.len(), 1);
     assert_eq!(told[0].read_at, millis(10_500));
-    shared.note_told(Reads {
+    shared.note_told(ReadState {
         config_at: Duration::ZERO,
         ..reads(5, 2, told[0].read_at)
     });
@@ -417,12 +417,12 @@
     assert_eq!(shared.own().endpoints_next, 2);
 }
 
-fn word<'a>(name: &'a str, zone: &'a str, power: Power) -> PeerWord<'a> {
-    PeerWord { name, zone, power }
+fn word<'a>(name: &'a str, zone: &'a str, power: Power) -> PeerInfo<'a> {
+    PeerInfo { name, zone, power }
 }
 
-fn book(me: &str, zone: &str, others: &[(&str, &str)], now: Duration) -> PeerBook {
-    let book = PeerBook::new(me.to_owned(), zone.to_owned());
+fn book(me: &str, zone: &str, others: &[(&str, &str)], now: Duration) -> PeerDirectory {
+    let book = PeerDirectory::new(me.to_owned(), zone.to_owned());
     let address = "127.0.0.1:1".parse().expect("an address");
     for (name, zone) in others {
         book.hear(word(name, zone, 0), address, now);
--- a/crates/firdock-node/tests/node/placement.rs
+++ b/crates/firdock-node/tests/node/placement.rs
@@ -6,7 +6,7 @@
 use firdock_core::resource::{Account, Catalog, Endpoint, PoolWeight, Resource, Service, Tier};
 use firdock_core::settings::Settings;
 use firdock_core::{Reason, RequestId};
-use firdock_node::peer::{PeerBook, PeerWord};
+use firdock_node::peer::{PeerDirectory, PeerInfo};
 use firdock_node::placement::{
     Coordinator, Course, Membership, News, Noticed, Paced, Report, Wanted, read_reply, read_report,
     write_reply, write_report,
@@ -292,13 +292,13 @@
 struct Asking {
     member: Membership,
     scheduler: Scheduler,
-    book: Arc<PeerBook>,
+    book: Arc<PeerDirectory>,
     now: Time,
 }
 
 impl Asking {
     fn new() -> Self {
-        let book = Arc::new(PeerBook::new("b".to_owned(), "zone".to_owned()));
+        let book = Arc::new(PeerDirectory::new("b".to_owned(), "zone".to_owned()));
         let me = Member {
             name: "b".to_owned(),
             incarnation: Uuid::from_u128(2),
@@ -322,7 +322,7 @@
             let zone = "zone";
             let power = 0;
             self.book
-                .hear(PeerWord { name, zone, power }, address, self.now);
+                .hear(PeerInfo { name, zone, power }, address, self.now);
         }
     }
 
--- a/crates/firdock-node/tests/node/sharing.rs
+++ b/crates/firdock-node/tests/node/sharing.rs
@@ -4,8 +4,8 @@
 
 use firdock_node::clock::Clock;
 use firdock_node::peer::{
-    Image, KeyedRecord, PeerBook, PeerWord, Power, ReadReason, Reader, Reads, SharedReads, Teller,
-    Topic, TopicRecords, Turn, open_beacons,
+    KeyedRecord, PeerDirectory, PeerInfo, PeerProcess, Power, ReadReason, ReadState, Reader,
+    SharedReads, Topic, TopicRecords, TopicSnapshot, Turn, bind_beacon_socket,
 };
 use tokio::sync::watch;
 use uuid::Uuid;
@@ -21,19 +21,19 @@
     Duration::from_millis(n)
 }
 
-fn known(version: u64, next: u64, at: Duration) -> Reads {
-    Reads {
+fn known(version: u64, next: u64, at: Duration) -> ReadState {
+    ReadState {
         version,
         endpoints_next: next,
         config_at: at,
         endpoints_at: at,
-        ..Reads::default()
+        ..ReadState::default()
     }
 }
 
 /// The lead of the instance's group, whose clock is known to be the same.
-fn lead_of(shared: &SharedReads) -> Teller {
-    let lead = Teller {
+fn lead_of(shared: &SharedReads) -> PeerProcess {
+    let lead = PeerProcess {
         name: "lead".to_owned(),
         incarnation: Uuid::from_u128(7),
     };
@@ -146,7 +146,7 @@
 /// the others are told of the difference.
 #[test]
 fn a_listing_is_passed_on_as_what_changed_by_it() {
-    let mut image = Image::default();
+    let mut image = TopicSnapshot::default();
     let first = [record("a", Some("1")), record("b", Some("2"))];
     assert_eq!(image.take(&records(None, 7, &first), false), None);
     let listed = [record("b", Some("3")), record("c", Some("4"))];
@@ -166,11 +166,11 @@
 #[tokio::test]
 async fn instances_that_start_are_told_all_by_the_one_that_they_ask() {
     let any = "127.0.0.1:0".parse().expect("an address");
-    let socket = open_beacons(any).await.expect("a socket");
+    let socket = bind_beacon_socket(any).await.expect("a socket");
     let to = socket.local_addr().expect("an address");
     let clock = Clock::new();
     let seed = Party::new("seed", socket, clock, Vec::new());
-    let socket = open_beacons(any).await.expect("a socket");
+    let socket = bind_beacon_socket(any).await.expect("a socket");
     let starter = Party::new("starter", socket, clock, vec![to]);
     let (stop, stops) = watch::channel(false);
     let running = [
@@ -210,12 +210,12 @@
     drop((seed.events, starter.events));
 }
 
-fn book(me: &str, power: Power, others: &[(&str, Power)], now: Duration) -> PeerBook {
-    let book = PeerBook::new(me.to_owned(), "zone".to_owned()).with_power(power);
+fn book(me: &str, power: Power, others: &[(&str, Power)], now: Duration) -> PeerDirectory {
+    let book = PeerDirectory::new(me.to_owned(), "zone".to_owned()).with_power(power);
     let address = "127.0.0.1:1".parse().expect("an address");
     for (name, power) in others {
         let (zone, power) = ("zone", *power);
-        book.hear(PeerWord { name, zone, power }, address, now);
+        book.hear(PeerInfo { name, zone, power }, address, now);
     }
     book
 }
--- a/crates/firdock-node/tests/node/starts.rs
+++ b/crates/firdock-node/tests/node/starts.rs
@@ -10,7 +10,8 @@
 
 use firdock_node::clock::Clock;
 use firdock_node::peer::{
-    KeyedRecord, KnownPeer, PeerBook, Power, Reads, Topic, TopicRecords, open_beacons,
+    KeyedRecord, PeerDirectory, PeerRecord, Power, ReadState, Topic, TopicRecords,
+    bind_beacon_socket,
 };
 use tokio::net::UdpSocket;
 use tokio::sync::watch;
@@ -32,8 +33,8 @@
 }
 
 /// Gives instance `n`; one in nine is four times as strong as the others.
-fn instance(n: usize) -> KnownPeer {
-    KnownPeer {
+fn instance(n: usize) -> PeerRecord {
+    PeerRecord {
         name: format!("front-{n:04}"),
         address: address(n),
         zone: format!("zone-{}", n % 4),
@@ -48,7 +49,7 @@
 /// Gives whom instance `n` of `size` asks, nearest first.
 fn above(n: usize, size: usize) -> Vec<String> {
     let me = instance(n);
-    let book = PeerBook::new(me.name, me.zone).with_power(me.power);
+    let book = PeerDirectory::new(me.name, me.zone).with_power(me.power);
     for other in (0..size).filter(|other| *other != n) {
         book.know(instance(other), START);
     }
@@ -133,7 +134,7 @@
     }
     party.reads.note(
         read_at,
-        Reads {
+        ReadState {
             version: 5,
             config_next: 9,
             endpoints_next: 9,
@@ -147,7 +148,7 @@
 
 async fn socket() -> (UdpSocket, SocketAddr) {
     let any = "127.0.0.1:0".parse().expect("an address");
-    let socket = open_beacons(any).await.expect("a socket");
+    let socket = bind_beacon_socket(any).await.expect("a socket");
     let address = socket.local_addr().expect("an address");
     (socket, address)
 }
@@ -167,7 +168,7 @@
         // Others, so that the site is no small one; they are in other zones.
         seed.book.know(instance(n), clock.now());
     }
-    let stronger = KnownPeer {
+    let stronger = PeerRecord {
         name: "parent".to_owned(),
         address: parent_at,
         zone: "zone".to_owned(),
