--- a/crates/firdock-core/src/settings/tables.rs
+++ b/crates/firdock-core/src/settings/tables.rs
@@ -36,7 +36,7 @@
 impl Instance {
     /// Gives the processor that the instance has, in thousandths of a core.
     #[must_use]
-    pub fn power(&self) -> u32 {
+    pub fn millicores(&self) -> u32 {
         (self.cores * 1_000.0)
             .round()
             .clamp(0.0, f64::from(u32::MAX)) as u32
--- a/crates/firdock-node/src/edge/parts.rs
+++ b/crates/firdock-node/src/edge/parts.rs
@@ -120,7 +120,7 @@
             metrics,
             peers: Arc::new(
                 PeerDirectory::new(name, settings.instance.zone.clone())
-                    .with_power(settings.instance.power()),
+                    .with_millicores(settings.instance.millicores()),
             ),
             reads: Arc::new(SharedReads::default().with_peers_first(asks_first(settings))),
             log,
--- a/crates/firdock-node/src/peer.rs
+++ b/crates/firdock-node/src/peer.rs
@@ -21,7 +21,10 @@
 mod topic;
 
 pub use beacon::{AppliedRecords, BeaconService, bind_socket as bind_beacon_socket};
-pub use book::{HeartbeatOutcome, PeerDirectory, PeerInfo, PeerRecord, Place, Power, Reader, Turn};
+pub use book::{
+    HeartbeatOutcome, Millicores, PeerDirectory, PeerInfo, PeerRecord, PeerRelation, ReadRole,
+    ReadTurn,
+};
 pub use datagram::{read_incarnation, seal};
 pub use dial::{DialError, Dialer};
 pub use hand_over::{Order, hand_over, read_reason};
--- a/crates/firdock-node/src/peer/beacon.rs
+++ b/crates/firdock-node/src/peer/beacon.rs
@@ -33,7 +33,7 @@
 use self::due::PeersDue;
 use self::meet::Meeting;
 use self::usage::ToldUse;
-use super::book::{PeerDirectory, PeerRecord, Reader};
+use super::book::{PeerDirectory, PeerRecord, ReadRole};
 use super::datagram::{seal, write_address, write_reads, write_uses};
 use super::heartbeat::{SelfNews, write_demand, write_work};
 use super::known::records_body;
@@ -197,7 +197,7 @@
             Vec::new()
         };
         let (for_group, for_leads) = self.count_use(tick, now).await;
-        self.send_all(&due.near, &heard, &for_group).await;
+        self.send_all(&due.same_group, &heard, &for_group).await;
         self.send_all(&due.leads, &heard, &for_leads).await;
         self.send_far(&due.far).await;
     }
@@ -219,14 +219,14 @@
     /// Sends beacons at a start or an end, which those that need to know hear of at once.
     async fn send_at_once(&self) {
         let due = PeersDue::at_once(&self.book, self.clock.now());
-        self.send_all(&due.near, &[], &ToldUse::Nothing).await;
+        self.send_all(&due.same_group, &[], &ToldUse::Nothing).await;
         self.send_all(&due.leads, &[], &ToldUse::Nothing).await;
     }
 
     /// Tells the scheduler whether this instance decides on roll-outs, when that changed: it leads the
     /// site, as far as it hears.
     async fn tell_decides(&self, before: Option<bool>) -> Option<bool> {
-        let decides = self.book.turn(self.clock.now()).reader == Reader::Site;
+        let decides = self.book.read_turn(self.clock.now()).role == ReadRole::SiteLead;
         if before != Some(decides) {
             self.tell(Event::Decides(decides)).await;
         }
@@ -284,7 +284,10 @@
         };
         let leads = self.book.leads_of_all(now);
         let sealed = seal(&self.key, body);
-        for (peer, _) in self.book.pick(&leads, |place| place.near || place.lead) {
+        for (peer, _) in self
+            .book
+            .pick(&leads, |relation| relation.same_group || relation.lead)
+        {
             self.send_to(&sealed, &peer.name, peer.address).await;
         }
     }
@@ -320,7 +323,7 @@
             group_known: lead.group_known as u32,
             site_known: lead.site_known as u32,
             group_demand: write_demand(&lead.group_demand),
-            power: self.book.power(),
+            power: self.book.millicores(),
             rollouts: write_words(&news.rollouts.words),
             rollout_seen: write_seen(&news.rollouts.own),
             group_rollout_seen: write_seen(&lead.group_seen),
@@ -340,7 +343,7 @@
             incarnation: self.member.incarnation.as_bytes().to_vec(),
             heartbeat: Some(news.short_message()),
             reads: Some(write_reads(self.reads.own())),
-            power: self.book.power(),
+            power: self.book.millicores(),
             ..Beacon::default()
         }
     }
--- a/crates/firdock-node/src/peer/beacon/answer.rs
+++ b/crates/firdock-node/src/peer/beacon/answer.rs
@@ -276,7 +276,7 @@
                 name: self.member.name.clone(),
                 address,
                 zone: self.book.zone().to_owned(),
-                power: self.book.power(),
+                millicores: self.book.millicores(),
             });
         }
         known.iter().map(write_address).collect()
--- a/crates/firdock-node/src/peer/beacon/due.rs
+++ b/crates/firdock-node/src/peer/beacon/due.rs
@@ -6,7 +6,7 @@
 
 use firdock_policy::Time;
 
-use crate::peer::book::Place;
+use crate::peer::book::PeerRelation;
 use crate::peer::{PeerDirectory, PeerRecord};
 
 /// Near peers that get a beacon at each tick; with more of them, each gets one at every few ticks.
@@ -24,7 +24,7 @@
 #[derive(Debug, Default)]
 pub struct PeersDue {
     /// Those of the own group.
-    pub near: Vec<PeerRecord>,
+    pub same_group: Vec<PeerRecord>,
     /// The leads of other groups, where this instance leads its own.
     pub leads: Vec<PeerRecord>,
     /// All others.
@@ -40,20 +40,22 @@
         let i_lead = book.tells(now);
         let near_pace = (known / NEAR_PEERS_A_TICK).max(1);
         let far_pace = far_pace(tick, known);
-        let wanted = |place: Place| {
-            let turn = |pace: usize| (tick + place.at + 1).is_multiple_of(pace);
-            let led = i_lead && place.lead;
-            if place.near {
-                i_lead || place.lead || turn(near_pace)
+        let wanted = |relation: PeerRelation| {
+            let turn = |pace: usize| (tick + relation.at + 1).is_multiple_of(pace);
+            let led = i_lead && relation.lead;
+            if relation.same_group {
+                i_lead || relation.lead || turn(near_pace)
             } else {
                 led || turn(far_pace)
             }
         };
         let mut due = Self::default();
-        for (peer, place) in book.pick(&leads, wanted) {
-            match place {
-                Place { near: true, .. } => due.near.push(peer),
-                Place { lead: true, .. } if i_lead => due.leads.push(peer),
+        for (peer, relation) in book.pick(&leads, wanted) {
+            match relation {
+                PeerRelation {
+                    same_group: true, ..
+                } => due.same_group.push(peer),
+                PeerRelation { lead: true, .. } if i_lead => due.leads.push(peer),
                 _ => due.far.push(peer),
             }
         }
@@ -70,9 +72,9 @@
         let mut leads = book.leads_of_all(now);
         leads.extend(book.likely_leads());
         let mut due = Self::default();
-        for (peer, place) in book.pick(&leads, |place| place.near || place.lead) {
-            if place.near {
-                due.near.push(peer);
+        for (peer, relation) in book.pick(&leads, |relation| relation.same_group || relation.lead) {
+            if relation.same_group {
+                due.same_group.push(peer);
             } else {
                 due.leads.push(peer);
             }
--- a/crates/firdock-node/src/peer/beacon/take.rs
+++ b/crates/firdock-node/src/peer/beacon/take.rs
@@ -103,7 +103,7 @@
                 name: peer.instance,
                 address,
                 zone: peer.zone,
-                power: peer.power,
+                millicores: peer.power,
             };
             self.book.know(known, now);
         }
@@ -138,7 +138,7 @@
                 name: beacon.instance.clone(),
                 address: from,
                 zone: String::new(),
-                power: beacon.power,
+                millicores: beacon.power,
             };
             self.send_first(&known).await;
         }
@@ -282,7 +282,7 @@
             let word = PeerInfo {
                 name: &beacon.instance,
                 zone: heartbeat.map_or("", |b| &b.zone),
-                power: beacon.power,
+                millicores: beacon.power,
             };
             let hearing = if beacon.group_heard > 0 {
                 self.book.hear_lead(word, from, now)
--- a/crates/firdock-node/src/peer/book.rs
+++ b/crates/firdock-node/src/peer/book.rs
@@ -17,7 +17,7 @@
 
 use self::fleet::ToldKnown;
 use self::group::GroupCounts;
-pub use self::group::{Place, Reader, Turn};
+pub use self::group::{PeerRelation, ReadRole, ReadTurn};
 
 /// Silence after which an instance is forgotten: it was replaced or taken away.
 const FORGET_AFTER: Duration = Duration::from_mins(1);
@@ -34,7 +34,7 @@
     /// Availability zone; empty where it is not known.
     pub zone: ZoneId,
     /// Processor that it has, as far as that is known.
-    pub power: Power,
+    pub millicores: Millicores,
 }
 
 /// What follows from a heartbeat for what is known of its sender.
@@ -56,18 +56,18 @@
     /// Availability zone.
     pub zone: &'a str,
     /// Processor that it has, in thousandths of a core.
-    pub power: Power,
+    pub millicores: Millicores,
 }
 
 /// Processor that an instance has, in thousandths of a core; zero where it is not known.
-pub type Power = u32;
+pub type Millicores = u32;
 
 /// One other instance.
 #[derive(Debug, Clone)]
 struct Entry {
     address: SocketAddr,
     zone: ZoneId,
-    power: Power,
+    millicores: Millicores,
     /// When it was heard, or else when it was first told of.
     since: Time,
     heard: bool,
@@ -95,7 +95,7 @@
 pub struct PeerDirectory {
     me: InstanceId,
     zone: ZoneId,
-    power: Power,
+    millicores: Millicores,
     entries: Mutex<Entries>,
     /// Where others know this instance.
     own_listed: Mutex<Option<SocketAddr>>,
@@ -116,7 +116,7 @@
         Self {
             me,
             zone,
-            power: 0,
+            millicores: 0,
             entries: Mutex::default(),
             own_listed: Mutex::default(),
             listed: AtomicBool::new(false),
@@ -129,8 +129,8 @@
 
     /// Sets the processor that this instance has: of those that are heard, the strongest lead.
     #[must_use]
-    pub fn with_power(mut self, power: Power) -> Self {
-        self.power = power;
+    pub fn with_millicores(mut self, millicores: Millicores) -> Self {
+        self.millicores = millicores;
         self
     }
 
@@ -142,13 +142,13 @@
 
     /// Gives the processor that this instance has.
     #[must_use]
-    pub fn power(&self) -> Power {
-        self.power
+    pub fn millicores(&self) -> Millicores {
+        self.millicores
     }
 
     /// Notes that someone told of an instance, if it is to be known here.
     pub fn know(&self, peer: PeerRecord, now: Time) {
-        let kept = self.keeps(&self.lock(), &peer.name, &peer.zone, peer.power);
+        let kept = self.keeps(&self.lock(), &peer.name, &peer.zone, peer.millicores);
         if kept || peer.name == self.me {
             self.know_listed(peer, now);
         }
@@ -169,8 +169,8 @@
         }
         let mut entries = self.lock();
         if let Some(entry) = entries.get_mut(&peer.name) {
-            if !entry.heard && peer.power > 0 {
-                entry.power = peer.power;
+            if !entry.heard && peer.millicores > 0 {
+                entry.millicores = peer.millicores;
             }
             return;
         }
@@ -180,7 +180,7 @@
         let entry = Entry {
             address: peer.address,
             zone: peer.zone,
-            power: peer.power,
+            millicores: peer.millicores,
             since: now,
             heard: false,
             demand: Vec::new(),
@@ -217,7 +217,7 @@
 
     /// Notes that an instance was heard.
     pub fn hear(&self, word: PeerInfo<'_>, address: SocketAddr, now: Time) -> HeartbeatOutcome {
-        let kept = self.keeps(&self.lock(), word.name, word.zone, word.power);
+        let kept = self.keeps(&self.lock(), word.name, word.zone, word.millicores);
         if kept {
             self.hear_lead(word, address, now)
         } else {
@@ -242,7 +242,7 @@
         let entry = Entry {
             address,
             zone: word.zone.to_owned(),
-            power: word.power,
+            millicores: word.millicores,
             since: now,
             heard: true,
             demand: Vec::new(),
@@ -315,6 +315,6 @@
         name: name.clone(),
         address: entry.address,
         zone: entry.zone.clone(),
-        power: entry.power,
+        millicores: entry.millicores,
     }
 }
--- a/crates/firdock-node/src/peer/book/fleet.rs
+++ b/crates/firdock-node/src/peer/book/fleet.rs
@@ -7,8 +7,8 @@
 use firdock_core::InstanceId;
 use firdock_policy::Time;
 
-use super::group::{standing_of, strongest_of_zones};
-use super::{Entries, Entry, FORGET_AFTER, PeerDirectory, PeerRecord, Power, known_peer};
+use super::group::{lead_priority_of, strongest_of_zones};
+use super::{Entries, Entry, FORGET_AFTER, Millicores, PeerDirectory, PeerRecord, known_peer};
 
 /// Instances up to which each knows all others. Of more, it knows its own group and the strongest of each
 /// other one, which tell for theirs: what it keeps and tells grows with its group alone.
@@ -49,14 +49,20 @@
     }
 
     /// Tells whether an instance is to be known here.
-    pub(super) fn keeps(&self, entries: &Entries, name: &str, zone: &str, power: Power) -> bool {
+    pub(super) fn keeps(
+        &self,
+        entries: &Entries,
+        name: &str,
+        zone: &str,
+        millicores: Millicores,
+    ) -> bool {
         if zone == self.zone || zone.is_empty() || !self.are_many(entries.len()) {
             return true;
         }
-        let standing = standing_of(power, name);
-        let before = entries
-            .iter()
-            .filter(|(other, e)| e.zone == zone && standing_of(e.power, other) < standing);
+        let lead_priority = lead_priority_of(millicores, name);
+        let before = entries.iter().filter(|(other, e)| {
+            e.zone == zone && lead_priority_of(e.millicores, other) < lead_priority
+        });
         before.count() < STRONGEST
     }
 
--- a/crates/firdock-node/src/peer/book/group.rs
+++ b/crates/firdock-node/src/peer/book/group.rs
@@ -15,7 +15,7 @@
 use firdock_policy::event::PoolDemand;
 use firdock_policy::table::SMALL_SITE;
 
-use super::{Entries, Entry, PeerDirectory, PeerRecord, Power, known_peer};
+use super::{Entries, Entry, Millicores, PeerDirectory, PeerRecord, known_peer};
 
 /// Silence after which an instance neither leads a group nor counts in it: six heartbeats of the
 /// deployments' 200 ms (`deploy/settings.toml`).
@@ -41,60 +41,60 @@
 
 /// An instance's part in the reading of the platform's store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reader {
+pub enum ReadRole {
     /// Reads for the whole site.
-    Site,
+    SiteLead,
     /// Leads its group: passes on what the site's reader read.
-    Group,
+    GroupLead,
     /// Takes what its group's lead tells.
     Member,
     /// Takes what the site's reader tells, where all instances are one group.
-    SmallMember,
+    SmallSiteMember,
 }
 
 /// Where another instance stands to this one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Place {
+pub struct PeerRelation {
     /// Its number in the order of names.
     pub at: usize,
     /// Whether it is in this one's group.
-    pub near: bool,
+    pub same_group: bool,
     /// Whether it is among the leads that were asked about.
     pub lead: bool,
 }
 
 /// An instance's place in the order in which instances lead.
-type Standing<'a> = (Reverse<Power>, &'a str);
+type LeadPriority<'a> = (Reverse<Millicores>, &'a str);
 
 /// An instance's part in the reading of the platform's store, and its turn among its like.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Turn {
+pub struct ReadTurn {
     /// Part.
-    pub reader: Reader,
+    pub role: ReadRole,
     /// Instances of its group that have their turn before it.
-    pub place: usize,
+    pub index: usize,
     /// Instances of its group, itself among them.
-    pub of: usize,
+    pub group_size: usize,
 }
 
-impl Turn {
+impl ReadTurn {
     /// Makes the turn of an instance that hears no other.
     #[must_use]
     pub fn alone() -> Self {
         Self {
-            reader: Reader::Site,
-            place: 0,
-            of: 1,
+            role: ReadRole::SiteLead,
+            index: 0,
+            group_size: 1,
         }
     }
 }
 
-fn standing<'a>((name, entry): &(&'a InstanceId, &Entry)) -> Standing<'a> {
-    standing_of(entry.power, name)
+fn lead_priority<'a>((name, entry): &(&'a InstanceId, &Entry)) -> LeadPriority<'a> {
+    lead_priority_of(entry.millicores, name)
 }
 
-pub(super) fn standing_of(power: Power, name: &str) -> Standing<'_> {
-    (Reverse(power), name)
+pub(super) fn lead_priority_of(millicores: Millicores, name: &str) -> LeadPriority<'_> {
+    (Reverse(millicores), name)
 }
 
 impl Entry {
@@ -132,38 +132,45 @@
     /// The lead of each group hears of what was read and passes it on. The first of the leads reads
     /// for the whole site.
     #[must_use]
-    pub fn turn(&self, now: Time) -> Turn {
+    pub fn read_turn(&self, now: Time) -> ReadTurn {
         let entries = self.lock();
         let few = self.are_few(&entries);
-        let me = self.standing();
-        let (mut led_site, mut led_group, mut place, mut of) = (false, false, 0, 1);
+        let me = self.lead_priority();
+        let (mut led_site, mut led_group, mut index, mut group_size) = (false, false, 0, 1);
         for peer in entries.iter().filter(|(_, e)| e.is_heard(now)) {
-            let before = standing(&peer) < me;
+            let before = lead_priority(&peer) < me;
             let grouped = few || peer.1.zone == self.zone;
             let leads = before && peer.1.is_present(now);
             led_site |= leads;
             led_group |= leads && grouped;
             // Members of a larger group hear each other every few seconds only.
-            place += usize::from(before && grouped);
-            of += usize::from(grouped);
+            index += usize::from(before && grouped);
+            group_size += usize::from(grouped);
         }
-        let reader = match (led_site, led_group, few) {
-            (false, _, _) => Reader::Site,
-            (_, false, _) => Reader::Group,
-            (_, _, true) => Reader::SmallMember,
-            _ => Reader::Member,
+        let role = match (led_site, led_group, few) {
+            (false, _, _) => ReadRole::SiteLead,
+            (_, false, _) => ReadRole::GroupLead,
+            (_, _, true) => ReadRole::SmallSiteMember,
+            _ => ReadRole::Member,
         };
-        Turn { reader, place, of }
+        ReadTurn {
+            role,
+            index,
+            group_size,
+        }
     }
 
-    fn standing(&self) -> Standing<'_> {
-        (Reverse(self.power), self.me.as_str())
+    fn lead_priority(&self) -> LeadPriority<'_> {
+        (Reverse(self.millicores), self.me.as_str())
     }
 
     /// Tells whether this instance leads its group.
     #[must_use]
     pub fn leads(&self, now: Time) -> bool {
-        matches!(self.turn(now).reader, Reader::Site | Reader::Group)
+        matches!(
+            self.read_turn(now).role,
+            ReadRole::SiteLead | ReadRole::GroupLead
+        )
     }
 
     /// Gives the first instances of each group that are heard: its lead, and the one that takes over
@@ -186,7 +193,7 @@
     pub fn tells(&self, now: Time) -> bool {
         let entries = self.lock();
         let near = self.present_in_zone(&entries, now);
-        let before = near.filter(|peer| standing(peer) < self.standing());
+        let before = near.filter(|peer| lead_priority(peer) < self.lead_priority());
         before.count() < LEADS_TOLD
     }
 
@@ -229,8 +236,8 @@
         let few = self.are_few(&entries);
         let group =
             present(&entries, now).filter(|(name, e)| (few || e.zone == self.zone) && open(name));
-        let first = group.min_by(|a, b| standing(a).cmp(&standing(b)))?;
-        let before = standing(&first) < self.standing();
+        let first = group.min_by(|a, b| lead_priority(a).cmp(&lead_priority(b)))?;
+        let before = lead_priority(&first) < self.lead_priority();
         Some((known_peer(first), before))
     }
 
@@ -240,13 +247,15 @@
     pub fn ancestors(&self) -> Vec<PeerRecord> {
         let entries = self.lock();
         let zone = entries.iter().filter(|(_, e)| e.zone == self.zone);
-        let mut before: Vec<_> = zone.filter(|p| standing(p) < self.standing()).collect();
-        before.sort_by(|a, b| standing(a).cmp(&standing(b)));
-        let mut place = before.len();
+        let mut before: Vec<_> = zone
+            .filter(|p| lead_priority(p) < self.lead_priority())
+            .collect();
+        before.sort_by(|a, b| lead_priority(a).cmp(&lead_priority(b)));
+        let mut index = before.len();
         let mut above = Vec::new();
-        while place > 0 {
-            place = (place - 1) / CHILDREN;
-            above.push(known_peer(before[place]));
+        while index > 0 {
+            index = (index - 1) / CHILDREN;
+            above.push(known_peer(before[index]));
         }
         above
     }
@@ -274,21 +283,21 @@
     pub fn pick(
         &self,
         leads: &BTreeSet<InstanceId>,
-        wanted: impl Fn(Place) -> bool,
-    ) -> Vec<(PeerRecord, Place)> {
+        wanted: impl Fn(PeerRelation) -> bool,
+    ) -> Vec<(PeerRecord, PeerRelation)> {
         let entries = self.lock();
         let few = self.are_few(&entries);
         let placed = entries.iter().enumerate().map(|(at, peer)| {
-            let place = Place {
+            let relation = PeerRelation {
                 at,
-                near: few || peer.1.zone == self.zone,
+                same_group: few || peer.1.zone == self.zone,
                 lead: leads.contains(peer.0),
             };
-            (peer, place)
+            (peer, relation)
         });
-        let picked = placed.filter(|(_, place)| wanted(*place));
+        let picked = placed.filter(|(_, relation)| wanted(*relation));
         picked
-            .map(|(peer, place)| (known_peer(peer), place))
+            .map(|(peer, relation)| (known_peer(peer), relation))
             .collect()
     }
 
@@ -315,7 +324,7 @@
     let mut zones: BTreeMap<&str, Vec<(&InstanceId, &Entry)>> = BTreeMap::new();
     for peer in peers {
         let first = zones.entry(&peer.1.zone).or_default();
-        let at = first.partition_point(|p| standing(p) < standing(&peer));
+        let at = first.partition_point(|p| lead_priority(p) < lead_priority(&peer));
         first.insert(at, peer);
         first.truncate(count);
     }
--- a/crates/firdock-node/src/peer/datagram.rs
+++ b/crates/firdock-node/src/peer/datagram.rs
@@ -38,7 +38,7 @@
         instance: peer.name.clone(),
         address: peer.address.to_string(),
         zone: peer.zone.clone(),
-        power: peer.power,
+        power: peer.millicores,
     }
 }
 
--- a/crates/firdock-node/src/peer/reads.rs
+++ b/crates/firdock-node/src/peer/reads.rs
@@ -23,7 +23,7 @@
 
 pub use self::due::{DueReads, ReadReason};
 use self::state::Inner;
-use super::book::Turn;
+use super::book::ReadTurn;
 use super::known::{Answer, PeerProcess};
 use super::topic::{Topic, TopicRecords, TopicSnapshot};
 use crate::clock::Clock;
@@ -279,17 +279,22 @@
 
     /// Gives what is due now, and when to look again if nothing is and no peer tells anything.
     #[must_use]
-    pub fn due_at(&self, now: Time, pause: Duration, turn: Turn) -> (DueReads, Time) {
-        self.lock().due(now, pause, turn)
+    pub fn due_at(&self, now: Time, pause: Duration, read_turn: ReadTurn) -> (DueReads, Time) {
+        self.lock().due(now, pause, read_turn)
     }
 
     /// Waits until this instance has to read, or a peer told something; tells what.
     ///
     /// `turn` gives this instance's part in the reading.
-    pub async fn due(&self, clock: Clock, pause: Duration, turn: impl Fn() -> Turn) -> DueReads {
+    pub async fn due(
+        &self,
+        clock: Clock,
+        pause: Duration,
+        read_turn: impl Fn() -> ReadTurn,
+    ) -> DueReads {
         loop {
             let now = clock.now();
-            let (due, next) = self.due_at(now, pause, turn());
+            let (due, next) = self.due_at(now, pause, read_turn());
             if due.any() {
                 return due;
             }
--- a/crates/firdock-node/src/peer/reads/due.rs
+++ b/crates/firdock-node/src/peer/reads/due.rs
@@ -9,7 +9,7 @@
 
 use firdock_policy::Time;
 
-use crate::peer::book::{Reader, Turn};
+use crate::peer::book::{ReadRole, ReadTurn};
 
 /// Least time between two reads, however often peers tell of news.
 const LEAST_PAUSE: Duration = Duration::from_millis(150);
@@ -115,14 +115,17 @@
     pub(super) fn next_read(
         &self,
         pause: Duration,
-        turn: Turn,
+        read_turn: ReadTurn,
         last: LastRead,
     ) -> (Time, ReadReason) {
         let earliest = last.at + LEAST_PAUSE;
-        let old = self.fresh_at + patience(pause, turn);
-        let (old, reason) = match turn.reader {
-            Reader::Site => (old.max(earliest), ReadReason::Turn),
-            _ => (old.max(last.next_turn(pause, turn)), ReadReason::Silence),
+        let old = self.fresh_at + patience(pause, read_turn);
+        let (old, reason) = match read_turn.role {
+            ReadRole::SiteLead => (old.max(earliest), ReadReason::Turn),
+            _ => (
+                old.max(last.next_turn(pause, read_turn)),
+                ReadReason::Silence,
+            ),
         };
         let news = self.news_since.map(|since| since + NEWS_PATIENCE);
         match news.map(|by| by.max(earliest)) {
@@ -143,11 +146,11 @@
 impl LastRead {
     /// Gives when an instance that hears of no read may read for itself: while all fail, each of a
     /// larger group waits for the turns of the others.
-    fn next_turn(self, pause: Duration, turn: Turn) -> Time {
+    fn next_turn(self, pause: Duration, read_turn: ReadTurn) -> Time {
         match self.failed_at {
             None => self.at + LEAST_PAUSE,
-            Some(at) if turn.reader == Reader::Member => {
-                at + pause.max(TURN_PAUSE * turn.of as u32)
+            Some(at) if read_turn.role == ReadRole::Member => {
+                at + pause.max(TURN_PAUSE * read_turn.group_size as u32)
             }
             Some(at) => at + pause,
         }
@@ -155,14 +158,15 @@
 }
 
 /// Gives the age at which an instance reads a topic for itself.
-fn patience(pause: Duration, turn: Turn) -> Duration {
-    match turn.reader {
-        Reader::Site => pause,
-        Reader::Group => pause.mul_f64(PATIENCE),
-        Reader::SmallMember => {
-            pause.mul_f64(PATIENCE) + SMALL_SPREAD * turn.place as u32 / turn.of as u32
+fn patience(pause: Duration, read_turn: ReadTurn) -> Duration {
+    match read_turn.role {
+        ReadRole::SiteLead => pause,
+        ReadRole::GroupLead => pause.mul_f64(PATIENCE),
+        ReadRole::SmallSiteMember => {
+            pause.mul_f64(PATIENCE)
+                + SMALL_SPREAD * read_turn.index as u32 / read_turn.group_size as u32
         }
-        Reader::Member => pause.mul_f64(MEMBER_PATIENCE) + TURN_PAUSE * turn.place as u32,
+        ReadRole::Member => pause.mul_f64(MEMBER_PATIENCE) + TURN_PAUSE * read_turn.index as u32,
     }
 }
 
--- a/crates/firdock-node/src/peer/reads/state.rs
+++ b/crates/firdock-node/src/peer/reads/state.rs
@@ -7,7 +7,7 @@
 use super::ReadState;
 use super::clocks::PeerClocks;
 use super::due::{DueReads, LastRead, QUEUE_PATIENCE, TopicAge, start_by};
-use crate::peer::book::Turn;
+use crate::peer::book::ReadTurn;
 use crate::peer::topic::{Topic, TopicRecords, TopicSnapshot};
 
 /// Time in which no instance read the list of endpoints that counts as an outage of it: longer
@@ -82,7 +82,12 @@
     }
 
     /// Gives what is due now, and when to look again if nothing is.
-    pub(super) fn due(&mut self, now: Time, pause: Duration, turn: Turn) -> (DueReads, Time) {
+    pub(super) fn due(
+        &mut self,
+        now: Time,
+        pause: Duration,
+        read_turn: ReadTurn,
+    ) -> (DueReads, Time) {
         if !self.told.is_empty() {
             return (DueReads::TOLD, now);
         }
@@ -103,8 +108,8 @@
             at: self.read_at,
             failed_at: self.failed_at,
         };
-        let (config_by, config) = self.config_age().next_read(pause, turn, last);
-        let (endpoints_by, endpoints) = self.endpoints_age().next_read(pause, turn, last);
+        let (config_by, config) = self.config_age().next_read(pause, read_turn, last);
+        let (endpoints_by, endpoints) = self.endpoints_age().next_read(pause, read_turn, last);
         let due = DueReads {
             config: (config_by <= now).then_some(config),
             endpoints: (endpoints_by <= now).then_some(endpoints),
--- a/crates/firdock-node/src/source.rs
+++ b/crates/firdock-node/src/source.rs
@@ -19,8 +19,8 @@
 use crate::clock::Clock;
 use crate::input::Input;
 use crate::peer::{
-    AppliedRecords, DueReads, PeerDirectory, PeerRecord, Power, ReadState, Reader, SharedReads,
-    Topic, TopicRecords,
+    AppliedRecords, DueReads, Millicores, PeerDirectory, PeerRecord, ReadRole, ReadState,
+    SharedReads, Topic, TopicRecords,
 };
 use crate::telemetry::{LineBudget, LineKind, Metrics};
 
@@ -190,8 +190,8 @@
     ///
     /// It has to after `pause` if it reads for its peers, and later if another one does.
     pub async fn due(&self, pause: Duration) -> DueReads {
-        let turn = || self.peers.turn(self.clock.now());
-        self.reads.due(self.clock, pause, turn).await
+        let read_turn = || self.peers.read_turn(self.clock.now());
+        self.reads.due(self.clock, pause, read_turn).await
     }
 
     /// Gives the records that peers read and told, in order.
@@ -224,7 +224,7 @@
     /// Tells whether this instance leads the site, so that it is the one that writes to the store.
     #[must_use]
     pub fn leads_site(&self) -> bool {
-        self.peers.turn(self.clock.now()).reader == Reader::Site
+        self.peers.read_turn(self.clock.now()).role == ReadRole::SiteLead
     }
 
     /// Tells what the store has of a roll-out.
@@ -279,8 +279,8 @@
 
     /// Gives the processor that this instance has, in thousandths of a core.
     #[must_use]
-    pub fn power(&self) -> Power {
-        self.peers.power()
+    pub fn millicores(&self) -> Millicores {
+        self.peers.millicores()
     }
 
     /// Tells that the platform's list of instances was read, and all in it were told.
--- a/crates/firdock-node/tests/node/fleet.rs
+++ b/crates/firdock-node/tests/node/fleet.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use firdock_node::peer::{
-    HeartbeatOutcome, PeerDirectory, PeerInfo, PeerRecord, Power, ReadReason, Reader, SharedReads,
-    Turn,
+    HeartbeatOutcome, Millicores, PeerDirectory, PeerInfo, PeerRecord, ReadReason, ReadRole,
+    ReadTurn, SharedReads,
 };
 
 use crate::starts::address;
@@ -18,17 +18,17 @@
         name: format!("front-{n:04}"),
         address: address(n),
         zone: format!("zone-{}", n % ZONES),
-        power: power(n),
+        millicores: millicores(n),
     }
 }
 
-fn power(n: usize) -> Power {
+fn millicores(n: usize) -> Millicores {
     if n < 10 * ZONES { 1_000 } else { 120 }
 }
 
 fn book_of(n: usize) -> PeerDirectory {
     let me = instance(n);
-    PeerDirectory::new(me.name, me.zone).with_power(me.power)
+    PeerDirectory::new(me.name, me.zone).with_millicores(me.millicores)
 }
 
 fn hear(book: &PeerDirectory, n: usize, now: Duration) -> HeartbeatOutcome {
@@ -40,7 +40,7 @@
     PeerInfo {
         name: &peer.name,
         zone: &peer.zone,
-        power: peer.power,
+        millicores: peer.millicores,
     }
 }
 
@@ -154,18 +154,22 @@
     assert!(book.is_small());
     book.note_known(985, START);
     assert!(!book.is_small());
-    assert_eq!(book.turn(START).reader, Reader::Group);
+    assert_eq!(book.read_turn(START).role, ReadRole::GroupLead);
 }
 
 #[test]
 fn one_that_waits_behind_many_reads_the_store_later() {
     let reads = SharedReads::default().with_peers_first(true);
     let pause = Duration::from_millis(600);
-    let (due, _) = reads.due_at(START, pause, Turn::alone());
+    let (due, _) = reads.due_at(START, pause, ReadTurn::alone());
     assert_eq!(due.config, None);
     reads.note_queued(START + Duration::from_millis(700));
     let due = |millis: u64| {
-        let (due, _) = reads.due_at(START + Duration::from_millis(millis), pause, Turn::alone());
+        let (due, _) = reads.due_at(
+            START + Duration::from_millis(millis),
+            pause,
+            ReadTurn::alone(),
+        );
         due.config
     };
     assert_eq!(due(900), None);
--- a/crates/firdock-node/tests/node/peers.rs
+++ b/crates/firdock-node/tests/node/peers.rs
@@ -7,8 +7,8 @@
 use firdock_core::settings::Settings;
 use firdock_node::clock::Clock;
 use firdock_node::peer::{
-    PeerDirectory, PeerInfo, PeerProcess, PeerRecord, Power, ReadState, Reader, SelfNews,
-    SharedReads, Topic, TopicRecords, Turn, bind_beacon_socket, seal,
+    Millicores, PeerDirectory, PeerInfo, PeerProcess, PeerRecord, ReadRole, ReadState, ReadTurn,
+    SelfNews, SharedReads, Topic, TopicRecords, bind_beacon_socket, seal,
 };
 use firdock_policy::{Event, Policy as _, PolicySettings, Scheduler};
 use firdock_wire::PROTOCOL;
@@ -187,7 +187,7 @@
     let party = Party::new(name, socket, clock, Vec::new());
     party.news.send_replace(news(4));
     let known = PeerRecord {
-        power: 0,
+        millicores: 0,
         name: other.0.to_owned(),
         address: other.1.local_addr().expect("an address"),
         zone: "zone".to_owned(),
@@ -401,7 +401,9 @@
     // Its heartbeat with the new offset asks for no read, since the changes are here.
     let heard = shared.hear(NOW, &p(), reads(5, 2, millis(9_500)));
     assert!(!heard.ask_state);
-    let due = shared.due(Clock::new(), millis(60_000), Turn::alone).await;
+    let due = shared
+        .due(Clock::new(), millis(60_000), ReadTurn::alone)
+        .await;
     assert!(
         due.told && due.endpoints.is_none() && due.config.is_none(),
         "{due:?}"
@@ -417,8 +419,12 @@
     assert_eq!(shared.own().endpoints_next, 2);
 }
 
-fn word<'a>(name: &'a str, zone: &'a str, power: Power) -> PeerInfo<'a> {
-    PeerInfo { name, zone, power }
+fn word<'a>(name: &'a str, zone: &'a str, millicores: Millicores) -> PeerInfo<'a> {
+    PeerInfo {
+        name,
+        zone,
+        millicores,
+    }
 }
 
 fn book(me: &str, zone: &str, others: &[(&str, &str)], now: Duration) -> PeerDirectory {
@@ -440,16 +446,16 @@
         others.map(|(name, zone)| (name.as_str(), *zone)).collect()
     };
     let now = millis(1_000);
-    let part = |me: &str, zone: &str| book(me, zone, &others(me), now).turn(now).reader;
-    assert_eq!(part("00", "east"), Reader::Site);
-    assert_eq!(part("01", "west"), Reader::Group);
-    assert_eq!(part("02", "east"), Reader::Member);
-    assert_eq!(part("19", "west"), Reader::Member);
+    let part = |me: &str, zone: &str| book(me, zone, &others(me), now).read_turn(now).role;
+    assert_eq!(part("00", "east"), ReadRole::SiteLead);
+    assert_eq!(part("01", "west"), ReadRole::GroupLead);
+    assert_eq!(part("02", "east"), ReadRole::Member);
+    assert_eq!(part("19", "west"), ReadRole::Member);
     let leads = book("19", "west", &others("19"), now).leads_of_all(now);
     let expected = ["00", "01", "02", "03"].map(str::to_owned);
     assert_eq!(leads, expected.into());
     let few = book("b", "west", &[("a", "east"), ("c", "west")], now);
-    assert_eq!(few.turn(now).reader, Reader::SmallMember);
+    assert_eq!(few.read_turn(now).role, ReadRole::SmallSiteMember);
     // The first one fell silent.
-    assert_eq!(few.turn(now + millis(1_300)).reader, Reader::Site);
+    assert_eq!(few.read_turn(now + millis(1_300)).role, ReadRole::SiteLead);
 }
--- a/crates/firdock-node/tests/node/placement.rs
+++ b/crates/firdock-node/tests/node/placement.rs
@@ -320,9 +320,16 @@
         for (name, port) in [("a", 1), ("c", 3)] {
             let address = ([127, 0, 0, 1], port).into();
             let zone = "zone";
-            let power = 0;
-            self.book
-                .hear(PeerInfo { name, zone, power }, address, self.now);
+            let millicores = 0;
+            self.book.hear(
+                PeerInfo {
+                    name,
+                    zone,
+                    millicores,
+                },
+                address,
+                self.now,
+            );
         }
     }
 
--- a/crates/firdock-node/tests/node/sharing.rs
+++ b/crates/firdock-node/tests/node/sharing.rs
@@ -4,8 +4,8 @@
 
 use firdock_node::clock::Clock;
 use firdock_node::peer::{
-    KeyedRecord, PeerDirectory, PeerInfo, PeerProcess, Power, ReadReason, ReadState, Reader,
-    SharedReads, Topic, TopicRecords, TopicSnapshot, Turn, bind_beacon_socket,
+    KeyedRecord, Millicores, PeerDirectory, PeerInfo, PeerProcess, ReadReason, ReadRole, ReadState,
+    ReadTurn, SharedReads, Topic, TopicRecords, TopicSnapshot, bind_beacon_socket,
 };
 use tokio::sync::watch;
 use uuid::Uuid;
@@ -41,9 +41,13 @@
     lead
 }
 
-fn member(place: usize, of: usize) -> Turn {
-    let reader = Reader::Member;
-    Turn { reader, place, of }
+fn member(index: usize, group_size: usize) -> ReadTurn {
+    let role = ReadRole::Member;
+    ReadTurn {
+        role,
+        index,
+        group_size,
+    }
 }
 
 /// Goes through an outage of the store of so many seconds that a group of instances sees; gives the
@@ -116,11 +120,14 @@
 #[test]
 fn a_start_reads_the_store_only_after_its_peers_were_asked() {
     let alone = SharedReads::default();
-    let (due, _) = alone.due_at(START, PAUSE, Turn::alone());
+    let (due, _) = alone.due_at(START, PAUSE, ReadTurn::alone());
     assert_eq!(due.config, Some(ReadReason::Start), "nobody can be asked");
     let asking = SharedReads::default().with_peers_first(true);
-    assert_eq!(asking.due_at(START, PAUSE, Turn::alone()).0.config, None);
-    let (due, _) = asking.due_at(START + millis(800), PAUSE, Turn::alone());
+    assert_eq!(
+        asking.due_at(START, PAUSE, ReadTurn::alone()).0.config,
+        None
+    );
+    let (due, _) = asking.due_at(START + millis(800), PAUSE, ReadTurn::alone());
     assert_eq!(due.endpoints, Some(ReadReason::Start));
 }
 
@@ -210,12 +217,25 @@
     drop((seed.events, starter.events));
 }
 
-fn book(me: &str, power: Power, others: &[(&str, Power)], now: Duration) -> PeerDirectory {
-    let book = PeerDirectory::new(me.to_owned(), "zone".to_owned()).with_power(power);
+fn book(
+    me: &str,
+    millicores: Millicores,
+    others: &[(&str, Millicores)],
+    now: Duration,
+) -> PeerDirectory {
+    let book = PeerDirectory::new(me.to_owned(), "zone".to_owned()).with_millicores(millicores);
     let address = "127.0.0.1:1".parse().expect("an address");
-    for (name, power) in others {
-        let (zone, power) = ("zone", *power);
-        book.hear(PeerInfo { name, zone, power }, address, now);
+    for (name, millicores) in others {
+        let (zone, millicores) = ("zone", *millicores);
+        book.hear(
+            PeerInfo {
+                name,
+                zone,
+                millicores,
+            },
+            address,
+            now,
+        );
     }
     book
 }
@@ -225,17 +245,19 @@
 fn the_strongest_leads_whatever_its_name() {
     for (size, at) in [(300, 299), (300, 150), (500, 3)] {
         let names: Vec<String> = (0..size).map(|n| format!("front-{n:04}")).collect();
-        let power = |n: usize| if n == at { 500 } else { 120 };
-        let others = |me: usize| -> Vec<(&str, Power)> {
+        let millicores = |n: usize| if n == at { 500 } else { 120 };
+        let others = |me: usize| -> Vec<(&str, Millicores)> {
             let all = names.iter().enumerate();
             let others = all.filter(|(n, _)| *n != me);
-            others.map(|(n, name)| (name.as_str(), power(n))).collect()
+            others
+                .map(|(n, name)| (name.as_str(), millicores(n)))
+                .collect()
         };
         let weak = usize::from(at == 0);
-        let strong_book = book(&names[at], power(at), &others(at), START);
-        assert_eq!(strong_book.turn(START).reader, Reader::Site);
-        let weak_book = book(&names[weak], power(weak), &others(weak), START);
-        assert_eq!(weak_book.turn(START).reader, Reader::Member);
+        let strong_book = book(&names[at], millicores(at), &others(at), START);
+        assert_eq!(strong_book.read_turn(START).role, ReadRole::SiteLead);
+        let weak_book = book(&names[weak], millicores(weak), &others(weak), START);
+        assert_eq!(weak_book.read_turn(START).role, ReadRole::Member);
         let (first, before) = weak_book.first_of_group(START, |_| true).expect("heard");
         assert!(first.name == names[at] && before);
         assert!(weak_book.leads_of_all(START).contains(&names[at]));
@@ -245,9 +267,12 @@
 #[test]
 fn among_equals_the_first_by_name_leads() {
     let first = book("a", 120, &[("b", 120), ("c", 120)], START);
-    assert_eq!(first.turn(START).reader, Reader::Site);
+    assert_eq!(first.read_turn(START).role, ReadRole::SiteLead);
     let second = book("b", 120, &[("a", 120), ("c", 120)], START);
-    assert_eq!(second.turn(START).place, 1);
+    assert_eq!(second.read_turn(START).index, 1);
     // It falls silent: the next one leads, and nobody goes back and forth while it is heard.
-    assert_eq!(second.turn(START + millis(1_300)).reader, Reader::Site);
+    assert_eq!(
+        second.read_turn(START + millis(1_300)).role,
+        ReadRole::SiteLead
+    );
 }
--- a/crates/firdock-node/tests/node/starts.rs
+++ b/crates/firdock-node/tests/node/starts.rs
@@ -10,7 +10,7 @@
 
 use firdock_node::clock::Clock;
 use firdock_node::peer::{
-    KeyedRecord, PeerDirectory, PeerRecord, Power, ReadState, Topic, TopicRecords,
+    KeyedRecord, Millicores, PeerDirectory, PeerRecord, ReadState, Topic, TopicRecords,
     bind_beacon_socket,
 };
 use tokio::net::UdpSocket;
@@ -38,18 +38,18 @@
         name: format!("front-{n:04}"),
         address: address(n),
         zone: format!("zone-{}", n % 4),
-        power: power(n),
+        millicores: millicores(n),
     }
 }
 
-fn power(n: usize) -> Power {
+fn millicores(n: usize) -> Millicores {
     if n.is_multiple_of(9) { 500 } else { 120 }
 }
 
 /// Gives whom instance `n` of `size` asks, nearest first.
 fn above(n: usize, size: usize) -> Vec<String> {
     let me = instance(n);
-    let book = PeerDirectory::new(me.name, me.zone).with_power(me.power);
+    let book = PeerDirectory::new(me.name, me.zone).with_millicores(me.millicores);
     for other in (0..size).filter(|other| *other != n) {
         book.know(instance(other), START);
     }
@@ -172,7 +172,7 @@
         name: "parent".to_owned(),
         address: parent_at,
         zone: "zone".to_owned(),
-        power: 500,
+        millicores: 500,
     };
     seed.book.know(stronger, clock.now());
     if parent_knows {
