--- a/crates/firdock-node/benches/calm.rs
+++ b/crates/firdock-node/benches/calm.rs
@@ -12,7 +12,7 @@
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use firdock_core::resource::{Catalog, Endpoint, EndpointKind, Resource, Service, Tier};
 use firdock_core::settings::Settings;
-use firdock_node::peer::SelfNews;
+use firdock_node::peer::SelfStatus;
 use firdock_node::telemetry::{Beliefs, EndpointList, LineBudget, silent};
 use firdock_policy::event::{PeerNews, PoolDemand};
 use firdock_policy::{Event, Mechanisms, Policy as _, PolicySettings, Scheduler};
@@ -105,7 +105,7 @@
 
 fn told_news(c: &mut Criterion) {
     by_size(c, "told_news", |s, _| {
-        black_box(SelfNews::new(s.tables(), NOW));
+        black_box(SelfStatus::new(s.tables(), NOW));
     });
 }
 
--- a/crates/firdock-node/src/driver.rs
+++ b/crates/firdock-node/src/driver.rs
@@ -27,7 +27,7 @@
 use crate::endpoint::run::{RunLimits, Since};
 use crate::exchange::{AnswerRoom, Exchange, Part};
 use crate::input::Input;
-use crate::peer::{self, Dialer, SelfNews};
+use crate::peer::{self, Dialer, SelfStatus};
 use crate::placement::Placement;
 use crate::site::Site;
 use crate::source::WantedRecords;
@@ -70,7 +70,7 @@
     /// Way back to the scheduler, for those tasks.
     pub inputs: mpsc::Sender<Input>,
     /// What peers are told of this instance.
-    pub news: watch::Sender<SelfNews>,
+    pub self_status: watch::Sender<SelfStatus>,
     /// States of roll-outs that are to be kept in the platform's store.
     pub records: watch::Sender<WantedRecords>,
     /// Turns true once a stopping instance has nothing left to do.
@@ -349,8 +349,8 @@
         let now = self.parts.clock.now();
         let placement = self.placement.as_ref();
         let work = placement.map_or_else(Vec::new, |p| p.work(now));
-        let news = SelfNews::new(t, now).with_work(work);
-        self.parts.news.send_replace(news);
+        let self_status = SelfStatus::new(t, now).with_work(work);
+        self.parts.self_status.send_replace(self_status);
         self.parts.room.tend();
     }
 
--- a/crates/firdock-node/src/edge.rs
+++ b/crates/firdock-node/src/edge.rs
@@ -25,7 +25,7 @@
 use crate::http::{ServerOptions, serve};
 use crate::input::{INPUTS_WAITING, Input};
 use crate::instance::{AbortOnPanic, StartError, open};
-use crate::peer::SelfNews;
+use crate::peer::SelfStatus;
 use crate::source::{ResourceSource, WantedRecords};
 use crate::telemetry::{LineBudget, silent};
 
@@ -92,7 +92,7 @@
         let (stop_door, door_stops) = watch::channel(false);
         let (stop_rest, rest_stops) = watch::channel(false);
         let (drained, drain_seen) = watch::channel(false);
-        let (news, news_seen) = watch::channel(SelfNews::default());
+        let (self_status, self_status_seen) = watch::channel(SelfStatus::default());
         let (records, records_wanted) = watch::channel(WantedRecords::default());
         let (changes, changes_told) = mpsc::channel(CHANGES_WAITING);
 
@@ -102,12 +102,12 @@
         parts.start_beacons(
             &socket,
             &inputs,
-            news_seen,
+            self_status_seen,
             changes_told,
             rest_stops.clone(),
         );
         let outlets = DriverOutlets {
-            news,
+            self_status,
             records,
             drained,
         };
--- a/crates/firdock-node/src/edge/parts.rs
+++ b/crates/firdock-node/src/edge/parts.rs
@@ -28,7 +28,8 @@
 use crate::input::Input;
 use crate::instance::{ListenSnafu, StartError, UnsetSnafu, open};
 use crate::peer::{
-    AppliedRecords, BeaconService, Dialer, PeerDirectory, SelfNews, SharedReads, bind_beacon_socket,
+    AppliedRecords, BeaconService, Dialer, PeerDirectory, SelfStatus, SharedReads,
+    bind_beacon_socket,
 };
 use crate::placement::{DatagramLink, Membership, Placement};
 use crate::site::Site;
@@ -64,7 +65,7 @@
 #[derive(Debug)]
 pub struct DriverOutlets {
     /// What peers are told of this instance.
-    pub news: watch::Sender<SelfNews>,
+    pub self_status: watch::Sender<SelfStatus>,
     /// States of roll-outs that are to be kept in the platform's store.
     pub records: watch::Sender<WantedRecords>,
     /// Turns true once a stopping instance has nothing left to do.
@@ -189,7 +190,7 @@
             lines: Arc::clone(&self.lines),
             runtime: Handle::current(),
             inputs: inputs.clone(),
-            news: told.news,
+            self_status: told.self_status,
             records: told.records,
             drained: told.drained,
         };
@@ -233,7 +234,7 @@
         &self,
         socket: &Arc<UdpSocket>,
         inputs: &mpsc::Sender<Input>,
-        news: watch::Receiver<SelfNews>,
+        self_status: watch::Receiver<SelfStatus>,
         changes: mpsc::Receiver<AppliedRecords>,
         stop: watch::Receiver<bool>,
     ) {
@@ -243,7 +244,7 @@
             key: self.key(),
             book: Arc::clone(&self.peers),
             reads: Arc::clone(&self.reads),
-            news,
+            self_status,
             changes,
             seeds: other_seeds(&self.settings),
             sums: Mutex::default(),
--- a/crates/firdock-node/src/instance.rs
+++ b/crates/firdock-node/src/instance.rs
@@ -23,7 +23,7 @@
 use crate::config::Hub;
 use crate::http::{ServerOptions, serve};
 use crate::input::{INPUTS_WAITING, Input};
-use crate::peer::{PeerServer, SelfNews, beat, serve_peers};
+use crate::peer::{PeerServer, SelfStatus, beat, serve_peers};
 use crate::telemetry::silent;
 
 /// Time in which the balancer notices that a stopping instance is not ready any more.
@@ -93,10 +93,10 @@
         let (stop_door, door_stops) = watch::channel(false);
         let (stop_rest, rest_stops) = watch::channel(false);
         let (drained, drain_seen) = watch::channel(false);
-        let (news, news_seen) = watch::channel(SelfNews::default());
+        let (self_status, self_status_seen) = watch::channel(SelfStatus::default());
 
         let mut threads = Vec::new();
-        let driver = parts.driver(&inputs, news, drained);
+        let driver = parts.driver(&inputs, self_status, drained);
         threads.push(spawn_driver(driver, waiting, rest_stops.clone())?);
         threads.extend(parts.platform_threads(&inputs)?);
         tokio::spawn(
@@ -108,7 +108,7 @@
         let heartbeat = s.peers.heartbeat();
         let beating = beat(
             parts.dialer.clone(),
-            news_seen,
+            self_status_seen,
             heartbeat,
             parts.clock,
             rest_stops.clone(),
--- a/crates/firdock-node/src/instance/parts.rs
+++ b/crates/firdock-node/src/instance/parts.rs
@@ -27,7 +27,7 @@
 use crate::exchange::AnswerRoom;
 use crate::input::Input;
 use crate::operator::{OperatorServer, Watchers, serve_operators};
-use crate::peer::{Dialer, SelfNews, ask_for_state};
+use crate::peer::{Dialer, SelfStatus, ask_for_state};
 use crate::platform::{HttpInstances, HttpLog};
 use crate::site::Site;
 use crate::source::WantedRecords;
@@ -103,7 +103,7 @@
     pub fn driver(
         &self,
         inputs: &mpsc::Sender<Input>,
-        news: watch::Sender<SelfNews>,
+        self_status: watch::Sender<SelfStatus>,
         drained: watch::Sender<bool>,
     ) -> Driver<OwnBackends<HttpEngine, HttpPlain>> {
         let settings = PolicySettings::new(&self.settings, self.member.incarnation);
@@ -122,7 +122,7 @@
             lines: Arc::clone(&self.lines),
             runtime: Handle::current(),
             inputs: inputs.clone(),
-            news,
+            self_status,
             // Orders come from a platform's source, which keeps their state.
             records: watch::channel(WantedRecords::default()).0,
             drained,
--- a/crates/firdock-node/src/peer.rs
+++ b/crates/firdock-node/src/peer.rs
@@ -28,7 +28,7 @@
 pub use datagram::{read_incarnation, seal};
 pub use dial::{DialError, Dialer};
 pub use hand_over::{Order, hand_over, read_reason};
-pub use heartbeat::{SelfNews, beat};
+pub use heartbeat::{SelfStatus, beat};
 pub use keys::transfer_keys;
 pub use known::{Answer, KnownState, PeerProcess, Question};
 pub use link::{Link, LinkError};
--- a/crates/firdock-node/src/peer/beacon.rs
+++ b/crates/firdock-node/src/peer/beacon.rs
@@ -35,7 +35,7 @@
 use self::usage::ToldUse;
 use super::book::{PeerDirectory, PeerRecord, ReadRole};
 use super::datagram::{seal, write_address, write_reads, write_uses};
-use super::heartbeat::{SelfNews, write_demand, write_work};
+use super::heartbeat::{SelfStatus, write_demand, write_work};
 use super::known::records_body;
 use super::parts::PartialAnswers;
 use super::reads::SharedReads;
@@ -95,7 +95,7 @@
     /// What this instance read of the platform's store, with what peers told of theirs.
     pub reads: Arc<SharedReads>,
     /// What this instance tells of itself.
-    pub news: watch::Receiver<SelfNews>,
+    pub self_status: watch::Receiver<SelfStatus>,
     /// Changes in the platform's store that this instance took, for its peers.
     pub changes: mpsc::Receiver<AppliedRecords>,
     /// Instances that are asked first at the start.
@@ -124,7 +124,7 @@
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         let mut known = None;
         let mut decides = None;
-        let mut news = self.news.clone();
+        let mut self_status = self.self_status.clone();
         let mut steps = Steps::default();
         let mut tick = 0;
         let mut answers = Answers::default();
@@ -165,7 +165,7 @@
                 () = sleep_until_due(answers.next(&self.reads, &self.book), now) => {
                     self.answer_next(&mut answers).await;
                 }
-                Some(new) = new_steps(&mut news, &steps) => {
+                Some(new) = new_steps(&mut self_status, &steps) => {
                     let own = new.suspected.own != steps.suspected.own;
                     steps = new;
                     self.send_step(own).await;
@@ -257,7 +257,7 @@
 
     /// Sends a beacon to an instance that was not heard before: what it may have missed goes with it.
     async fn send_first(&self, peer: &PeerRecord) {
-        let full = self.news.borrow().in_full();
+        let full = self.self_status.borrow().in_full();
         let beacon = Beacon {
             heartbeat: Some(full.message(self.clock.now(), 0)),
             ..self.beacon(&[], &ToldUse::Nothing)
@@ -299,14 +299,14 @@
     }
 
     fn beacon(&self, peers: &[PeerRecord], used: &ToldUse) -> Beacon {
-        let news = self.news.borrow();
+        let self_status = self.self_status.borrow();
         let now = self.clock.now();
-        let lead = self.lead_word(now, &news);
+        let lead = self.lead_word(now, &self_status);
         let leads = !self.book.is_small() && self.book.tells(now);
         let heartbeat = if leads {
-            news.as_lead().message(now, 0)
+            self_status.as_lead().message(now, 0)
         } else {
-            news.message(now, 0)
+            self_status.message(now, 0)
         };
         let start = usize::from(rand::random::<u16>()) % peers.len().max(1);
         let told = peers.iter().cycle().skip(start).take(peers.len());
@@ -315,7 +315,7 @@
             instance: self.member.name.clone(),
             incarnation: self.member.incarnation.as_bytes().to_vec(),
             heartbeat: Some(heartbeat),
-            used: write_uses(&news.used),
+            used: write_uses(&self_status.used),
             peers: told.take(MAX_TOLD).map(write_address).collect(),
             reads: Some(write_reads(self.reads.own())),
             group_heard: lead.group_heard as u32,
@@ -324,8 +324,8 @@
             site_known: lead.site_known as u32,
             group_demand: write_demand(&lead.group_demand),
             power: self.book.millicores(),
-            rollouts: write_words(&news.rollouts.words),
-            rollout_seen: write_seen(&news.rollouts.own),
+            rollouts: write_words(&self_status.rollouts.words),
+            rollout_seen: write_seen(&self_status.rollouts.own),
             group_rollout_seen: write_seen(&lead.group_seen),
             group_work: write_work(&lead.group_work),
             ..Beacon::default()
@@ -336,12 +336,12 @@
 
     /// Makes a beacon that tells that this instance is there, what it knows of the store and its demand.
     fn short_beacon(&self) -> Beacon {
-        let news = self.news.borrow();
+        let self_status = self.self_status.borrow();
         Beacon {
             protocol: PROTOCOL,
             instance: self.member.name.clone(),
             incarnation: self.member.incarnation.as_bytes().to_vec(),
-            heartbeat: Some(news.short_message()),
+            heartbeat: Some(self_status.short_message()),
             reads: Some(write_reads(self.reads.own())),
             power: self.book.millicores(),
             ..Beacon::default()
@@ -349,8 +349,8 @@
     }
 
     /// Gives what this instance tells of its group, nothing where it does not lead one or is to stop.
-    fn lead_word(&self, now: Time, news: &SelfNews) -> LeadWord {
-        if self.book.is_small() || news.draining || !self.book.tells(now) {
+    fn lead_word(&self, now: Time, self_status: &SelfStatus) -> LeadWord {
+        if self.book.is_small() || self_status.draining || !self.book.tells(now) {
             return LeadWord::default();
         }
         LeadWord {
@@ -358,9 +358,9 @@
             site_heard: self.book.site_heard(now),
             group_known: self.book.group_known(),
             site_known: self.book.site_known(now),
-            group_demand: self.book.group_demand(now, &news.demand),
-            group_seen: news.rollouts.group.clone(),
-            group_work: news.work.clone(),
+            group_demand: self.book.group_demand(now, &self_status.demand),
+            group_seen: self_status.rollouts.group.clone(),
+            group_work: self_status.work.clone(),
         }
     }
 
@@ -384,18 +384,20 @@
 }
 
 impl Steps {
-    fn new(news: &SelfNews) -> Self {
+    fn new(self_status: &SelfStatus) -> Self {
         Self {
-            stages: news.stages(),
-            suspected: news.suspected,
+            stages: self_status.stages(),
+            suspected: self_status.suspected,
         }
     }
 }
 
 /// Waits until things are not any more as they were `told`; gives how they are.
-async fn new_steps(news: &mut watch::Receiver<SelfNews>, told: &Steps) -> Option<Steps> {
-    let news = news.wait_for(|news| Steps::new(news) != *told).await;
-    news.ok().map(|news| Steps::new(&news))
+async fn new_steps(self_status: &mut watch::Receiver<SelfStatus>, told: &Steps) -> Option<Steps> {
+    let self_status = self_status
+        .wait_for(|self_status| Steps::new(self_status) != *told)
+        .await;
+    self_status.ok().map(|self_status| Steps::new(&self_status))
 }
 
 /// Waits until `due`; for ever where nothing is.
--- a/crates/firdock-node/src/peer/beacon/usage.rs
+++ b/crates/firdock-node/src/peer/beacon/usage.rs
@@ -72,7 +72,7 @@
         PeerUse {
             name: self.member.name.clone(),
             incarnation: self.member.incarnation,
-            used: self.news.borrow().used.clone(),
+            used: self.self_status.borrow().used.clone(),
         }
     }
 
--- a/crates/firdock-node/src/peer/heartbeat.rs
+++ b/crates/firdock-node/src/peer/heartbeat.rs
@@ -40,7 +40,7 @@
 
 /// What this instance tells of itself.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct SelfNews {
+pub struct SelfStatus {
     zone: ZoneId,
     held: Vec<u32>,
     pub(super) demand: Vec<PoolDemand>,
@@ -65,7 +65,7 @@
     pub(super) suspected: Revision,
 }
 
-impl SelfNews {
+impl SelfStatus {
     /// Takes the news from the scheduler's tables.
     #[must_use]
     pub fn new(t: &Tables, now: Time) -> Self {
@@ -235,7 +235,7 @@
 /// Keeps a beating link to every instance of the list, until `stop` turns true.
 pub async fn beat(
     dialer: Dialer,
-    news: watch::Receiver<SelfNews>,
+    self_status: watch::Receiver<SelfStatus>,
     pause: Duration,
     clock: Clock,
     mut stop: watch::Receiver<bool>,
@@ -261,7 +261,7 @@
                 tokio::spawn(beat_one(
                     dialer.clone(),
                     peer,
-                    news.clone(),
+                    self_status.clone(),
                     pause,
                     clock,
                     log.clone(),
@@ -277,7 +277,7 @@
 async fn beat_one(
     dialer: Dialer,
     peer: (InstanceId, SocketAddr),
-    news: watch::Receiver<SelfNews>,
+    self_status: watch::Receiver<SelfStatus>,
     pause: Duration,
     clock: Clock,
     log: Logger,
@@ -294,9 +294,9 @@
                 loop {
                     ticks.tick().await;
                     let told = if std::mem::take(&mut first) {
-                        news.borrow().in_full()
+                        self_status.borrow().in_full()
                     } else {
-                        news.borrow().clone()
+                        self_status.borrow().clone()
                     };
                     let log_next = dialer.hub().lock().state.next;
                     let beat = told.message(clock.now(), log_next);
--- a/crates/firdock-node/tests/node/party.rs
+++ b/crates/firdock-node/tests/node/party.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use firdock_node::clock::Clock;
-use firdock_node::peer::{BeaconService, PeerDirectory, SelfNews, SharedReads};
+use firdock_node::peer::{BeaconService, PeerDirectory, SelfStatus, SharedReads};
 use firdock_node::telemetry::silent;
 use firdock_policy::event::Member;
 use tokio::net::UdpSocket;
@@ -20,7 +20,7 @@
     pub book: Arc<PeerDirectory>,
     pub reads: Arc<SharedReads>,
     pub events: mpsc::Receiver<firdock_node::Input>,
-    pub news: watch::Sender<SelfNews>,
+    pub self_status: watch::Sender<SelfStatus>,
 }
 
 impl Party {
@@ -30,7 +30,7 @@
         let reads = SharedReads::default().with_peers_first(!seeds.is_empty());
         let reads = Arc::new(reads);
         let (inputs, events) = mpsc::channel(WAITING);
-        let (news, told) = watch::channel(SelfNews::default());
+        let (self_status, told) = watch::channel(SelfStatus::default());
         let beacons = BeaconService {
             socket: Arc::new(socket),
             member: Member {
@@ -40,7 +40,7 @@
             key: Arc::from(b"a key that all share".as_slice()),
             book: Arc::clone(&book),
             reads: Arc::clone(&reads),
-            news: told,
+            self_status: told,
             changes: mpsc::channel(1).1,
             seeds,
             sums: Mutex::default(),
@@ -56,7 +56,7 @@
             book,
             reads,
             events,
-            news,
+            self_status,
         }
     }
 }
--- a/crates/firdock-node/tests/node/peers.rs
+++ b/crates/firdock-node/tests/node/peers.rs
@@ -8,7 +8,7 @@
 use firdock_node::clock::Clock;
 use firdock_node::peer::{
     Millicores, PeerDirectory, PeerInfo, PeerProcess, PeerRecord, ReadRole, ReadState, ReadTurn,
-    SelfNews, SharedReads, Topic, TopicRecords, bind_beacon_socket, seal,
+    SelfStatus, SharedReads, Topic, TopicRecords, bind_beacon_socket, seal,
 };
 use firdock_policy::{Event, Policy as _, PolicySettings, Scheduler};
 use firdock_wire::PROTOCOL;
@@ -174,18 +174,18 @@
 }
 
 /// News of a scheduler that has taken `version`.
-fn news(version: u64) -> SelfNews {
+fn news(version: u64) -> SelfStatus {
     let settings = PolicySettings::new(&Settings::default(), INCARNATION);
     let mut scheduler = Scheduler::new(settings);
     let catalog = Event::Config(Arc::new(Catalog::new(version)));
     scheduler.step(millis(1), catalog, &mut Vec::new());
-    SelfNews::new(scheduler.tables(), millis(1))
+    SelfStatus::new(scheduler.tables(), millis(1))
 }
 
 /// An instance that tells what version 4 is in force, and knows of another.
 fn party(name: &str, socket: UdpSocket, clock: Clock, other: (&str, &UdpSocket)) -> Party {
     let party = Party::new(name, socket, clock, Vec::new());
-    party.news.send_replace(news(4));
+    party.self_status.send_replace(news(4));
     let known = PeerRecord {
         millicores: 0,
         name: other.0.to_owned(),
@@ -249,7 +249,7 @@
         }
     }
     assert_eq!(reach, [40]);
-    drop(party.news);
+    drop(party.self_status);
 }
 
 /// What accounts had of other groups' places is heard from those groups' leads alone, and figures that
@@ -302,7 +302,7 @@
         }
     }
     assert_eq!(heard, [("elsewhere".to_owned(), vec!["lead".to_owned()])]);
-    drop(party.news);
+    drop(party.self_status);
 }
 
 /// Leads that had all restarted at one moment did not hear each other for seconds, where the one's
@@ -333,7 +333,7 @@
     assert!(matches!(answer, Ok(Ok(_))), "no answer: {answer:?}");
     stop.send_replace(true);
     running.await.expect("the task ends");
-    drop((party.events, party.news));
+    drop((party.events, party.self_status));
 }
 
 /// Finding 2: an instance that had just read version 19 told it with the version of its last
@@ -375,7 +375,7 @@
     }
     assert!(heard > 0, "no heartbeat came");
     assert_eq!(second.reads.own().config_at, old);
-    drop((first.news, second.news));
+    drop((first.self_status, second.self_status));
 }
 
 fn changes(from: u64, next: u64) -> TopicRecords {
--- a/crates/firdock-node/tests/node/suspects.rs
+++ b/crates/firdock-node/tests/node/suspects.rs
@@ -5,7 +5,7 @@
 
 use firdock_core::Content;
 use firdock_core::settings::Settings;
-use firdock_node::peer::SelfNews;
+use firdock_node::peer::SelfStatus;
 use firdock_policy::suspect::{ToldEnd, ToldSuspect};
 use firdock_policy::{Event, Policy as _, PolicySettings, Scheduler};
 use prost::Message as _;
@@ -28,11 +28,11 @@
     }
 }
 
-fn news(suspects: Vec<ToldSuspect>) -> SelfNews {
+fn news(suspects: Vec<ToldSuspect>) -> SelfStatus {
     let settings = PolicySettings::new(&Settings::default(), Uuid::nil());
     let mut scheduler = Scheduler::new(settings);
     scheduler.step(NOW, Event::Suspected(suspects), &mut Vec::new());
-    SelfNews::new(scheduler.tables(), NOW)
+    SelfStatus::new(scheduler.tables(), NOW)
 }
 
 /// A datagram that is too long is not sent, and its sender would pass for silent: whatever is known of
