--- a/crates/firdock-node/src/edge/parts.rs
+++ b/crates/firdock-node/src/edge/parts.rs
@@ -242,7 +242,7 @@
             socket: Arc::clone(socket),
             member: self.member.clone(),
             key: self.key(),
-            book: Arc::clone(&self.peers),
+            directory: Arc::clone(&self.peers),
             reads: Arc::clone(&self.reads),
             self_status,
             changes,
--- a/crates/firdock-node/src/peer/beacon.rs
+++ b/crates/firdock-node/src/peer/beacon.rs
@@ -91,7 +91,7 @@
     /// Key that all instances share.
     pub key: Arc<[u8]>,
     /// The other instances.
-    pub book: Arc<PeerDirectory>,
+    pub directory: Arc<PeerDirectory>,
     /// What this instance read of the platform's store, with what peers told of theirs.
     pub reads: Arc<SharedReads>,
     /// What this instance tells of itself.
@@ -150,19 +150,19 @@
                     tick += 1;
                     decides = self.tell_decides(decides).await;
                     self.send(tick).await;
-                    if tick >= LIST_TICKS || self.book.was_listed() {
+                    if tick >= LIST_TICKS || self.directory.was_listed() {
                         known = self.count(known).await;
                     }
                 }
                 Some(taken) = self.changes.recv() => self.tell_changes(&taken).await,
-                () = self.book.first_listed() => {
+                () = self.directory.first_listed() => {
                     known = self.count(known).await;
                     self.send_at_once().await;
                 }
-                () = sleep_until_due(meeting.next(now, &self.reads, &self.book), now) => {
+                () = sleep_until_due(meeting.next(now, &self.reads, &self.directory), now) => {
                     self.ask_seed(&mut meeting).await;
                 }
-                () = sleep_until_due(answers.next(&self.reads, &self.book), now) => {
+                () = sleep_until_due(answers.next(&self.reads, &self.directory), now) => {
                     self.answer_next(&mut answers).await;
                 }
                 Some(new) = new_steps(&mut self_status, &steps) => {
@@ -179,7 +179,7 @@
 
     /// Tells the scheduler how many instances are known of, when that changed.
     async fn count(&self, before: Option<usize>) -> Option<usize> {
-        let known = Some(self.book.sweep(self.clock.now()));
+        let known = Some(self.directory.sweep(self.clock.now()));
         if let Some(count) = known.filter(|_| known != before) {
             info!(self.log, "instances known"; "count" => count, "before" => before);
             self.tell(Event::PeersKnown(count)).await;
@@ -190,9 +190,9 @@
     /// Sends the beacons that are due at a tick.
     async fn send(&self, tick: usize) {
         let now = self.clock.now();
-        let due = PeersDue::at(tick, &self.book, now);
+        let due = PeersDue::at(tick, &self.directory, now);
         let heard = if tick.is_multiple_of(TELL_EVERY) {
-            self.book.heard(now)
+            self.directory.heard(now)
         } else {
             Vec::new()
         };
@@ -208,7 +208,7 @@
         if peers.is_empty() {
             return;
         }
-        let beacon = if self.book.is_small() {
+        let beacon = if self.directory.is_small() {
             self.beacon(&[], &ToldUse::Nothing)
         } else {
             self.short_beacon()
@@ -218,7 +218,7 @@
 
     /// Sends beacons at a start or an end, which those that need to know hear of at once.
     async fn send_at_once(&self) {
-        let due = PeersDue::at_once(&self.book, self.clock.now());
+        let due = PeersDue::at_once(&self.directory, self.clock.now());
         self.send_all(&due.same_group, &[], &ToldUse::Nothing).await;
         self.send_all(&due.leads, &[], &ToldUse::Nothing).await;
     }
@@ -226,7 +226,7 @@
     /// Tells the scheduler whether this instance decides on roll-outs, when that changed: it leads the
     /// site, as far as it hears.
     async fn tell_decides(&self, before: Option<bool>) -> Option<bool> {
-        let decides = self.book.read_turn(self.clock.now()).role == ReadRole::SiteLead;
+        let decides = self.directory.read_turn(self.clock.now()).role == ReadRole::SiteLead;
         if before != Some(decides) {
             self.tell(Event::Decides(decides)).await;
         }
@@ -237,7 +237,7 @@
     /// that itself or tells its group: a version that was found bad, or such a request, should get nothing
     /// any more, wherever that is not known yet.
     async fn send_step(&self, own: bool) {
-        if own || self.book.tells(self.clock.now()) {
+        if own || self.directory.tells(self.clock.now()) {
             self.send_at_once().await;
         }
     }
@@ -275,17 +275,17 @@
     /// Tells changes in the platform's store to the peers that rely on this instance for them.
     async fn tell_changes(&self, taken: &AppliedRecords) {
         let now = self.clock.now();
-        if !taken.read_here && !self.book.leads(now) {
+        if !taken.read_here && !self.directory.leads(now) {
             return;
         }
         // What is too long for a datagram is asked for, or read.
         let Some(body) = records_body(&self.member, &taken.records) else {
             return;
         };
-        let leads = self.book.leads_of_all(now);
+        let leads = self.directory.leads_of_all(now);
         let sealed = seal(&self.key, body);
         for (peer, _) in self
-            .book
+            .directory
             .pick(&leads, |relation| relation.same_group || relation.lead)
         {
             self.send_to(&sealed, &peer.name, peer.address).await;
@@ -302,7 +302,7 @@
         let self_status = self.self_status.borrow();
         let now = self.clock.now();
         let lead = self.lead_word(now, &self_status);
-        let leads = !self.book.is_small() && self.book.tells(now);
+        let leads = !self.directory.is_small() && self.directory.tells(now);
         let heartbeat = if leads {
             self_status.as_lead().message(now, 0)
         } else {
@@ -323,7 +323,7 @@
             group_known: lead.group_known as u32,
             site_known: lead.site_known as u32,
             group_demand: write_demand(&lead.group_demand),
-            power: self.book.millicores(),
+            power: self.directory.millicores(),
             rollouts: write_words(&self_status.rollouts.words),
             rollout_seen: write_seen(&self_status.rollouts.own),
             group_rollout_seen: write_seen(&lead.group_seen),
@@ -343,22 +343,22 @@
             incarnation: self.member.incarnation.as_bytes().to_vec(),
             heartbeat: Some(self_status.short_message()),
             reads: Some(write_reads(self.reads.own())),
-            power: self.book.millicores(),
+            power: self.directory.millicores(),
             ..Beacon::default()
         }
     }
 
     /// Gives what this instance tells of its group, nothing where it does not lead one or is to stop.
     fn lead_word(&self, now: Time, self_status: &SelfStatus) -> LeadWord {
-        if self.book.is_small() || self_status.draining || !self.book.tells(now) {
+        if self.directory.is_small() || self_status.draining || !self.directory.tells(now) {
             return LeadWord::default();
         }
         LeadWord {
-            group_heard: self.book.group_heard(now),
-            site_heard: self.book.site_heard(now),
-            group_known: self.book.group_known(),
-            site_known: self.book.site_known(now),
-            group_demand: self.book.group_demand(now, &self_status.demand),
+            group_heard: self.directory.group_heard(now),
+            site_heard: self.directory.site_heard(now),
+            group_known: self.directory.group_known(),
+            site_known: self.directory.site_known(now),
+            group_demand: self.directory.group_demand(now, &self_status.demand),
             group_seen: self_status.rollouts.group.clone(),
             group_work: self_status.work.clone(),
         }
--- a/crates/firdock-node/src/peer/beacon/answer.rs
+++ b/crates/firdock-node/src/peer/beacon/answer.rs
@@ -108,8 +108,8 @@
     /// Gives when the next answer is due; `None` while nobody waits or not all is known.
     ///
     /// Who is told of few instances takes more of the accounts' limits for its own than it may.
-    pub(super) fn next(&self, reads: &SharedReads, book: &PeerDirectory) -> Option<Time> {
-        let can_answer = reads.is_known() && book.was_listed();
+    pub(super) fn next(&self, reads: &SharedReads, directory: &PeerDirectory) -> Option<Time> {
+        let can_answer = reads.is_known() && directory.was_listed();
         let due = can_answer && !self.waiting.is_empty();
         due.then_some(self.free_at)
     }
@@ -138,7 +138,7 @@
         let now = self.clock.now();
         answers.made.retain(|m| m.at + KEEP > now);
         let asked_for = question.lacking.take();
-        if !self.book.is_fleet() {
+        if !self.directory.is_fleet() {
             // All are told of all, by one answer for everyone.
             question.zone.clear();
         }
@@ -230,7 +230,7 @@
             reads,
             state,
             large,
-            known: 1 + self.book.count(now),
+            known: 1 + self.directory.count(now),
             parts,
         })
     }
@@ -239,9 +239,9 @@
     /// instances as well is told where else to ask for long topics.
     fn make(&self, question: &Question, now: Time) -> Option<(Vec<u8>, bool)> {
         let direct = question.whole || !question.instances || !question.topics;
-        if direct || !self.book.is_fleet() {
+        if direct || !self.directory.is_fleet() {
             let all = self.known_state(question, now).deflate()?;
-            if direct || all.len() <= DIRECT_BYTES || self.book.is_small() {
+            if direct || all.len() <= DIRECT_BYTES || self.directory.is_small() {
                 return Some((all, false));
             }
         }
@@ -269,14 +269,14 @@
 
     /// Gives the instances that one of `zone` is told of, this one among them.
     fn known_instances(&self, zone: &str, now: Time) -> Vec<PeerAddress> {
-        self.book.sweep(now);
-        let mut known = self.book.told_to(zone);
+        self.directory.sweep(now);
+        let mut known = self.directory.told_to(zone);
         if let Ok(address) = self.socket.local_addr() {
             known.push(PeerRecord {
                 name: self.member.name.clone(),
                 address,
-                zone: self.book.zone().to_owned(),
-                millicores: self.book.millicores(),
+                zone: self.directory.zone().to_owned(),
+                millicores: self.directory.millicores(),
             });
         }
         known.iter().map(write_address).collect()
--- a/crates/firdock-node/src/peer/beacon/due.rs
+++ b/crates/firdock-node/src/peer/beacon/due.rs
@@ -34,10 +34,10 @@
 impl PeersDue {
     /// Gives the peers that get a beacon at a tick: of many, every few ticks a part of them; the
     /// leads of groups get one at each.
-    pub fn at(tick: usize, book: &PeerDirectory, now: Time) -> Self {
-        let known = book.count(now);
-        let leads = book.leads_of_all(now);
-        let i_lead = book.tells(now);
+    pub fn at(tick: usize, directory: &PeerDirectory, now: Time) -> Self {
+        let known = directory.count(now);
+        let leads = directory.leads_of_all(now);
+        let i_lead = directory.tells(now);
         let near_pace = (known / NEAR_PEERS_A_TICK).max(1);
         let far_pace = far_pace(tick, known);
         let wanted = |relation: PeerRelation| {
@@ -50,7 +50,7 @@
             }
         };
         let mut due = Self::default();
-        for (peer, relation) in book.pick(&leads, wanted) {
+        for (peer, relation) in directory.pick(&leads, wanted) {
             match relation {
                 PeerRelation {
                     same_group: true, ..
@@ -68,11 +68,13 @@
     /// All of them would be some 300 times 300 datagrams where all instances start at one moment, each
     /// answered: seconds of work for an instance with an eighth of a core. The others hear within
     /// the first ticks, or by the leads.
-    pub fn at_once(book: &PeerDirectory, now: Time) -> Self {
-        let mut leads = book.leads_of_all(now);
-        leads.extend(book.likely_leads());
+    pub fn at_once(directory: &PeerDirectory, now: Time) -> Self {
+        let mut leads = directory.leads_of_all(now);
+        leads.extend(directory.likely_leads());
         let mut due = Self::default();
-        for (peer, relation) in book.pick(&leads, |relation| relation.same_group || relation.lead) {
+        for (peer, relation) in
+            directory.pick(&leads, |relation| relation.same_group || relation.lead)
+        {
             if relation.same_group {
                 due.same_group.push(peer);
             } else {
--- a/crates/firdock-node/src/peer/beacon/meet.rs
+++ b/crates/firdock-node/src/peer/beacon/meet.rs
@@ -87,17 +87,17 @@
         &mut self,
         now: Time,
         reads: &SharedReads,
-        book: &PeerDirectory,
+        directory: &PeerDirectory,
     ) -> Option<Time> {
         if self.seeds.is_empty() {
             return None;
         }
-        if self.asks == Asked::Seeds && reads.is_large() && book.was_listed() {
+        if self.asks == Asked::Seeds && reads.is_large() && directory.was_listed() {
             self.asks = Asked::Zone;
             self.started = now;
             self.asked = 0;
         }
-        let missing = !reads.is_known() || !book.was_listed();
+        let missing = !reads.is_known() || !directory.was_listed();
         let tries = match self.asks {
             Asked::Seeds => TRIES,
             Asked::Zone => usize::MAX,
@@ -111,7 +111,7 @@
 
     /// Gives whom to ask now: one that is above in the own zone, for what is long; who has nobody above,
     /// or nobody that answers, asks those that the platform names.
-    fn take_next(&mut self, now: Time, reads: &SharedReads, book: &PeerDirectory) -> Next {
+    fn take_next(&mut self, now: Time, reads: &SharedReads, directory: &PeerDirectory) -> Next {
         let again = self.again_at.is_some_and(|at| at <= now);
         if again {
             self.again_at = None;
@@ -129,7 +129,7 @@
                 whole: false,
             };
         }
-        let above = book.ancestors();
+        let above = directory.ancestors();
         let above = above.get(turn / TRIES_EACH).map(|peer| peer.address);
         Next {
             to: above.unwrap_or(seed),
@@ -143,14 +143,14 @@
     /// Asks the next of those that are likely to be up.
     pub(super) async fn ask_seed(&self, meeting: &mut Meeting) {
         let now = self.clock.now();
-        let next = meeting.take_next(now, &self.reads, &self.book);
+        let next = meeting.take_next(now, &self.reads, &self.directory);
         let question = Question {
             asked: now,
             topics: !self.reads.is_known(),
             instances: next.instances,
             whole: next.whole,
             lacking: self.partial().lacking(next.to),
-            zone: self.book.zone().to_owned(),
+            zone: self.directory.zone().to_owned(),
         };
         self.send_to(&seal(&self.key, question.body()), "", next.to)
             .await;
--- a/crates/firdock-node/src/peer/beacon/take.rs
+++ b/crates/firdock-node/src/peer/beacon/take.rs
@@ -81,9 +81,9 @@
         let instances = std::mem::take(&mut answer.instances);
         if !instances.is_empty() {
             self.know(instances, now);
-            self.book.note_listed();
+            self.directory.note_listed();
             if answer.known > 0 {
-                self.book.note_known(answer.known, now);
+                self.directory.note_known(answer.known, now);
             }
         }
         if answer.large {
@@ -105,7 +105,7 @@
                 zone: peer.zone,
                 millicores: peer.power,
             };
-            self.book.know(known, now);
+            self.directory.know(known, now);
         }
     }
 
@@ -150,13 +150,13 @@
         if let Some(reads) = beacon.reads {
             self.take_reads(&news, read_reads(reads), from).await;
         }
-        self.book.note_demand(&news.name, news.demand.clone());
+        self.directory.note_demand(&news.name, news.demand.clone());
         news.used = read_uses(beacon.used);
         for word in read_words(beacon.rollouts) {
             self.tell(Event::Rollout(word)).await;
         }
         news.seen = read_seen(beacon.rollout_seen);
-        let near = self.book.is_own_zone(&news.zone);
+        let near = self.directory.is_own_zone(&news.zone);
         if near {
             self.sums().hear_member(now, &news.own_use());
         }
@@ -200,15 +200,15 @@
         if beacon.group_heard == 0 || draining {
             return;
         }
-        if self.book.is_own_zone(zone) {
+        if self.directory.is_own_zone(zone) {
             self.tell(Event::Reach(beacon.site_heard as usize)).await;
             // Two leads that took each other's word would hold on to one that is long past.
-            if beacon.site_known > 0 && !self.book.tells(now) {
-                self.book.note_known(beacon.site_known as usize, now);
+            if beacon.site_known > 0 && !self.directory.tells(now) {
+                self.directory.note_known(beacon.site_known as usize, now);
             }
         } else {
             let known = beacon.group_known.max(beacon.group_heard);
-            self.book
+            self.directory
                 .note_group(zone, beacon.group_heard as usize, known as usize, now);
             let group = GroupDemand {
                 zone: zone.to_owned(),
@@ -223,8 +223,8 @@
                     .await;
             }
         }
-        if self.book.tells(now) {
-            let count = self.book.site_heard(now);
+        if self.directory.tells(now) {
+            let count = self.directory.site_heard(now);
             self.tell(Event::Reach(count)).await;
         }
     }
@@ -246,10 +246,10 @@
             let question = Question {
                 asked: now,
                 topics: true,
-                instances: !self.book.was_listed(),
+                instances: !self.directory.was_listed(),
                 whole: false,
                 lacking: self.partial().lacking(from),
-                zone: self.book.zone().to_owned(),
+                zone: self.directory.zone().to_owned(),
             };
             question.body()
         } else if heard.ask_clock && self.counts(&news.name, now) {
@@ -266,9 +266,9 @@
     ///
     /// Of hundreds, each would ask all others for their clocks after a start.
     fn counts(&self, name: &str, now: Time) -> bool {
-        self.book.is_small()
+        self.directory.is_small()
             || self.reads.is_aging(now)
-            || self.book.leads_of_all(now).contains(name)
+            || self.directory.leads_of_all(now).contains(name)
     }
 
     /// Notes the sender and the instances that it tells of; gives what follows for the sender, unless it
@@ -276,7 +276,7 @@
     fn note(&self, beacon: &Beacon, from: SocketAddr, now: Time) -> Option<HeartbeatOutcome> {
         let heartbeat = beacon.heartbeat.as_ref();
         let hearing = if heartbeat.is_some_and(|b| b.draining) {
-            self.book.forget(&beacon.instance, now);
+            self.directory.forget(&beacon.instance, now);
             None
         } else {
             let word = PeerInfo {
@@ -285,9 +285,9 @@
                 millicores: beacon.power,
             };
             let hearing = if beacon.group_heard > 0 {
-                self.book.hear_lead(word, from, now)
+                self.directory.hear_lead(word, from, now)
             } else {
-                self.book.hear(word, from, now)
+                self.directory.hear(word, from, now)
             };
             Some(hearing)
         };
--- a/crates/firdock-node/src/placement/member.rs
+++ b/crates/firdock-node/src/placement/member.rs
@@ -42,7 +42,7 @@
 pub struct Membership {
     me: Member,
     zone: ZoneId,
-    book: Arc<PeerDirectory>,
+    directory: Arc<PeerDirectory>,
     lead: Option<Lead>,
     shunned: BTreeMap<InstanceId, Time>,
     /// Whether the coordinator answers.
@@ -64,11 +64,11 @@
 impl Membership {
     /// Makes a member that has asked nobody yet.
     #[must_use]
-    pub fn new(me: Member, zone: ZoneId, book: Arc<PeerDirectory>, log: Logger) -> Self {
+    pub fn new(me: Member, zone: ZoneId, directory: Arc<PeerDirectory>, log: Logger) -> Self {
         Self {
             me,
             zone,
-            book,
+            directory,
             lead: None,
             shunned: BTreeMap::new(),
             answers: false,
@@ -232,7 +232,7 @@
 
     fn pick(&self, now: Time, draining: bool) -> Option<Lead> {
         let open = |name: &str| !self.shunned.contains_key(name);
-        let other = self.book.first_of_group(now, open);
+        let other = self.directory.first_of_group(now, open);
         let own = !draining;
         match other {
             Some((peer, before)) if !own || before => Some(Lead {
--- a/crates/firdock-node/tests/node/fleet.rs
+++ b/crates/firdock-node/tests/node/fleet.rs
@@ -26,14 +26,14 @@
     if n < 10 * ZONES { 1_000 } else { 120 }
 }
 
-fn book_of(n: usize) -> PeerDirectory {
+fn directory_of(n: usize) -> PeerDirectory {
     let me = instance(n);
     PeerDirectory::new(me.name, me.zone).with_millicores(me.millicores)
 }
 
-fn hear(book: &PeerDirectory, n: usize, now: Duration) -> HeartbeatOutcome {
+fn hear(directory: &PeerDirectory, n: usize, now: Duration) -> HeartbeatOutcome {
     let peer = instance(n);
-    book.hear(word(&peer), peer.address, now)
+    directory.hear(word(&peer), peer.address, now)
 }
 
 fn word(peer: &PeerRecord) -> PeerInfo<'_> {
@@ -50,20 +50,20 @@
 fn a_member_of_a_fleet_keeps_its_group_and_the_strongest_of_the_others() {
     for size in [985, 2_000] {
         let me = size - 1;
-        let book = book_of(me);
-        book.note_known(size, START);
+        let directory = directory_of(me);
+        directory.note_known(size, START);
         for n in (0..size).filter(|n| *n != me) {
-            book.know(instance(n), START);
-            hear(&book, n, START);
+            directory.know(instance(n), START);
+            hear(&directory, n, START);
         }
-        let others = book.sweep(START + Duration::from_secs(1));
+        let others = directory.sweep(START + Duration::from_secs(1));
         assert_eq!(others, size - 1, "it knows how many there are");
         let group = size.div_ceil(ZONES);
-        let kept = book.known().len();
+        let kept = directory.known().len();
         assert!(kept <= group + 4 * (ZONES - 1), "{kept} of {size}");
         let own = (0..size).filter(|n| n % ZONES == me % ZONES).count();
-        assert_eq!(book.group_known(), own);
-        let leads = book.leads_of_all(START);
+        assert_eq!(directory.group_known(), own);
+        let leads = directory.leads_of_all(START);
         let strongest = (0..2 * ZONES).map(|n| instance(n).name);
         assert!(leads.into_iter().eq(strongest));
     }
@@ -71,90 +71,90 @@
 
 #[test]
 fn up_to_some_hundreds_all_are_known() {
-    let book = book_of(300);
+    let directory = directory_of(300);
     for n in 0..300 {
-        book.know(instance(n), START);
-        assert_eq!(hear(&book, n, START), HeartbeatOutcome::First);
+        directory.know(instance(n), START);
+        assert_eq!(hear(&directory, n, START), HeartbeatOutcome::First);
     }
-    assert_eq!(book.sweep(START), 300);
-    assert_eq!(book.known().len(), 300);
+    assert_eq!(directory.sweep(START), 300);
+    assert_eq!(directory.known().len(), 300);
 }
 
 #[test]
 fn those_that_lead_another_group_in_place_of_the_fallen_are_heard() {
-    let book = book_of(984);
-    book.note_known(985, START);
+    let directory = directory_of(984);
+    directory.note_known(985, START);
     for n in 0..24 {
-        hear(&book, n, START);
+        hear(&directory, n, START);
     }
-    assert_eq!(hear(&book, 100, START), HeartbeatOutcome::NotKept);
+    assert_eq!(hear(&directory, 100, START), HeartbeatOutcome::NotKept);
     // The first four of each group fall; the next ones tell all leads that they know of.
     let later = START + Duration::from_secs(7);
     for n in 24..36 {
         let peer = instance(n);
-        let hearing = book.hear_lead(word(&peer), peer.address, later);
+        let hearing = directory.hear_lead(word(&peer), peer.address, later);
         assert_eq!(hearing, HeartbeatOutcome::First);
     }
-    book.sweep(later);
-    let leads = book.leads_of_all(later);
+    directory.sweep(later);
+    let leads = directory.leads_of_all(later);
     assert!(leads.into_iter().eq((24..36).map(|n| instance(n).name)));
-    let kept = book.known().len();
+    let kept = directory.known().len();
     assert!(kept <= 8 * ZONES, "{kept}");
 }
 
 #[test]
 fn how_many_there_are_is_known_by_the_groups_counts_once_the_list_is_old() {
     // A lead of its group, which nobody but the list told of all.
-    let book = book_of(0);
-    book.note_known(985, START);
+    let directory = directory_of(0);
+    directory.note_known(985, START);
     for n in (ZONES..600).step_by(ZONES) {
-        hear(&book, n, START);
+        hear(&directory, n, START);
     }
     for zone in 1..ZONES {
-        book.note_group(&format!("zone-{zone}"), 95, 100, START);
+        directory.note_group(&format!("zone-{zone}"), 95, 100, START);
     }
-    assert_eq!(book.sweep(START), 984);
+    assert_eq!(directory.sweep(START), 984);
     let later = START + Duration::from_secs(59);
     for n in (ZONES..600).step_by(ZONES) {
-        hear(&book, n, later);
+        hear(&directory, n, later);
     }
     for zone in 1..ZONES {
-        book.note_group(&format!("zone-{zone}"), 90, 100, later);
+        directory.note_group(&format!("zone-{zone}"), 90, 100, later);
     }
     // 385 were taken away: 100 are known in each group, of which other leads hear 90.
     let now = START + Duration::from_mins(1);
-    book.sweep(now);
-    assert_eq!(book.site_known(now), 600);
-    assert_eq!(book.site_heard(now), 100 + 5 * 90);
+    directory.sweep(now);
+    assert_eq!(directory.site_known(now), 600);
+    assert_eq!(directory.site_heard(now), 100 + 5 * 90);
 }
 
 #[test]
 fn who_read_the_list_tells_one_that_starts_of_its_group_and_of_the_strongest() {
-    let book = book_of(0);
-    book.note_known(985, START);
+    let directory = directory_of(0);
+    directory.note_known(985, START);
     for n in 0..985 {
-        book.know_listed(instance(n), START);
+        directory.know_listed(instance(n), START);
     }
-    book.sweep(START + Duration::from_secs(1));
-    let told = book.told_to("zone-3");
+    directory.sweep(START + Duration::from_secs(1));
+    let told = directory.told_to("zone-3");
     let (near, far): (Vec<_>, Vec<_>) = told.into_iter().partition(|p| p.zone == "zone-3");
     assert_eq!(near.len(), 164);
     assert_eq!(far.len(), 4 * (ZONES - 1));
     // Those that asked have their answers by now.
-    book.sweep(START + Duration::from_secs(11));
-    assert_eq!(book.known().len(), 164 + 4 * (ZONES - 1));
+    directory.sweep(START + Duration::from_secs(11));
+    assert_eq!(directory.known().len(), 164 + 4 * (ZONES - 1));
 }
 
 #[test]
 fn a_group_of_few_in_a_fleet_is_no_small_site() {
-    let book = book_of(1);
+    let directory = directory_of(1);
     for n in [0, 2, 3, 7, 13] {
-        hear(&book, n, START);
+        hear(&directory, n, START);
     }
-    assert!(book.is_small());
-    book.note_known(985, START);
-    assert!(!book.is_small());
-    assert_eq!(book.read_turn(START).role, ReadRole::GroupLead);
+    assert!(directory.is_small());
+    directory.note_known(985, START);
+    assert!(!directory.is_small());
+    assert_eq!(directory.read_turn(START).role, ReadRole::GroupLead);
 }
 
 #[test]
--- a/crates/firdock-node/tests/node/party.rs
+++ b/crates/firdock-node/tests/node/party.rs
@@ -17,7 +17,7 @@
 
 pub struct Party {
     pub beacons: BeaconService,
-    pub book: Arc<PeerDirectory>,
+    pub directory: Arc<PeerDirectory>,
     pub reads: Arc<SharedReads>,
     pub events: mpsc::Receiver<firdock_node::Input>,
     pub self_status: watch::Sender<SelfStatus>,
@@ -26,7 +26,7 @@
 impl Party {
     /// Makes an instance that asks `seeds` at its start, if there are any.
     pub fn new(name: &str, socket: UdpSocket, clock: Clock, seeds: Vec<SocketAddr>) -> Self {
-        let book = Arc::new(PeerDirectory::new(name.to_owned(), "zone".to_owned()));
+        let directory = Arc::new(PeerDirectory::new(name.to_owned(), "zone".to_owned()));
         let reads = SharedReads::default().with_peers_first(!seeds.is_empty());
         let reads = Arc::new(reads);
         let (inputs, events) = mpsc::channel(WAITING);
@@ -38,7 +38,7 @@
                 incarnation: Uuid::now_v7(),
             },
             key: Arc::from(b"a key that all share".as_slice()),
-            book: Arc::clone(&book),
+            directory: Arc::clone(&directory),
             reads: Arc::clone(&reads),
             self_status: told,
             changes: mpsc::channel(1).1,
@@ -53,7 +53,7 @@
         };
         Self {
             beacons,
-            book,
+            directory,
             reads,
             events,
             self_status,
--- a/crates/firdock-node/tests/node/peers.rs
+++ b/crates/firdock-node/tests/node/peers.rs
@@ -192,7 +192,7 @@
         address: other.1.local_addr().expect("an address"),
         zone: "zone".to_owned(),
     };
-    party.book.know(known, clock.now());
+    party.directory.know(known, clock.now());
     party
 }
 
@@ -209,11 +209,11 @@
     // So many of its group are heard before it that it does not lead.
     for n in 0..20 {
         let address = ([127, 0, 0, 1], 1).into();
-        let (book, now) = (&party.beacons.book, party.beacons.clock.now());
+        let (directory, now) = (&party.beacons.directory, party.beacons.clock.now());
         let name = format!("m-{n}");
-        book.hear(word(&name, "zone", 0), address, now);
+        directory.hear(word(&name, "zone", 0), address, now);
         let name = format!("m-{n}");
-        book.hear(word(&name, "zone", 0), address, now);
+        directory.hear(word(&name, "zone", 0), address, now);
     }
     let key = Arc::clone(&party.beacons.key);
     let (stop, stops) = watch::channel(false);
@@ -427,13 +427,13 @@
     }
 }
 
-fn book(me: &str, zone: &str, others: &[(&str, &str)], now: Duration) -> PeerDirectory {
-    let book = PeerDirectory::new(me.to_owned(), zone.to_owned());
+fn directory(me: &str, zone: &str, others: &[(&str, &str)], now: Duration) -> PeerDirectory {
+    let directory = PeerDirectory::new(me.to_owned(), zone.to_owned());
     let address = "127.0.0.1:1".parse().expect("an address");
     for (name, zone) in others {
-        book.hear(word(name, zone, 0), address, now);
+        directory.hear(word(name, zone, 0), address, now);
     }
-    book
+    directory
 }
 
 #[test]
@@ -446,15 +446,15 @@
         others.map(|(name, zone)| (name.as_str(), *zone)).collect()
     };
     let now = millis(1_000);
-    let part = |me: &str, zone: &str| book(me, zone, &others(me), now).read_turn(now).role;
+    let part = |me: &str, zone: &str| directory(me, zone, &others(me), now).read_turn(now).role;
     assert_eq!(part("00", "east"), ReadRole::SiteLead);
     assert_eq!(part("01", "west"), ReadRole::GroupLead);
     assert_eq!(part("02", "east"), ReadRole::Member);
     assert_eq!(part("19", "west"), ReadRole::Member);
-    let leads = book("19", "west", &others("19"), now).leads_of_all(now);
+    let leads = directory("19", "west", &others("19"), now).leads_of_all(now);
     let expected = ["00", "01", "02", "03"].map(str::to_owned);
     assert_eq!(leads, expected.into());
-    let few = book("b", "west", &[("a", "east"), ("c", "west")], now);
+    let few = directory("b", "west", &[("a", "east"), ("c", "west")], now);
     assert_eq!(few.read_turn(now).role, ReadRole::SmallSiteMember);
     // The first one fell silent.
     assert_eq!(few.read_turn(now + millis(1_300)).role, ReadRole::SiteLead);
--- a/crates/firdock-node/tests/node/placement.rs
+++ b/crates/firdock-node/tests/node/placement.rs
@@ -292,23 +292,23 @@
 struct Asking {
     member: Membership,
     scheduler: Scheduler,
-    book: Arc<PeerDirectory>,
+    directory: Arc<PeerDirectory>,
     now: Time,
 }
 
 impl Asking {
     fn new() -> Self {
-        let book = Arc::new(PeerDirectory::new("b".to_owned(), "zone".to_owned()));
+        let directory = Arc::new(PeerDirectory::new("b".to_owned(), "zone".to_owned()));
         let me = Member {
             name: "b".to_owned(),
             incarnation: Uuid::from_u128(2),
         };
         let zone = "zone".to_owned();
-        let member = Membership::new(me, zone, Arc::clone(&book), silent());
+        let member = Membership::new(me, zone, Arc::clone(&directory), silent());
         let mut asking = Self {
             member,
             scheduler: Scheduler::new(policy()),
-            book,
+            directory,
             now: millis(1_000),
         };
         asking.step(catalog());
@@ -321,7 +321,7 @@
             let address = ([127, 0, 0, 1], port).into();
             let zone = "zone";
             let millicores = 0;
-            self.book.hear(
+            self.directory.hear(
                 PeerInfo {
                     name,
                     zone,
--- a/crates/firdock-node/tests/node/sharing.rs
+++ b/crates/firdock-node/tests/node/sharing.rs
@@ -185,7 +185,7 @@
         tokio::spawn(starter.beacons.run(stops)),
     ];
     tokio::time::sleep(millis(100)).await;
-    assert!(!starter.book.was_listed(), "nothing is known yet");
+    assert!(!starter.directory.was_listed(), "nothing is known yet");
     let read_at = clock.now();
     for topic in Topic::ALL {
         let value = [record("key", Some("a value"))];
@@ -197,7 +197,7 @@
         let _ = seed.reads.keep(&new);
     }
     seed.reads.note(read_at, known(5, 9, read_at));
-    seed.book.note_listed();
+    seed.directory.note_listed();
     tokio::time::sleep(millis(600)).await;
     let told = starter.reads.take_told();
     // Nobody takes them here, so that it asked again.
@@ -209,7 +209,7 @@
     assert!(told.iter().all(|t| t.from.is_none() && t.next == 9));
     let early = told[0].read_at <= read_at && read_at < told[0].read_at + millis(700);
     assert!(early, "{:?} of {read_at:?}", told[0].read_at);
-    assert!(starter.book.was_listed());
+    assert!(starter.directory.was_listed());
     stop.send_replace(true);
     for task in running {
         task.await.expect("the task ends");
@@ -217,17 +217,18 @@
     drop((seed.events, starter.events));
 }
 
-fn book(
+fn directory(
     me: &str,
     millicores: Millicores,
     others: &[(&str, Millicores)],
     now: Duration,
 ) -> PeerDirectory {
-    let book = PeerDirectory::new(me.to_owned(), "zone".to_owned()).with_millicores(millicores);
+    let directory =
+        PeerDirectory::new(me.to_owned(), "zone".to_owned()).with_millicores(millicores);
     let address = "127.0.0.1:1".parse().expect("an address");
     for (name, millicores) in others {
         let (zone, millicores) = ("zone", *millicores);
-        book.hear(
+        directory.hear(
             PeerInfo {
                 name,
                 zone,
@@ -237,7 +238,7 @@
             now,
         );
     }
-    book
+    directory
 }
 
 /// One instance in sixteen has four times the processor of the others, and its name says nothing.
@@ -254,21 +255,23 @@
                 .collect()
         };
         let weak = usize::from(at == 0);
-        let strong_book = book(&names[at], millicores(at), &others(at), START);
-        assert_eq!(strong_book.read_turn(START).role, ReadRole::SiteLead);
-        let weak_book = book(&names[weak], millicores(weak), &others(weak), START);
-        assert_eq!(weak_book.read_turn(START).role, ReadRole::Member);
-        let (first, before) = weak_book.first_of_group(START, |_| true).expect("heard");
+        let strong_directory = directory(&names[at], millicores(at), &others(at), START);
+        assert_eq!(strong_directory.read_turn(START).role, ReadRole::SiteLead);
+        let weak_directory = directory(&names[weak], millicores(weak), &others(weak), START);
+        assert_eq!(weak_directory.read_turn(START).role, ReadRole::Member);
+        let (first, before) = weak_directory
+            .first_of_group(START, |_| true)
+            .expect("heard");
         assert!(first.name == names[at] && before);
-        assert!(weak_book.leads_of_all(START).contains(&names[at]));
+        assert!(weak_directory.leads_of_all(START).contains(&names[at]));
     }
 }
 
 #[test]
 fn among_equals_the_first_by_name_leads() {
-    let first = book("a", 120, &[("b", 120), ("c", 120)], START);
+    let first = directory("a", 120, &[("b", 120), ("c", 120)], START);
     assert_eq!(first.read_turn(START).role, ReadRole::SiteLead);
-    let second = book("b", 120, &[("a", 120), ("c", 120)], START);
+    let second = directory("b", 120, &[("a", 120), ("c", 120)], START);
     assert_eq!(second.read_turn(START).index, 1);
     // It falls silent: the next one leads, and nobody goes back and forth while it is heard.
     assert_eq!(
--- a/crates/firdock-node/tests/node/starts.rs
+++ b/crates/firdock-node/tests/node/starts.rs
@@ -49,11 +49,11 @@
 /// Gives whom instance `n` of `size` asks, nearest first.
 fn above(n: usize, size: usize) -> Vec<String> {
     let me = instance(n);
-    let book = PeerDirectory::new(me.name, me.zone).with_millicores(me.millicores);
+    let directory = PeerDirectory::new(me.name, me.zone).with_millicores(me.millicores);
     for other in (0..size).filter(|other| *other != n) {
-        book.know(instance(other), START);
+        directory.know(instance(other), START);
     }
-    book.ancestors().into_iter().map(|p| p.name).collect()
+    directory.ancestors().into_iter().map(|p| p.name).collect()
 }
 
 #[test]
@@ -143,7 +143,7 @@
             steady_since: Duration::ZERO,
         },
     );
-    party.book.note_listed();
+    party.directory.note_listed();
 }
 
 async fn socket() -> (UdpSocket, SocketAddr) {
@@ -166,7 +166,7 @@
     knows(&seed, endpoints, clock);
     for n in 0..20 {
         // Others, so that the site is no small one; they are in other zones.
-        seed.book.know(instance(n), clock.now());
+        seed.directory.know(instance(n), clock.now());
     }
     let stronger = PeerRecord {
         name: "parent".to_owned(),
@@ -174,7 +174,7 @@
         zone: "zone".to_owned(),
         millicores: 500,
     };
-    seed.book.know(stronger, clock.now());
+    seed.directory.know(stronger, clock.now());
     if parent_knows {
         knows(&parent, endpoints, clock);
     }
