--- a/crates/firdock-node/src/edge/parts.rs
+++ b/crates/firdock-node/src/edge/parts.rs
@@ -123,7 +123,7 @@
                 PeerDirectory::new(name, settings.instance.zone.clone())
                     .with_millicores(settings.instance.millicores()),
             ),
-            reads: Arc::new(SharedReads::default().with_peers_first(asks_first(settings))),
+            reads: Arc::new(SharedReads::default().with_asks_peers_first(asks_first(settings))),
             log,
             lines,
         }
--- a/crates/firdock-node/src/peer/beacon.rs
+++ b/crates/firdock-node/src/peer/beacon.rs
@@ -60,19 +60,19 @@
     /// The records.
     pub records: TopicRecords,
     /// Whether it read them itself; what a peer told is passed on by those that lead alone.
-    pub read_here: bool,
+    pub read_locally: bool,
 }
 
 /// What the lead of a group tells of it.
 #[derive(Debug, Default)]
 struct LeadWord {
     /// Instances of the group that it hears.
-    group_heard: usize,
+    group_live: usize,
     /// Instances of all groups that their leads hear.
-    site_heard: usize,
+    site_live: usize,
     /// The same of those that it knows of, heard or not.
-    group_known: usize,
-    site_known: usize,
+    group_size: usize,
+    site_size: usize,
     /// Demand of the group.
     group_demand: Vec<PoolDemand>,
     /// What the group saw of roll-outs.
@@ -130,7 +130,7 @@
         let mut answers = Answers::default();
         let mut meeting = Meeting::new(
             self.clock.now(),
-            self.reads.asks_first(),
+            self.reads.asks_peers_first(),
             self.seeds.clone(),
             &self.member.name,
         );
@@ -150,12 +150,12 @@
                     tick += 1;
                     decides = self.tell_decides(decides).await;
                     self.send(tick).await;
-                    if tick >= LIST_TICKS || self.directory.was_listed() {
+                    if tick >= LIST_TICKS || self.directory.is_listed() {
                         known = self.count(known).await;
                     }
                 }
                 Some(taken) = self.changes.recv() => self.tell_changes(&taken).await,
-                () = self.directory.first_listed() => {
+                () = self.directory.wait_until_listed() => {
                     known = self.count(known).await;
                     self.send_at_once().await;
                 }
@@ -170,7 +170,7 @@
                     steps = new;
                     self.send_step(own).await;
                 }
-                () = self.reads.known_more() => {}
+                () = self.reads.wait_for_change() => {}
                 () = stopped(&mut stop) => break,
             }
         }
@@ -192,7 +192,7 @@
         let now = self.clock.now();
         let due = PeersDue::at(tick, &self.directory, now);
         let heard = if tick.is_multiple_of(TELL_EVERY) {
-            self.directory.heard(now)
+            self.directory.live_peers(now)
         } else {
             Vec::new()
         };
@@ -208,7 +208,7 @@
         if peers.is_empty() {
             return;
         }
-        let beacon = if self.directory.is_small() {
+        let beacon = if self.directory.is_single_group() {
             self.beacon(&[], &ToldUse::Nothing)
         } else {
             self.short_beacon()
@@ -237,7 +237,7 @@
     /// that itself or tells its group: a version that was found bad, or such a request, should get nothing
     /// any more, wherever that is not known yet.
     async fn send_step(&self, own: bool) {
-        if own || self.directory.tells(self.clock.now()) {
+        if own || self.directory.is_reporter(self.clock.now()) {
             self.send_at_once().await;
         }
     }
@@ -275,14 +275,14 @@
     /// Tells changes in the platform's store to the peers that rely on this instance for them.
     async fn tell_changes(&self, taken: &AppliedRecords) {
         let now = self.clock.now();
-        if !taken.read_here && !self.directory.leads(now) {
+        if !taken.read_locally && !self.directory.is_lead(now) {
             return;
         }
         // What is too long for a datagram is asked for, or read.
         let Some(body) = records_body(&self.member, &taken.records) else {
             return;
         };
-        let leads = self.directory.leads_of_all(now);
+        let leads = self.directory.group_leads(now);
         let sealed = seal(&self.key, body);
         for (peer, _) in self
             .directory
@@ -302,7 +302,7 @@
         let self_status = self.self_status.borrow();
         let now = self.clock.now();
         let lead = self.lead_word(now, &self_status);
-        let leads = !self.directory.is_small() && self.directory.tells(now);
+        let leads = !self.directory.is_single_group() && self.directory.is_reporter(now);
         let heartbeat = if leads {
             self_status.as_lead().message(now, 0)
         } else {
@@ -318,10 +318,10 @@
             used: write_uses(&self_status.used),
             peers: told.take(MAX_TOLD).map(write_address).collect(),
             reads: Some(write_reads(self.reads.own())),
-            group_heard: lead.group_heard as u32,
-            site_heard: lead.site_heard as u32,
-            group_known: lead.group_known as u32,
-            site_known: lead.site_known as u32,
+            group_heard: lead.group_live as u32,
+            site_heard: lead.site_live as u32,
+            group_known: lead.group_size as u32,
+            site_known: lead.site_size as u32,
             group_demand: write_demand(&lead.group_demand),
             power: self.directory.millicores(),
             rollouts: write_words(&self_status.rollouts.words),
@@ -350,14 +350,17 @@
 
     /// Gives what this instance tells of its group, nothing where it does not lead one or is to stop.
     fn lead_word(&self, now: Time, self_status: &SelfStatus) -> LeadWord {
-        if self.directory.is_small() || self_status.draining || !self.directory.tells(now) {
+        if self.directory.is_single_group()
+            || self_status.draining
+            || !self.directory.is_reporter(now)
+        {
             return LeadWord::default();
         }
         LeadWord {
-            group_heard: self.directory.group_heard(now),
-            site_heard: self.directory.site_heard(now),
-            group_known: self.directory.group_known(),
-            site_known: self.directory.site_known(now),
+            group_live: self.directory.group_live(now),
+            site_live: self.directory.site_live(now),
+            group_size: self.directory.group_size(),
+            site_size: self.directory.site_size(now),
             group_demand: self.directory.group_demand(now, &self_status.demand),
             group_seen: self_status.rollouts.group.clone(),
             group_work: self_status.work.clone(),
--- a/crates/firdock-node/src/peer/beacon/answer.rs
+++ b/crates/firdock-node/src/peer/beacon/answer.rs
@@ -109,7 +109,7 @@
     ///
     /// Who is told of few instances takes more of the accounts' limits for its own than it may.
     pub(super) fn next(&self, reads: &SharedReads, directory: &PeerDirectory) -> Option<Time> {
-        let can_answer = reads.is_known() && directory.was_listed();
+        let can_answer = reads.is_known() && directory.is_listed();
         let due = can_answer && !self.waiting.is_empty();
         due.then_some(self.free_at)
     }
@@ -138,7 +138,7 @@
         let now = self.clock.now();
         answers.made.retain(|m| m.at + KEEP > now);
         let asked_for = question.lacking.take();
-        if !self.directory.is_fleet() {
+        if !self.directory.is_partial() {
             // All are told of all, by one answer for everyone.
             question.zone.clear();
         }
@@ -239,9 +239,9 @@
     /// instances as well is told where else to ask for long topics.
     fn make(&self, question: &Question, now: Time) -> Option<(Vec<u8>, bool)> {
         let direct = question.whole || !question.instances || !question.topics;
-        if direct || !self.directory.is_fleet() {
+        if direct || !self.directory.is_partial() {
             let all = self.known_state(question, now).deflate()?;
-            if direct || all.len() <= DIRECT_BYTES || self.directory.is_small() {
+            if direct || all.len() <= DIRECT_BYTES || self.directory.is_single_group() {
                 return Some((all, false));
             }
         }
@@ -270,7 +270,7 @@
     /// Gives the instances that one of `zone` is told of, this one among them.
     fn known_instances(&self, zone: &str, now: Time) -> Vec<PeerAddress> {
         self.directory.sweep(now);
-        let mut known = self.directory.told_to(zone);
+        let mut known = self.directory.peers_for_zone(zone);
         if let Ok(address) = self.socket.local_addr() {
             known.push(PeerRecord {
                 name: self.member.name.clone(),
--- a/crates/firdock-node/src/peer/beacon/due.rs
+++ b/crates/firdock-node/src/peer/beacon/due.rs
@@ -36,8 +36,8 @@
     /// leads of groups get one at each.
     pub fn at(tick: usize, directory: &PeerDirectory, now: Time) -> Self {
         let known = directory.count(now);
-        let leads = directory.leads_of_all(now);
-        let i_lead = directory.tells(now);
+        let leads = directory.group_leads(now);
+        let i_lead = directory.is_reporter(now);
         let near_pace = (known / NEAR_PEERS_A_TICK).max(1);
         let far_pace = far_pace(tick, known);
         let wanted = |relation: PeerRelation| {
@@ -69,8 +69,8 @@
     /// answered: seconds of work for an instance with an eighth of a core. The others hear within
     /// the first ticks, or by the leads.
     pub fn at_once(directory: &PeerDirectory, now: Time) -> Self {
-        let mut leads = directory.leads_of_all(now);
-        leads.extend(directory.likely_leads());
+        let mut leads = directory.group_leads(now);
+        leads.extend(directory.likely_group_leads());
         let mut due = Self::default();
         for (peer, relation) in
             directory.pick(&leads, |relation| relation.same_group || relation.lead)
--- a/crates/firdock-node/src/peer/beacon/meet.rs
+++ b/crates/firdock-node/src/peer/beacon/meet.rs
@@ -63,12 +63,17 @@
     /// Makes the meeting of an instance that starts now; its name tells whom it asks first.
     ///
     /// `asks_first` tells whether it waits for an answer, and is not asked itself.
-    pub(super) fn new(now: Time, asks_first: bool, mut seeds: Vec<SocketAddr>, me: &str) -> Self {
+    pub(super) fn new(
+        now: Time,
+        asks_peers_first: bool,
+        mut seeds: Vec<SocketAddr>,
+        me: &str,
+    ) -> Self {
         if !seeds.is_empty() {
             let first = rendezvous::hash_key(me.as_bytes()) % seeds.len() as u64;
             seeds.rotate_left(first as usize);
         }
-        let again_after = if asks_first {
+        let again_after = if asks_peers_first {
             AGAIN_AFTER
         } else {
             SEED_AGAIN_AFTER
@@ -92,12 +97,12 @@
         if self.seeds.is_empty() {
             return None;
         }
-        if self.asks == Asked::Seeds && reads.is_large() && directory.was_listed() {
+        if self.asks == Asked::Seeds && reads.is_large() && directory.is_listed() {
             self.asks = Asked::Zone;
             self.started = now;
             self.asked = 0;
         }
-        let missing = !reads.is_known() || !directory.was_listed();
+        let missing = !reads.is_known() || !directory.is_listed();
         let tries = match self.asks {
             Asked::Seeds => TRIES,
             Asked::Zone => usize::MAX,
--- a/crates/firdock-node/src/peer/beacon/take.rs
+++ b/crates/firdock-node/src/peer/beacon/take.rs
@@ -35,7 +35,7 @@
             }
             Some(datagram::Body::ClockAnswer(answer)) => self.take_clock(&answer),
             Some(datagram::Body::TopicRecords(told)) => match read_records(told) {
-                Some((teller, changes)) => self.reads.hear_changes(&teller, changes),
+                Some((teller, changes)) => self.reads.merge_changes(&teller, changes),
                 None => self.drop_malformed("changes", from),
             },
             Some(datagram::Body::StateQuestion(question)) => {
@@ -80,20 +80,20 @@
         let now = self.clock.now();
         let instances = std::mem::take(&mut answer.instances);
         if !instances.is_empty() {
-            self.know(instances, now);
-            self.directory.note_listed();
+            self.add_reported(instances, now);
+            self.directory.mark_listed();
             if answer.known > 0 {
-                self.directory.note_known(answer.known, now);
+                self.directory.set_site_size(answer.known, now);
             }
         }
         if answer.large {
             self.reads.note_large();
         }
-        self.reads.hear_answer(answer);
+        self.reads.merge_reply(answer);
     }
 
     /// Notes instances that a peer told of.
-    fn know(&self, peers: Vec<PeerAddress>, now: Time) {
+    fn add_reported(&self, peers: Vec<PeerAddress>, now: Time) {
         for peer in peers {
             let Ok(address) = peer.address.parse() else {
                 warn!(self.log, "address of an instance not taken"; "instance" => peer.instance);
@@ -105,7 +105,7 @@
                 zone: peer.zone,
                 millicores: peer.power,
             };
-            self.directory.know(known, now);
+            self.directory.add_reported(known, now);
         }
     }
 
@@ -150,7 +150,8 @@
         if let Some(reads) = beacon.reads {
             self.take_reads(&news, read_reads(reads), from).await;
         }
-        self.directory.note_demand(&news.name, news.demand.clone());
+        self.directory
+            .record_demand(&news.name, news.demand.clone());
         news.used = read_uses(beacon.used);
         for word in read_words(beacon.rollouts) {
             self.tell(Event::Rollout(word)).await;
@@ -203,13 +204,14 @@
         if self.directory.is_own_zone(zone) {
             self.tell(Event::Reach(beacon.site_heard as usize)).await;
             // Two leads that took each other's word would hold on to one that is long past.
-            if beacon.site_known > 0 && !self.directory.tells(now) {
-                self.directory.note_known(beacon.site_known as usize, now);
+            if beacon.site_known > 0 && !self.directory.is_reporter(now) {
+                self.directory
+                    .set_site_size(beacon.site_known as usize, now);
             }
         } else {
             let known = beacon.group_known.max(beacon.group_heard);
             self.directory
-                .note_group(zone, beacon.group_heard as usize, known as usize, now);
+                .record_group(zone, beacon.group_heard as usize, known as usize, now);
             let group = GroupDemand {
                 zone: zone.to_owned(),
                 demand: read_demand(beacon.group_demand.clone()),
@@ -223,8 +225,8 @@
                     .await;
             }
         }
-        if self.directory.tells(now) {
-            let count = self.directory.site_heard(now);
+        if self.directory.is_reporter(now) {
+            let count = self.directory.site_live(now);
             self.tell(Event::Reach(count)).await;
         }
     }
@@ -237,7 +239,7 @@
             name: news.name.clone(),
             incarnation: news.incarnation,
         };
-        let heard = self.reads.hear(now, &teller, told);
+        let heard = self.reads.merge_report(now, &teller, told);
         if let Some(at) = heard.fresh {
             self.tell(Event::Fresh(at)).await;
         }
@@ -246,7 +248,7 @@
             let question = Question {
                 asked: now,
                 topics: true,
-                instances: !self.directory.was_listed(),
+                instances: !self.directory.is_listed(),
                 whole: false,
                 lacking: self.partial().lacking(from),
                 zone: self.directory.zone().to_owned(),
@@ -266,9 +268,9 @@
     ///
     /// Of hundreds, each would ask all others for their clocks after a start.
     fn counts(&self, name: &str, now: Time) -> bool {
-        self.directory.is_small()
+        self.directory.is_single_group()
             || self.reads.is_aging(now)
-            || self.directory.leads_of_all(now).contains(name)
+            || self.directory.group_leads(now).contains(name)
     }
 
     /// Notes the sender and the instances that it tells of; gives what follows for the sender, unless it
@@ -285,13 +287,13 @@
                 millicores: beacon.power,
             };
             let hearing = if beacon.group_heard > 0 {
-                self.directory.hear_lead(word, from, now)
+                self.directory.record_lead_heartbeat(word, from, now)
             } else {
-                self.directory.hear(word, from, now)
+                self.directory.record_heartbeat(word, from, now)
             };
             Some(hearing)
         };
-        self.know(beacon.peers.iter().take(MAX_TOLD).cloned().collect(), now);
+        self.add_reported(beacon.peers.iter().take(MAX_TOLD).cloned().collect(), now);
         hearing
     }
 }
--- a/crates/firdock-node/src/peer/beacon/usage.rs
+++ b/crates/firdock-node/src/peer/beacon/usage.rs
@@ -44,7 +44,7 @@
     /// The instance that takes over from the lead counts as well and tells it a few times more seldom, so
     /// that its counts are known when the lead falls.
     pub(super) async fn count_use(&self, tick: usize, now: Time) -> (ToldUse, ToldUse) {
-        if self.directory.is_small() || !self.directory.tells(now) {
+        if self.directory.is_single_group() || !self.directory.is_reporter(now) {
             self.sums().end();
             return Default::default();
         }
@@ -54,7 +54,7 @@
             sums.begin(Uuid::now_v7);
             sums.hear_member(now, &self.own_use());
             sums.sweep(now);
-            if !self.directory.leads(now) && !tick.is_multiple_of(TELL_EVERY) {
+            if !self.directory.is_lead(now) && !tick.is_multiple_of(TELL_EVERY) {
                 return Default::default();
             }
             (sums.take_for_leads(me), sums.take_for_group(me))
--- a/crates/firdock-node/src/peer/book.rs
+++ b/crates/firdock-node/src/peer/book.rs
@@ -15,14 +15,14 @@
 use firdock_policy::table::peer::MAX_PEERS;
 use tokio::sync::Notify;
 
-use self::fleet::ToldKnown;
+use self::fleet::ReportedSize;
 use self::group::GroupCounts;
 pub use self::group::{PeerRelation, ReadRole, ReadTurn};
 
 /// Silence after which an instance is forgotten: it was replaced or taken away.
 const FORGET_AFTER: Duration = Duration::from_mins(1);
 /// Silence after which an instance does not count as heard.
-const HEARD_WITHIN: Duration = Duration::from_secs(5);
+const LIVE_WITHIN: Duration = Duration::from_secs(5);
 
 /// Where another instance takes heartbeats.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -82,8 +82,8 @@
     }
 
     /// Tells whether the instance was heard a short while ago.
-    fn is_heard(&self, now: Time) -> bool {
-        self.heard_within(now, HEARD_WITHIN)
+    fn is_live(&self, now: Time) -> bool {
+        self.heard_within(now, LIVE_WITHIN)
     }
 }
 
@@ -98,13 +98,13 @@
     millicores: Millicores,
     entries: Mutex<Entries>,
     /// Where others know this instance.
-    own_listed: Mutex<Option<SocketAddr>>,
+    listed_address: Mutex<Option<SocketAddr>>,
     listed: AtomicBool,
-    listed_now: Notify,
+    first_listed: Notify,
     /// Counts of the other groups.
     groups: Mutex<GroupCounts>,
     /// How many instances there are, as the list or a lead told, and when.
-    told_known: Mutex<ToldKnown>,
+    reported_size: Mutex<ReportedSize>,
     /// Instances that said that they stop, and when: others may still tell of them for a while.
     departed: Mutex<BTreeMap<InstanceId, Time>>,
 }
@@ -118,11 +118,11 @@
             zone,
             millicores: 0,
             entries: Mutex::default(),
-            own_listed: Mutex::default(),
+            listed_address: Mutex::default(),
             listed: AtomicBool::new(false),
-            listed_now: Notify::new(),
+            first_listed: Notify::new(),
             groups: Mutex::default(),
-            told_known: Mutex::default(),
+            reported_size: Mutex::default(),
             departed: Mutex::default(),
         }
     }
@@ -147,22 +147,22 @@
     }
 
     /// Notes that someone told of an instance, if it is to be known here.
-    pub fn know(&self, peer: PeerRecord, now: Time) {
-        let kept = self.keeps(&self.lock(), &peer.name, &peer.zone, peer.millicores);
+    pub fn add_reported(&self, peer: PeerRecord, now: Time) {
+        let kept = self.should_track(&self.lock(), &peer.name, &peer.zone, peer.millicores);
         if kept || peer.name == self.me {
-            self.know_listed(peer, now);
+            self.add_listed(peer, now);
         }
     }
 
     /// Notes that the list of instances has one: who read it tells others of all for a while, though it
     /// need not know them itself.
-    pub fn know_listed(&self, peer: PeerRecord, now: Time) {
+    pub fn add_listed(&self, peer: PeerRecord, now: Time) {
         if self.departed().contains_key(&peer.name) {
             return;
         }
         if peer.name == self.me {
             *self
-                .own_listed
+                .listed_address
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner) = Some(peer.address);
             return;
@@ -190,36 +190,41 @@
 
     /// Gives the address at which others know this instance, if anyone told.
     #[must_use]
-    pub fn own_listed(&self) -> Option<SocketAddr> {
+    pub fn listed_address(&self) -> Option<SocketAddr> {
         *self
-            .own_listed
+            .listed_address
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Notes that the platform's list of instances was read.
-    pub fn note_listed(&self) {
+    pub fn mark_listed(&self) {
         if !self.listed.swap(true, Ordering::Relaxed) {
-            self.listed_now.notify_one();
+            self.first_listed.notify_one();
         }
     }
 
     /// Waits until the platform's list of instances was read for the first time.
-    pub async fn first_listed(&self) {
-        self.listed_now.notified().await;
+    pub async fn wait_until_listed(&self) {
+        self.first_listed.notified().await;
     }
 
     /// Tells whether the platform's list of instances was read.
     #[must_use]
-    pub fn was_listed(&self) -> bool {
+    pub fn is_listed(&self) -> bool {
         self.listed.load(Ordering::Relaxed)
     }
 
     /// Notes that an instance was heard.
-    pub fn hear(&self, word: PeerInfo<'_>, address: SocketAddr, now: Time) -> HeartbeatOutcome {
-        let kept = self.keeps(&self.lock(), word.name, word.zone, word.millicores);
+    pub fn record_heartbeat(
+        &self,
+        word: PeerInfo<'_>,
+        address: SocketAddr,
+        now: Time,
+    ) -> HeartbeatOutcome {
+        let kept = self.should_track(&self.lock(), word.name, word.zone, word.millicores);
         if kept {
-            self.hear_lead(word, address, now)
+            self.record_lead_heartbeat(word, address, now)
         } else {
             self.lock().remove(word.name);
             HeartbeatOutcome::NotKept
@@ -228,7 +233,7 @@
 
     /// Notes that an instance was heard that tells for its group: it is kept whatever stands before it,
     /// for that has fallen.
-    pub fn hear_lead(
+    pub fn record_lead_heartbeat(
         &self,
         word: PeerInfo<'_>,
         address: SocketAddr,
@@ -255,7 +260,7 @@
     }
 
     /// Notes the demand that an instance told of, which was heard.
-    pub fn note_demand(&self, name: &str, demand: Vec<PoolDemand>) {
+    pub fn record_demand(&self, name: &str, demand: Vec<PoolDemand>) {
         if let Some(entry) = self.lock().get_mut(name) {
             entry.demand = demand;
         }
@@ -269,8 +274,8 @@
 
     /// Forgets instances that have been silent for long; counts the others of the site.
     pub fn sweep(&self, now: Time) -> usize {
-        self.departed().retain(|_, at| *at + HEARD_WITHIN > now);
-        self.told_known()
+        self.departed().retain(|_, at| *at + LIVE_WITHIN > now);
+        self.reported_size()
             .take_if(|(at, _)| *at + FORGET_AFTER <= now);
         let mut entries = self.lock();
         entries.retain(|_, e| e.since + FORGET_AFTER > now);
@@ -281,23 +286,23 @@
 
     /// Tells whether any instance was heard a short while ago.
     #[must_use]
-    pub fn hears_any(&self, now: Time) -> bool {
+    pub fn any_live(&self, now: Time) -> bool {
         let entries = self.lock();
-        entries.values().any(|e| e.is_heard(now))
+        entries.values().any(|e| e.is_live(now))
     }
 
     /// Gives all instances, by name.
     #[must_use]
-    pub fn known(&self) -> Vec<PeerRecord> {
+    pub fn known_peers(&self) -> Vec<PeerRecord> {
         let entries = self.lock();
         entries.iter().map(known_peer).collect()
     }
 
     /// Gives the instances that were heard a short while ago, by name.
     #[must_use]
-    pub fn heard(&self, now: Time) -> Vec<PeerRecord> {
+    pub fn live_peers(&self, now: Time) -> Vec<PeerRecord> {
         let entries = self.lock();
-        let heard = entries.iter().filter(|(_, e)| e.is_heard(now));
+        let heard = entries.iter().filter(|(_, e)| e.is_live(now));
         heard.map(known_peer).collect()
     }
 
--- a/crates/firdock-node/src/peer/book/group.rs
+++ b/crates/firdock-node/src/peer/book/group.rs
@@ -32,7 +32,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct GroupCount {
     pub at: Time,
-    pub heard: usize,
+    pub live: usize,
     pub known: usize,
 }
 
@@ -49,7 +49,7 @@
     /// Takes what its group's lead tells.
     Member,
     /// Takes what the site's reader tells, where all instances are one group.
-    SmallSiteMember,
+    SingleGroupMember,
 }
 
 /// Where another instance stands to this one.
@@ -134,10 +134,10 @@
     #[must_use]
     pub fn read_turn(&self, now: Time) -> ReadTurn {
         let entries = self.lock();
-        let few = self.are_few(&entries);
+        let few = self.is_single_group_of(&entries);
         let me = self.lead_priority();
         let (mut led_site, mut led_group, mut index, mut group_size) = (false, false, 0, 1);
-        for peer in entries.iter().filter(|(_, e)| e.is_heard(now)) {
+        for peer in entries.iter().filter(|(_, e)| e.is_live(now)) {
             let before = lead_priority(&peer) < me;
             let grouped = few || peer.1.zone == self.zone;
             let leads = before && peer.1.is_present(now);
@@ -150,7 +150,7 @@
         let role = match (led_site, led_group, few) {
             (false, _, _) => ReadRole::SiteLead,
             (_, false, _) => ReadRole::GroupLead,
-            (_, _, true) => ReadRole::SmallSiteMember,
+            (_, _, true) => ReadRole::SingleGroupMember,
             _ => ReadRole::Member,
         };
         ReadTurn {
@@ -166,7 +166,7 @@
 
     /// Tells whether this instance leads its group.
     #[must_use]
-    pub fn leads(&self, now: Time) -> bool {
+    pub fn is_lead(&self, now: Time) -> bool {
         matches!(
             self.read_turn(now).role,
             ReadRole::SiteLead | ReadRole::GroupLead
@@ -176,21 +176,21 @@
     /// Gives the first instances of each group that are heard: its lead, and the one that takes over
     /// from it.
     #[must_use]
-    pub fn leads_of_all(&self, now: Time) -> BTreeSet<InstanceId> {
+    pub fn group_leads(&self, now: Time) -> BTreeSet<InstanceId> {
         let entries = self.lock();
-        strongest_of_zones(entries.iter().filter(|(_, e)| e.is_heard(now)), LEADS_TOLD)
+        strongest_of_zones(entries.iter().filter(|(_, e)| e.is_live(now)), LEADS_TOLD)
     }
 
     /// Gives the first instances of each availability zone by what is known of them, heard or not.
     #[must_use]
-    pub fn likely_leads(&self) -> BTreeSet<InstanceId> {
+    pub fn likely_group_leads(&self) -> BTreeSet<InstanceId> {
         strongest_of_zones(self.lock().iter(), LEADS_TOLD)
     }
 
     /// Tells whether this instance tells its group of the site: its lead does, and the one that takes
     /// over from it.
     #[must_use]
-    pub fn tells(&self, now: Time) -> bool {
+    pub fn is_reporter(&self, now: Time) -> bool {
         let entries = self.lock();
         let near = self.present_in_zone(&entries, now);
         let before = near.filter(|peer| lead_priority(peer) < self.lead_priority());
@@ -199,16 +199,16 @@
 
     /// Counts the instances of this one's group that are heard, itself among them.
     #[must_use]
-    pub fn group_heard(&self, now: Time) -> usize {
+    pub fn group_live(&self, now: Time) -> usize {
         let entries = self.lock();
         1 + self.present_in_zone(&entries, now).count()
     }
 
     /// Notes how many instances of another group its lead hears, and knows of.
-    pub fn note_group(&self, zone: &str, heard: usize, known: usize, now: Time) {
+    pub fn record_group(&self, zone: &str, live: usize, known: usize, now: Time) {
         let count = GroupCount {
             at: now,
-            heard,
+            live,
             known,
         };
         self.groups().insert(zone.to_owned(), count);
@@ -216,13 +216,13 @@
 
     /// Counts the instances of all groups that their leads hear.
     #[must_use]
-    pub fn site_heard(&self, now: Time) -> usize {
+    pub fn site_live(&self, now: Time) -> usize {
         let groups = self.groups();
         let fresh = groups
             .iter()
             .filter(|(zone, count)| **zone != self.zone && count.at + PRESENT_WITHIN > now);
-        let others: usize = fresh.map(|(_, count)| count.heard).sum();
-        self.group_heard(now) + others
+        let others: usize = fresh.map(|(_, count)| count.live).sum();
+        self.group_live(now) + others
     }
 
     /// Gives the first instance of this one's group, of those that are heard and `open`, with whether
@@ -233,7 +233,7 @@
         open: impl Fn(&str) -> bool,
     ) -> Option<(PeerRecord, bool)> {
         let entries = self.lock();
-        let few = self.are_few(&entries);
+        let few = self.is_single_group_of(&entries);
         let group =
             present(&entries, now).filter(|(name, e)| (few || e.zone == self.zone) && open(name));
         let first = group.min_by(|a, b| lead_priority(a).cmp(&lead_priority(b)))?;
@@ -262,13 +262,13 @@
 
     /// Tells whether instances are so few that all of them are one group.
     #[must_use]
-    pub fn is_small(&self) -> bool {
-        self.are_few(&self.lock())
+    pub fn is_single_group(&self) -> bool {
+        self.is_single_group_of(&self.lock())
     }
 
     /// Tells the same by those that are known here, if these are all.
-    fn are_few(&self, entries: &Entries) -> bool {
-        entries.len() < SMALL_SITE && !self.are_many(entries.len())
+    fn is_single_group_of(&self, entries: &Entries) -> bool {
+        entries.len() < SMALL_SITE && !self.is_partial_at(entries.len())
     }
 
     /// Tells whether an availability zone is this instance's.
@@ -286,7 +286,7 @@
         wanted: impl Fn(PeerRelation) -> bool,
     ) -> Vec<(PeerRecord, PeerRelation)> {
         let entries = self.lock();
-        let few = self.are_few(&entries);
+        let few = self.is_single_group_of(&entries);
         let placed = entries.iter().enumerate().map(|(at, peer)| {
             let relation = PeerRelation {
                 at,
--- a/crates/firdock-node/src/peer/reads.rs
+++ b/crates/firdock-node/src/peer/reads.rs
@@ -75,15 +75,15 @@
 impl SharedReads {
     /// Lets peers be asked at the start before the store is.
     #[must_use]
-    pub fn with_peers_first(self, asks: bool) -> Self {
-        self.lock().asks_first = asks;
+    pub fn with_asks_peers_first(self, asks: bool) -> Self {
+        self.lock().asks_peers_first = asks;
         self
     }
 
     /// Tells whether peers are asked at the start before the store is.
     #[must_use]
-    pub fn asks_first(&self) -> bool {
-        self.lock().asks_first
+    pub fn asks_peers_first(&self) -> bool {
+        self.lock().asks_peers_first
     }
 
     /// Notes that what peers know of the store is so long that it comes from the own zone.
@@ -122,7 +122,7 @@
 
     /// Notes what this instance read; times never go back, and a time of zero stands for what was not
     /// read.
-    pub fn note(&self, now: Time, reads: ReadState) {
+    pub fn record_read(&self, now: Time, reads: ReadState) {
         let mut inner = self.lock();
         inner.read_at = now;
         inner.failed_at = None;
@@ -132,13 +132,13 @@
     }
 
     /// Notes what this instance took from its peers' words, likewise.
-    pub fn note_told(&self, reads: ReadState) {
+    pub fn record_from_peers(&self, reads: ReadState) {
         self.lock().take(reads);
         self.known.notify_one();
     }
 
     /// Waits until more is known of the store than before.
-    pub async fn known_more(&self) {
+    pub async fn wait_for_change(&self) {
         self.known.notified().await;
     }
 
@@ -179,7 +179,7 @@
     }
 
     /// Takes changes that a peer read, whose times are by its own clock, unless that is not known.
-    pub fn hear_changes(&self, teller: &PeerProcess, changes: TopicRecords) {
+    pub fn merge_changes(&self, teller: &PeerProcess, changes: TopicRecords) {
         let inner = self.lock();
         let Some(bound) = inner.clocks.get(&teller.name, teller.incarnation) else {
             return;
@@ -189,7 +189,7 @@
     }
 
     /// Takes a peer's answer to a question.
-    pub fn hear_answer(&self, answer: Answer) {
+    pub fn merge_reply(&self, answer: Answer) {
         let PeerProcess { name, incarnation } = &answer.teller;
         self.take_clock(name, *incarnation, answer.asked, answer.clock);
         let inner = self.lock();
@@ -214,7 +214,7 @@
 
     /// Notes that changes that were told do not follow on what is known here, so that peers are asked
     /// for the whole.
-    pub fn note_gap(&self, now: Time, topic: Topic) {
+    pub fn record_gap(&self, now: Time, topic: Topic) {
         let mut inner = self.lock();
         match topic {
             Topic::Config => inner.config_news.get_or_insert(now),
@@ -226,12 +226,12 @@
 
     /// Gives what peers told, to be taken.
     #[must_use]
-    pub fn take_told(&self) -> Vec<TopicRecords> {
+    pub fn take_peer_records(&self) -> Vec<TopicRecords> {
         std::mem::take(&mut self.lock().told)
     }
 
     /// Notes that a read failed, and for how long nothing is read again.
-    pub fn note_failed(&self, now: Time, pause: Duration) {
+    pub fn record_failure(&self, now: Time, pause: Duration) {
         let mut inner = self.lock();
         inner.read_at = now;
         inner.failed_at = Some(now);
@@ -246,7 +246,7 @@
 
     /// Takes a peer's word, whose times are by its own clock.
     #[must_use]
-    pub fn hear(&self, now: Time, teller: &PeerProcess, told: ReadState) -> Heard {
+    pub fn merge_report(&self, now: Time, teller: &PeerProcess, told: ReadState) -> Heard {
         let mut inner = self.lock();
         let ask_state = inner.hear_news(now, told);
         let Some(bound) = inner.clocks.get(&teller.name, teller.incarnation) else {
--- a/crates/firdock-node/src/peer/reads/due.rs
+++ b/crates/firdock-node/src/peer/reads/due.rs
@@ -162,7 +162,7 @@
     match read_turn.role {
         ReadRole::SiteLead => pause,
         ReadRole::GroupLead => pause.mul_f64(PATIENCE),
-        ReadRole::SmallSiteMember => {
+        ReadRole::SingleGroupMember => {
             pause.mul_f64(PATIENCE)
                 + SMALL_SPREAD * read_turn.index as u32 / read_turn.group_size as u32
         }
--- a/crates/firdock-node/src/peer/reads/state.rs
+++ b/crates/firdock-node/src/peer/reads/state.rs
@@ -41,7 +41,7 @@
     pub(super) failed_at: Option<Time>,
     pub(super) held_until: Time,
     /// Whether peers are asked before the store is, at the start.
-    pub(super) asks_first: bool,
+    pub(super) asks_peers_first: bool,
     /// Whether what is known of the store is so long that it comes from the own zone at the start.
     pub(super) large: bool,
     /// When a peer that was asked at the start said that many had asked before.
@@ -120,7 +120,7 @@
 
     /// Gives until when an instance that began at `started` waits for its peers' answer.
     pub(super) fn start_by(&self, started: Time) -> Time {
-        let by = start_by(started, self.asks_first, self.large);
+        let by = start_by(started, self.asks_peers_first, self.large);
         by.max(self.queued_until().unwrap_or(by))
     }
 
--- a/crates/firdock-node/src/peer/topic.rs
+++ b/crates/firdock-node/src/peer/topic.rs
@@ -91,7 +91,7 @@
 
     /// Tells whether they are newer than what is known up to `known`.
     #[must_use]
-    pub fn is_news(&self, known: Option<Offset>) -> bool {
+    pub fn is_newer(&self, known: Option<Offset>) -> bool {
         known.is_none_or(|known| known < self.next)
     }
 }
--- a/crates/firdock-node/src/source.rs
+++ b/crates/firdock-node/src/source.rs
@@ -126,8 +126,8 @@
     /// # Errors
     ///
     /// Fails if the instance was stopped.
-    pub async fn note(&self, reads: ReadState) -> Result<(), Stopped> {
-        self.reads.note(self.clock.now(), reads);
+    pub async fn record_read(&self, reads: ReadState) -> Result<(), Stopped> {
+        self.reads.record_read(self.clock.now(), reads);
         self.refresh(reads).await
     }
 
@@ -136,8 +136,8 @@
     /// # Errors
     ///
     /// Fails if the instance was stopped.
-    pub async fn note_told(&self, reads: ReadState) -> Result<(), Stopped> {
-        self.reads.note_told(reads);
+    pub async fn record_from_peers(&self, reads: ReadState) -> Result<(), Stopped> {
+        self.reads.record_from_peers(reads);
         self.refresh(reads).await
     }
 
@@ -182,8 +182,8 @@
     }
 
     /// Tells that a read failed, and for how long nothing is to be read again.
-    pub fn note_failed(&self, pause: Duration) {
-        self.reads.note_failed(self.clock.now(), pause);
+    pub fn record_failure(&self, pause: Duration) {
+        self.reads.record_failure(self.clock.now(), pause);
     }
 
     /// Waits until this instance has to read again, or a peer told something; tells what.
@@ -196,22 +196,25 @@
 
     /// Gives the records that peers read and told, in order.
     #[must_use]
-    pub fn take_told(&self) -> Vec<TopicRecords> {
-        self.reads.take_told()
+    pub fn take_peer_records(&self) -> Vec<TopicRecords> {
+        self.reads.take_peer_records()
     }
 
     /// Notes that changes that a peer told do not follow on what is known here.
-    pub fn note_gap(&self, topic: Topic) {
-        self.reads.note_gap(self.clock.now(), topic);
+    pub fn record_gap(&self, topic: Topic) {
+        self.reads.record_gap(self.clock.now(), topic);
     }
 
     /// Keeps records that were taken here, and tells the other instances what changed by them.
     ///
     /// `read_here` tells whether this instance read them itself.
-    pub fn keep(&self, records: &TopicRecords, read_here: bool) {
+    pub fn keep(&self, records: &TopicRecords, read_locally: bool) {
         if let Some(records) = self.reads.keep(records) {
             // A peer that does not hear of them asks for them.
-            let _ = self.changes.try_send(AppliedRecords { records, read_here });
+            let _ = self.changes.try_send(AppliedRecords {
+                records,
+                read_locally,
+            });
         }
     }
 
@@ -257,18 +260,18 @@
 
     /// Tells of another instance and where it takes heartbeats.
     pub fn know_peer(&self, peer: PeerRecord) {
-        self.peers.know_listed(peer, self.clock.now());
+        self.peers.add_listed(peer, self.clock.now());
     }
 
     /// Tells how many instances are listed, this one among them.
-    pub fn note_known(&self, count: usize) {
-        self.peers.note_known(count, self.clock.now());
+    pub fn set_site_size(&self, count: usize) {
+        self.peers.set_site_size(count, self.clock.now());
     }
 
     /// Tells whether a peer told that this instance is listed at an address.
     #[must_use]
     pub fn tells_of_me(&self, address: SocketAddr) -> bool {
-        self.peers.own_listed() == Some(address)
+        self.peers.listed_address() == Some(address)
     }
 
     /// Gives this instance's availability zone.
@@ -284,14 +287,14 @@
     }
 
     /// Tells that the platform's list of instances was read, and all in it were told.
-    pub fn note_listed(&self) {
-        self.peers.note_listed();
+    pub fn mark_listed(&self) {
+        self.peers.mark_listed();
     }
 
     /// Tells whether the other instances were told of, by the platform's list or by one of them.
     #[must_use]
-    pub fn was_listed(&self) -> bool {
-        self.peers.was_listed()
+    pub fn is_listed(&self) -> bool {
+        self.peers.is_listed()
     }
 
     /// Tells whether this instance just started, and still waits for what its peers tell.
@@ -303,7 +306,7 @@
     /// Tells whether any other instance has been heard from.
     #[must_use]
     pub fn hears_peers(&self) -> bool {
-        self.peers.hears_any(self.clock.now())
+        self.peers.any_live(self.clock.now())
     }
 
     async fn send(&self, event: Event) -> Result<(), Stopped> {
--- a/crates/firdock-node/tests/node/party.rs
+++ b/crates/firdock-node/tests/node/party.rs
@@ -27,7 +27,7 @@
     /// Makes an instance that asks `seeds` at its start, if there are any.
     pub fn new(name: &str, socket: UdpSocket, clock: Clock, seeds: Vec<SocketAddr>) -> Self {
         let directory = Arc::new(PeerDirectory::new(name.to_owned(), "zone".to_owned()));
-        let reads = SharedReads::default().with_peers_first(!seeds.is_empty());
+        let reads = SharedReads::default().with_asks_peers_first(!seeds.is_empty());
         let reads = Arc::new(reads);
         let (inputs, events) = mpsc::channel(WAITING);
         let (self_status, told) = watch::channel(SelfStatus::default());
--- a/crates/firdock-node/tests/node/peers.rs
+++ b/crates/firdock-node/tests/node/peers.rs
@@ -51,7 +51,7 @@
 /// Reads of version 5 at 10 s, with the clock of peer `p` known to be no earlier than ours + 1 s.
 fn shared() -> SharedReads {
     let shared = SharedReads::default();
-    shared.note(millis(10_000), reads(5, 1, millis(10_000)));
+    shared.record_read(millis(10_000), reads(5, 1, millis(10_000)));
     shared.take_clock("p", INCARNATION, millis(10_000), millis(9_000));
     shared
 }
@@ -59,7 +59,7 @@
 #[test]
 fn a_peers_word_counts_from_the_earliest_time_that_it_can_mean() {
     let shared = shared();
-    let heard = shared.hear(NOW, &p(), reads(5, 1, millis(9_400)));
+    let heard = shared.merge_report(NOW, &p(), reads(5, 1, millis(9_400)));
     assert_eq!(heard.fresh, Some(millis(10_400)));
     assert_eq!(shared.own().config_at, millis(10_400));
 }
@@ -68,7 +68,7 @@
 fn a_peer_with_another_version_makes_nothing_fresh() {
     let shared = shared();
     for version in [4, 6] {
-        let heard = shared.hear(NOW, &p(), reads(version, 1, millis(9_400)));
+        let heard = shared.merge_report(NOW, &p(), reads(version, 1, millis(9_400)));
         assert_eq!(heard.fresh, None);
     }
     assert_eq!(shared.own().config_at, millis(10_000));
@@ -77,7 +77,7 @@
 #[test]
 fn a_restarted_peers_clock_is_asked_for_anew() {
     let shared = shared();
-    let heard = shared.hear(
+    let heard = shared.merge_report(
         NOW,
         &teller("p", Uuid::from_u128(8)),
         reads(5, 1, millis(9_400)),
@@ -90,7 +90,7 @@
     let shared = shared();
     // Asked long ago and answered late: stands for an earlier time than what is known.
     shared.take_clock("p", INCARNATION, millis(10_500), millis(12_000));
-    let heard = shared.hear(NOW, &p(), reads(5, 1, millis(9_400)));
+    let heard = shared.merge_report(NOW, &p(), reads(5, 1, millis(9_400)));
     assert_eq!(heard.fresh, Some(millis(10_400)));
 }
 
@@ -100,7 +100,8 @@
     for n in 0..2_000 {
         let name = format!("front-{n}");
         shared.take_clock(&name, INCARNATION, millis(10_000), millis(9_000));
-        let heard = shared.hear(NOW, &teller(&name, INCARNATION), reads(5, 1, millis(9_000)));
+        let heard =
+            shared.merge_report(NOW, &teller(&name, INCARNATION), reads(5, 1, millis(9_000)));
         assert!(!heard.ask_clock, "the clock of {name} is known");
     }
 }
@@ -112,7 +113,7 @@
     let shared = shared();
     for second in 10..60 {
         let told = reads(5, 1, millis(second * 1_000 - 1_000));
-        let _ = shared.hear(NOW, &p(), told);
+        let _ = shared.merge_report(NOW, &p(), told);
     }
     assert_eq!(shared.steady_since(millis(60_000)), millis(10_000));
 }
@@ -125,7 +126,7 @@
     // Nobody reads from 10 s to 15 s; the peer does then, and this instance not before 18 s.
     for second in [15, 16, 17] {
         let told = reads(5, 1, millis(second * 1_000 - 1_000));
-        let _ = shared.hear(NOW, &p(), told);
+        let _ = shared.merge_report(NOW, &p(), told);
     }
     assert_eq!(shared.steady_since(millis(18_000)), millis(15_000));
 }
@@ -134,7 +135,7 @@
 fn an_outage_that_only_this_instance_sees_the_end_of_ends_with_its_own_read() {
     let shared = shared();
     assert_eq!(shared.steady_since(millis(15_000)), millis(15_000));
-    shared.note(millis(15_000), reads(5, 1, millis(15_000)));
+    shared.record_read(millis(15_000), reads(5, 1, millis(15_000)));
     assert_eq!(shared.steady_since(millis(16_000)), millis(15_000));
 }
 
@@ -143,33 +144,33 @@
 #[test]
 fn an_instance_that_was_cut_off_alone_takes_its_silence_for_no_outage() {
     let shared = shared();
-    shared.note(millis(20_000), reads(5, 1, millis(20_000)));
+    shared.record_read(millis(20_000), reads(5, 1, millis(20_000)));
     assert_eq!(shared.steady_since(millis(20_000)), millis(20_000));
     // The peer has read all the while, since 2 s by our clock.
     let told = ReadState {
         steady_since: millis(1_000),
         ..reads(5, 1, millis(18_900))
     };
-    let _ = shared.hear(NOW, &p(), told);
+    let _ = shared.merge_report(NOW, &p(), told);
     assert_eq!(shared.steady_since(millis(20_200)), millis(2_000));
     // Its clock is known a little better at the next word, which is no news.
     let nearly = ReadState {
         steady_since: millis(990),
         ..told
     };
-    let _ = shared.hear(NOW, &p(), nearly);
+    let _ = shared.merge_report(NOW, &p(), nearly);
     assert_eq!(shared.steady_since(millis(20_200)), millis(2_000));
 }
 
 #[test]
 fn a_peer_that_has_not_read_since_an_outage_does_not_tell_it_away() {
     let shared = shared();
-    shared.note(millis(20_000), reads(5, 1, millis(20_000)));
+    shared.record_read(millis(20_000), reads(5, 1, millis(20_000)));
     let told = ReadState {
         steady_since: millis(1_000),
         ..reads(5, 1, millis(15_000))
     };
-    let _ = shared.hear(NOW, &p(), told);
+    let _ = shared.merge_report(NOW, &p(), told);
     assert_eq!(shared.steady_since(millis(20_200)), millis(20_000));
 }
 
@@ -192,7 +193,7 @@
         address: other.1.local_addr().expect("an address"),
         zone: "zone".to_owned(),
     };
-    party.directory.know(known, clock.now());
+    party.directory.add_reported(known, clock.now());
     party
 }
 
@@ -211,9 +212,9 @@
         let address = ([127, 0, 0, 1], 1).into();
         let (directory, now) = (&party.beacons.directory, party.beacons.clock.now());
         let name = format!("m-{n}");
-        directory.hear(word(&name, "zone", 0), address, now);
+        directory.record_heartbeat(word(&name, "zone", 0), address, now);
         let name = format!("m-{n}");
-        directory.hear(word(&name, "zone", 0), address, now);
+        directory.record_heartbeat(word(&name, "zone", 0), address, now);
     }
     let key = Arc::clone(&party.beacons.key);
     let (stop, stops) = watch::channel(false);
@@ -351,10 +352,10 @@
     let mut second = party("b", b, clock, ("a", &first.beacons.socket));
     assert!(to_a.is_ok() && to_b.is_ok());
     let old = clock.now();
-    second.reads.note(old, reads(4, 1, old));
+    second.reads.record_read(old, reads(4, 1, old));
     // Far enough ahead that the bound on the clock does not hide it.
     let newer = clock.now() + millis(2_000);
-    first.reads.note(newer, reads(19, 1, newer));
+    first.reads.record_read(newer, reads(19, 1, newer));
     let (stop, stops) = watch::channel(false);
     let running = [
         tokio::spawn(first.beacons.run(stops.clone())),
@@ -391,15 +392,15 @@
 #[tokio::test]
 async fn changes_that_a_peer_read_are_taken_without_a_read() {
     let shared = shared();
-    shared.hear_changes(&teller("stranger", INCARNATION), changes(1, 2));
-    shared.hear_changes(&teller("p", Uuid::from_u128(8)), changes(1, 2));
+    shared.merge_changes(&teller("stranger", INCARNATION), changes(1, 2));
+    shared.merge_changes(&teller("p", Uuid::from_u128(8)), changes(1, 2));
     assert!(
-        shared.take_told().is_empty(),
+        shared.take_peer_records().is_empty(),
         "a clock that is not known dates nothing"
     );
-    shared.hear_changes(&p(), changes(1, 2));
+    shared.merge_changes(&p(), changes(1, 2));
     // Its heartbeat with the new offset asks for no read, since the changes are here.
-    let heard = shared.hear(NOW, &p(), reads(5, 2, millis(9_500)));
+    let heard = shared.merge_report(NOW, &p(), reads(5, 2, millis(9_500)));
     assert!(!heard.ask_state);
     let due = shared
         .due(Clock::new(), millis(60_000), ReadTurn::alone)
@@ -408,10 +409,10 @@
         due.told && due.endpoints.is_none() && due.config.is_none(),
         "{due:?}"
     );
-    let told = shared.take_told();
+    let told = shared.take_peer_records();
     assert_eq!(told.len(), 1);
     assert_eq!(told[0].read_at, millis(10_500));
-    shared.note_told(ReadState {
+    shared.record_from_peers(ReadState {
         config_at: Duration::ZERO,
         ..reads(5, 2, told[0].read_at)
     });
@@ -431,7 +432,7 @@
     let directory = PeerDirectory::new(me.to_owned(), zone.to_owned());
     let address = "127.0.0.1:1".parse().expect("an address");
     for (name, zone) in others {
-        directory.hear(word(name, zone, 0), address, now);
+        directory.record_heartbeat(word(name, zone, 0), address, now);
     }
     directory
 }
@@ -451,11 +452,11 @@
     assert_eq!(part("01", "west"), ReadRole::GroupLead);
     assert_eq!(part("02", "east"), ReadRole::Member);
     assert_eq!(part("19", "west"), ReadRole::Member);
-    let leads = directory("19", "west", &others("19"), now).leads_of_all(now);
+    let leads = directory("19", "west", &others("19"), now).group_leads(now);
     let expected = ["00", "01", "02", "03"].map(str::to_owned);
     assert_eq!(leads, expected.into());
     let few = directory("b", "west", &[("a", "east"), ("c", "west")], now);
-    assert_eq!(few.read_turn(now).role, ReadRole::SmallSiteMember);
+    assert_eq!(few.read_turn(now).role, ReadRole::SingleGroupMember);
     // The first one fell silent.
     assert_eq!(few.read_turn(now + millis(1_300)).role, ReadRole::SiteLead);
 }
--- a/crates/firdock-node/tests/node/placement.rs
+++ b/crates/firdock-node/tests/node/placement.rs
@@ -321,7 +321,7 @@
             let address = ([127, 0, 0, 1], port).into();
             let zone = "zone";
             let millicores = 0;
-            self.directory.hear(
+            self.directory.record_heartbeat(
                 PeerInfo {
                     name,
                     zone,
--- a/crates/firdock-node/tests/node/sharing.rs
+++ b/crates/firdock-node/tests/node/sharing.rs
@@ -55,7 +55,7 @@
 fn outage(size: usize, secs: u64) -> (usize, Duration) {
     let group: Vec<SharedReads> = (0..size).map(|_| SharedReads::default()).collect();
     for one in &group {
-        one.note(START, known(5, 1, START));
+        one.record_read(START, known(5, 1, START));
     }
     let (mut tries, mut first) = (0, Duration::MAX);
     for tick in 0..secs * 100 {
@@ -65,7 +65,7 @@
             if due.config.is_some() {
                 tries += 1;
                 first = first.min(millis(tick * 10));
-                one.note_failed(now, millis(1_000));
+                one.record_failure(now, millis(1_000));
             }
         }
     }
@@ -84,13 +84,13 @@
 #[test]
 fn a_member_that_hears_its_lead_never_reads() {
     let shared = SharedReads::default();
-    shared.note(START, known(5, 1, START));
+    shared.record_read(START, known(5, 1, START));
     let lead = lead_of(&shared);
     for tick in 0..600 {
         let now = START + millis(tick * 100);
         // Every 600 ms the lead reads, and tells of it with each heartbeat.
         let read_at = START + millis(tick / 6 * 600);
-        let heard = shared.hear(now, &lead, known(5, 1, read_at));
+        let heard = shared.merge_report(now, &lead, known(5, 1, read_at));
         assert!(!heard.ask_state && !heard.ask_clock);
         let (due, _) = shared.due_at(now, PAUSE, member(1, 50));
         assert_eq!(due.config.or(due.endpoints), None, "at {now:?}");
@@ -100,13 +100,13 @@
 #[test]
 fn what_a_peer_has_newer_is_asked_of_it_before_the_store_is_read() {
     let shared = SharedReads::default();
-    shared.note(START, known(5, 1, START));
+    shared.record_read(START, known(5, 1, START));
     let lead = lead_of(&shared);
     let now = START + millis(600);
-    let heard = shared.hear(now, &lead, known(6, 1, now));
+    let heard = shared.merge_report(now, &lead, known(6, 1, now));
     assert!(heard.ask_state);
     assert!(
-        !shared.hear(now, &lead, known(6, 1, now)).ask_state,
+        !shared.merge_report(now, &lead, known(6, 1, now)).ask_state,
         "asked"
     );
     assert_eq!(shared.due_at(now, PAUSE, member(1, 50)).0.config, None);
@@ -122,7 +122,7 @@
     let alone = SharedReads::default();
     let (due, _) = alone.due_at(START, PAUSE, ReadTurn::alone());
     assert_eq!(due.config, Some(ReadReason::Start), "nobody can be asked");
-    let asking = SharedReads::default().with_peers_first(true);
+    let asking = SharedReads::default().with_asks_peers_first(true);
     assert_eq!(
         asking.due_at(START, PAUSE, ReadTurn::alone()).0.config,
         None
@@ -185,7 +185,7 @@
         tokio::spawn(starter.beacons.run(stops)),
     ];
     tokio::time::sleep(millis(100)).await;
-    assert!(!starter.directory.was_listed(), "nothing is known yet");
+    assert!(!starter.directory.is_listed(), "nothing is known yet");
     let read_at = clock.now();
     for topic in Topic::ALL {
         let value = [record("key", Some("a value"))];
@@ -196,10 +196,10 @@
         };
         let _ = seed.reads.keep(&new);
     }
-    seed.reads.note(read_at, known(5, 9, read_at));
-    seed.directory.note_listed();
+    seed.reads.record_read(read_at, known(5, 9, read_at));
+    seed.directory.mark_listed();
     tokio::time::sleep(millis(600)).await;
-    let told = starter.reads.take_told();
+    let told = starter.reads.take_peer_records();
     // Nobody takes them here, so that it asked again.
     assert!(
         Topic::ALL
@@ -209,7 +209,7 @@
     assert!(told.iter().all(|t| t.from.is_none() && t.next == 9));
     let early = told[0].read_at <= read_at && read_at < told[0].read_at + millis(700);
     assert!(early, "{:?} of {read_at:?}", told[0].read_at);
-    assert!(starter.directory.was_listed());
+    assert!(starter.directory.is_listed());
     stop.send_replace(true);
     for task in running {
         task.await.expect("the task ends");
@@ -228,7 +228,7 @@
     let address = "127.0.0.1:1".parse().expect("an address");
     for (name, millicores) in others {
         let (zone, millicores) = ("zone", *millicores);
-        directory.hear(
+        directory.record_heartbeat(
             PeerInfo {
                 name,
                 zone,
@@ -263,7 +263,7 @@
             .first_of_group(START, |_| true)
             .expect("heard");
         assert!(first.name == names[at] && before);
-        assert!(weak_directory.leads_of_all(START).contains(&names[at]));
+        assert!(weak_directory.group_leads(START).contains(&names[at]));
     }
 }
 
--- a/crates/firdock-node/tests/node/starts.rs
+++ b/crates/firdock-node/tests/node/starts.rs
@@ -51,7 +51,7 @@
     let me = instance(n);
     let directory = PeerDirectory::new(me.name, me.zone).with_millicores(me.millicores);
     for other in (0..size).filter(|other| *other != n) {
-        directory.know(instance(other), START);
+        directory.add_reported(instance(other), START);
     }
     directory.ancestors().into_iter().map(|p| p.name).collect()
 }
@@ -132,7 +132,7 @@
             ..entries(topic, count)
         });
     }
-    party.reads.note(
+    party.reads.record_read(
         read_at,
         ReadState {
             version: 5,
@@ -143,7 +143,7 @@
             steady_since: Duration::ZERO,
         },
     );
-    party.directory.note_listed();
+    party.directory.mark_listed();
 }
 
 async fn socket() -> (UdpSocket, SocketAddr) {
@@ -166,7 +166,7 @@
     knows(&seed, endpoints, clock);
     for n in 0..20 {
         // Others, so that the site is no small one; they are in other zones.
-        seed.directory.know(instance(n), clock.now());
+        seed.directory.add_reported(instance(n), clock.now());
     }
     let stronger = PeerRecord {
         name: "parent".to_owned(),
@@ -174,7 +174,7 @@
         zone: "zone".to_owned(),
         millicores: 500,
     };
-    seed.directory.know(stronger, clock.now());
+    seed.directory.add_reported(stronger, clock.now());
     if parent_knows {
         knows(&parent, endpoints, clock);
     }
@@ -184,7 +184,7 @@
     let mut told = Vec::new();
     for _ in 0..200 {
         tokio::time::sleep(Duration::from_millis(20)).await;
-        told.extend(starter.reads.take_told());
+        told.extend(starter.reads.take_peer_records());
         if !told.is_empty() {
             break;
         }
