--- a/crates/firdock-node/src/driver/send.rs
+++ b/crates/firdock-node/src/driver/send.rs
@@ -141,11 +141,11 @@
         exchange: Arc<Exchange>,
         peer: InstanceId,
         cause: HandOverCause,
-    ) -> Option<peer::Order> {
+    ) -> Option<peer::HandOverOrder> {
         let row = self.scheduler.tables().requests.get(id);
         let tried = row.map(|r| r.tried.clone()).unwrap_or_default();
         let address = self.parts.dialer.address(&peer)?;
-        Some(peer::Order {
+        Some(peer::HandOverOrder {
             exchange,
             peer,
             address,
--- a/crates/firdock-node/src/instance.rs
+++ b/crates/firdock-node/src/instance.rs
@@ -23,7 +23,7 @@
 use crate::config::Hub;
 use crate::http::{ServerOptions, serve};
 use crate::input::{INPUTS_WAITING, Input};
-use crate::peer::{PeerServer, SelfStatus, beat, serve_peers};
+use crate::peer::{PeerServer, SelfStatus, run_heartbeats, serve_peers};
 use crate::telemetry::silent;
 
 /// Time in which the balancer notices that a stopping instance is not ready any more.
@@ -106,7 +106,7 @@
         );
 
         let heartbeat = s.peers.heartbeat();
-        let beating = beat(
+        let beating = run_heartbeats(
             parts.dialer.clone(),
             self_status_seen,
             heartbeat,
--- a/crates/firdock-node/src/peer.rs
+++ b/crates/firdock-node/src/peer.rs
@@ -27,15 +27,15 @@
 };
 pub use datagram::{read_incarnation, seal};
 pub use dial::{DialError, Dialer};
-pub use hand_over::{Order, hand_over, read_reason};
-pub use heartbeat::{SelfStatus, beat};
+pub use hand_over::{HandOverOrder, hand_over, read_reason};
+pub use heartbeat::{SelfStatus, run_heartbeats};
 pub use keys::transfer_keys;
-pub use known::{Answer, KnownState, PeerProcess, Question};
+pub use known::{KnownState, PeerProcess, StateQuery, StateReply};
 pub use link::{Link, LinkError};
 pub use parts::{
-    InvalidPart, MissingParts, PART_BYTES, PartialAnswers, StateId, count_parts, part_of,
+    InvalidPart, MissingParts, PART_BYTES, PartialAnswers, StateId, count_parts, state_part,
 };
-pub use reads::{DueReads, Heard, ReadReason, ReadState, SharedReads};
+pub use reads::{DueReads, MergeOutcome, ReadReason, ReadState, SharedReads};
 pub use serve::{PeerServer, serve_peers};
 pub use state::ask_for_state;
 pub use topic::{KeyedRecord, Topic, TopicRecords, TopicSnapshot};
--- a/crates/firdock-node/src/peer/beacon.rs
+++ b/crates/firdock-node/src/peer/beacon.rs
@@ -29,7 +29,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{MissedTickBehavior, interval, sleep};
 
-use self::answer::Answers;
+use self::answer::ReplyQueue;
 use self::due::PeersDue;
 use self::meet::Meeting;
 use self::usage::ToldUse;
@@ -127,7 +127,7 @@
         let mut self_status = self.self_status.clone();
         let mut steps = Steps::default();
         let mut tick = 0;
-        let mut answers = Answers::default();
+        let mut answers = ReplyQueue::default();
         let mut meeting = Meeting::new(
             self.clock.now(),
             self.reads.asks_peers_first(),
--- a/crates/firdock-node/src/peer/beacon/answer.rs
+++ b/crates/firdock-node/src/peer/beacon/answer.rs
@@ -17,8 +17,8 @@
 use super::BeaconService;
 use crate::peer::book::{PeerDirectory, PeerRecord};
 use crate::peer::datagram::{seal, write_address};
-use crate::peer::known::{KnownState, Question, ToldPart, answer_body, queued_body};
-use crate::peer::parts::{MissingParts, StateId, count_parts, part_of};
+use crate::peer::known::{KnownState, StateQuery, ToldPart, answer_body, queued_body};
+use crate::peer::parts::{MissingParts, StateId, count_parts, state_part};
 use crate::peer::reads::{ReadState, SharedReads};
 
 /// Shortest pause between two answers: some 8 KB each are 3 ms of a link of 20 Mbit/s, to which they come
@@ -77,12 +77,12 @@
 #[derive(Debug)]
 struct Waiting {
     from: SocketAddr,
-    question: Question,
+    question: StateQuery,
 }
 
 /// Peers that wait for an answer, and the last ones that were made.
 #[derive(Debug, Default)]
-pub(super) struct Answers {
+pub(super) struct ReplyQueue {
     waiting: VecDeque<Waiting>,
     /// When the next answer may be sent.
     free_at: Time,
@@ -92,11 +92,11 @@
     count: StateId,
 }
 
-impl Answers {
+impl ReplyQueue {
     /// Notes that a peer asks; its latest question counts.
     ///
     /// Tells whether so many wait that the peer is to know that its answer will take a while.
-    pub(super) fn ask(&mut self, from: SocketAddr, question: Question) -> bool {
+    pub(super) fn ask(&mut self, from: SocketAddr, question: StateQuery) -> bool {
         if let Some(known) = self.waiting.iter_mut().find(|w| w.from == from) {
             known.question = question;
         } else if self.waiting.len() < MAX_WAITING {
@@ -115,8 +115,8 @@
     }
 
     /// Gives the state of which parts are asked for, if it is still kept.
-    fn kept(&self, lacking: Option<&MissingParts>) -> Option<usize> {
-        let id = lacking?.state;
+    fn kept(&self, missing: Option<&MissingParts>) -> Option<usize> {
+        let id = missing?.state;
         self.made.iter().position(|m| m.id == id)
     }
 
@@ -131,13 +131,13 @@
 
 impl BeaconService {
     /// Answers the peer that has waited longest, by one part of the answer where it goes in several.
-    pub(super) async fn answer_next(&self, answers: &mut Answers) {
+    pub(super) async fn answer_next(&self, answers: &mut ReplyQueue) {
         let Some(Waiting { from, mut question }) = answers.waiting.pop_front() else {
             return;
         };
         let now = self.clock.now();
         answers.made.retain(|m| m.at + KEEP > now);
-        let asked_for = question.lacking.take();
+        let asked_for = question.missing.take();
         if !self.directory.is_partial() {
             // All are told of all, by one answer for everyone.
             question.zone.clear();
@@ -151,29 +151,29 @@
             return;
         };
         let asked_for = asked_for.filter(|l| l.state == made.id);
-        let mut lacking: Vec<u32> =
-            asked_for.map_or_else(|| (0..parts).collect(), |lacking| lacking.parts);
-        lacking.retain(|part| *part < parts);
-        if lacking.is_empty() {
+        let mut missing: Vec<u32> =
+            asked_for.map_or_else(|| (0..parts).collect(), |missing| missing.parts);
+        missing.retain(|part| *part < parts);
+        if missing.is_empty() {
             return;
         }
-        let part = lacking.remove(0);
+        let part = missing.remove(0);
         let told = ToldPart {
             reads: made.reads,
             state: made.id,
             part,
             parts,
-            bytes: part_of(&made.state, part).to_vec(),
+            bytes: state_part(&made.state, part).to_vec(),
             large: made.large,
             known: made.known,
         };
         answers.free_at = now + self.sending_time(told.bytes.len());
         let asked = question.asked;
-        if !lacking.is_empty() {
+        if !missing.is_empty() {
             // The rest goes before others' answers: half of an answer is of no use.
-            question.lacking = Some(MissingParts {
+            question.missing = Some(MissingParts {
                 state: made.id,
-                parts: lacking,
+                parts: missing,
             });
             answers.waiting.push_front(Waiting { from, question });
         }
@@ -200,7 +200,7 @@
 
     /// Gives the place of the state by which a question is answered, which is made unless one that still
     /// holds was.
-    fn state_for(&self, question: &Question, now: Time, answers: &mut Answers) -> usize {
+    fn state_for(&self, question: &StateQuery, now: Time, answers: &mut ReplyQueue) -> usize {
         let reads = self.reads.own();
         let basis = Basis {
             topics: question.topics,
@@ -237,7 +237,7 @@
 
     /// Makes the state that is told, and tells whether the topics are left out of it; who asks for the
     /// instances as well is told where else to ask for long topics.
-    fn make(&self, question: &Question, now: Time) -> Option<(Vec<u8>, bool)> {
+    fn make(&self, question: &StateQuery, now: Time) -> Option<(Vec<u8>, bool)> {
         let direct = question.whole || !question.instances || !question.topics;
         if direct || !self.directory.is_partial() {
             let all = self.known_state(question, now).deflate()?;
@@ -245,7 +245,7 @@
                 return Some((all, false));
             }
         }
-        let instances = Question {
+        let instances = StateQuery {
             topics: false,
             ..question.clone()
         };
@@ -253,7 +253,7 @@
         Some((state, true))
     }
 
-    fn known_state(&self, question: &Question, now: Time) -> KnownState {
+    fn known_state(&self, question: &StateQuery, now: Time) -> KnownState {
         let topics = if question.topics {
             self.reads.images()
         } else {
--- a/crates/firdock-node/src/peer/beacon/meet.rs
+++ b/crates/firdock-node/src/peer/beacon/meet.rs
@@ -12,7 +12,7 @@
 use super::BeaconService;
 use crate::peer::book::PeerDirectory;
 use crate::peer::datagram::seal;
-use crate::peer::known::Question;
+use crate::peer::known::StateQuery;
 use crate::peer::reads::SharedReads;
 
 /// Pause before the next one is asked: many times the way there and back, and time enough for one
@@ -149,12 +149,12 @@
     pub(super) async fn ask_seed(&self, meeting: &mut Meeting) {
         let now = self.clock.now();
         let next = meeting.take_next(now, &self.reads, &self.directory);
-        let question = Question {
+        let question = StateQuery {
             asked: now,
             topics: !self.reads.is_known(),
             instances: next.instances,
             whole: next.whole,
-            lacking: self.partial().lacking(next.to),
+            missing: self.partial().missing(next.to),
             zone: self.directory.zone().to_owned(),
         };
         self.send_to(&seal(&self.key, question.body()), "", next.to)
--- a/crates/firdock-node/src/peer/beacon/take.rs
+++ b/crates/firdock-node/src/peer/beacon/take.rs
@@ -17,7 +17,7 @@
 use crate::peer::book::{HeartbeatOutcome, PeerInfo, PeerRecord};
 use crate::peer::datagram::{open, read_incarnation, read_reads, read_uses, seal};
 use crate::peer::heartbeat::{peer_news, read_demand, read_work};
-use crate::peer::known::{Answer, PeerProcess, Question, read_records};
+use crate::peer::known::{PeerProcess, StateQuery, StateReply, read_records};
 use crate::peer::parts::InvalidPart;
 use crate::peer::reads::ReadState;
 use crate::peer::rollouts::{read_seen, read_words};
@@ -26,7 +26,7 @@
 impl BeaconService {
     /// Takes a datagram; one that is not sealed with the shared key is dropped. Gives a question that
     /// is to be answered.
-    pub(super) async fn take(&self, sealed: &[u8], from: SocketAddr) -> Option<Question> {
+    pub(super) async fn take(&self, sealed: &[u8], from: SocketAddr) -> Option<StateQuery> {
         match open(&self.key, sealed) {
             Some(datagram::Body::Beacon(beacon)) => self.take_beacon(beacon, from).await,
             Some(datagram::Body::ClockQuestion(question)) => {
@@ -39,7 +39,7 @@
                 None => self.drop_malformed("changes", from),
             },
             Some(datagram::Body::StateQuestion(question)) => {
-                return Some(Question::read(&question));
+                return Some(StateQuery::read(&question));
             }
             Some(datagram::Body::StateAnswer(answer)) => self.take_part(answer, from),
             Some(datagram::Body::PlacementReport(told)) => {
@@ -63,7 +63,7 @@
             return;
         }
         let taken = self.partial().take(self.clock.now(), from, told);
-        let whole = taken.map(|whole| whole.map(Answer::read));
+        let whole = taken.map(|whole| whole.map(StateReply::read));
         match whole {
             Ok(Some(Some(answer))) => self.take_answer(answer),
             Ok(None) => {}
@@ -76,7 +76,7 @@
     }
 
     /// Takes what a peer answered: the other instances, and what it knows of the store.
-    fn take_answer(&self, mut answer: Answer) {
+    fn take_answer(&self, mut answer: StateReply) {
         let now = self.clock.now();
         let instances = std::mem::take(&mut answer.instances);
         if !instances.is_empty() {
@@ -131,8 +131,8 @@
             return;
         }
         let now = self.clock.now();
-        let hearing = self.note(&beacon, from, now);
-        if hearing == Some(HeartbeatOutcome::First) {
+        let outcome = self.note(&beacon, from, now);
+        if outcome == Some(HeartbeatOutcome::First) {
             // It may not know of this one, and its turn among many would come late.
             let known = PeerRecord {
                 name: beacon.instance.clone(),
@@ -179,7 +179,7 @@
                 self.sums().hear_group(now, &news.zone, &counts);
             }
         }
-        if hearing != Some(HeartbeatOutcome::NotKept) {
+        if outcome != Some(HeartbeatOutcome::Untracked) {
             self.tell(Event::Peer(news)).await;
         }
     }
@@ -239,22 +239,22 @@
             name: news.name.clone(),
             incarnation: news.incarnation,
         };
-        let heard = self.reads.merge_report(now, &teller, told);
-        if let Some(at) = heard.fresh {
+        let merged = self.reads.merge_report(now, &teller, told);
+        if let Some(at) = merged.fresh {
             self.tell(Event::Fresh(at)).await;
         }
         let starts = self.reads.is_large() && !self.reads.is_known();
-        let question = if heard.ask_state && !starts {
-            let question = Question {
+        let question = if merged.ask_state && !starts {
+            let question = StateQuery {
                 asked: now,
                 topics: true,
                 instances: !self.directory.is_listed(),
                 whole: false,
-                lacking: self.partial().lacking(from),
+                missing: self.partial().missing(from),
                 zone: self.directory.zone().to_owned(),
             };
             question.body()
-        } else if heard.ask_clock && self.counts(&news.name, now) {
+        } else if merged.ask_clock && self.counts(&news.name, now) {
             let asked = millis(now);
             datagram::Body::ClockQuestion(ClockQuestion { asked })
         } else {
@@ -277,7 +277,7 @@
     /// stops.
     fn note(&self, beacon: &Beacon, from: SocketAddr, now: Time) -> Option<HeartbeatOutcome> {
         let heartbeat = beacon.heartbeat.as_ref();
-        let hearing = if heartbeat.is_some_and(|b| b.draining) {
+        let outcome = if heartbeat.is_some_and(|b| b.draining) {
             self.directory.forget(&beacon.instance, now);
             None
         } else {
@@ -286,14 +286,14 @@
                 zone: heartbeat.map_or("", |b| &b.zone),
                 millicores: beacon.power,
             };
-            let hearing = if beacon.group_heard > 0 {
+            let outcome = if beacon.group_heard > 0 {
                 self.directory.record_lead_heartbeat(word, from, now)
             } else {
                 self.directory.record_heartbeat(word, from, now)
             };
-            Some(hearing)
+            Some(outcome)
         };
         self.add_reported(beacon.peers.iter().take(MAX_TOLD).cloned().collect(), now);
-        hearing
+        outcome
     }
 }
--- a/crates/firdock-node/src/peer/book.rs
+++ b/crates/firdock-node/src/peer/book.rs
@@ -43,9 +43,9 @@
     /// It was not heard before.
     First,
     /// It was.
-    Again,
+    Repeated,
     /// It is not kept: its lead tells for it.
-    NotKept,
+    Untracked,
 }
 
 /// What an instance tells of itself in each heartbeat.
@@ -227,7 +227,7 @@
             self.record_lead_heartbeat(word, address, now)
         } else {
             self.lock().remove(word.name);
-            HeartbeatOutcome::NotKept
+            HeartbeatOutcome::Untracked
         }
     }
 
@@ -242,7 +242,7 @@
         let mut entries = self.lock();
         let known = entries.contains_key(word.name) || entries.len() < MAX_PEERS;
         if word.name == self.me || !known {
-            return HeartbeatOutcome::NotKept;
+            return HeartbeatOutcome::Untracked;
         }
         let entry = Entry {
             address,
@@ -254,7 +254,7 @@
         };
         let before = entries.insert(word.name.to_owned(), entry);
         match before {
-            Some(before) if before.heard => HeartbeatOutcome::Again,
+            Some(before) if before.heard => HeartbeatOutcome::Repeated,
             _ => HeartbeatOutcome::First,
         }
     }
--- a/crates/firdock-node/src/peer/hand_over.rs
+++ b/crates/firdock-node/src/peer/hand_over.rs
@@ -24,7 +24,7 @@
 
 /// Order to hand a request over.
 #[derive(Debug)]
-pub struct Order {
+pub struct HandOverOrder {
     /// Request.
     pub exchange: Arc<Exchange>,
     /// Peer.
@@ -41,7 +41,7 @@
     pub caller_stall: Duration,
 }
 
-impl Order {
+impl HandOverOrder {
     fn id(&self) -> RequestId {
         self.exchange.id
     }
@@ -66,7 +66,7 @@
 }
 
 /// Hands a request over; gives a word on how it ended for the trace.
-pub async fn hand_over(dialer: Dialer, order: Order, trace: TraceContext) -> &'static str {
+pub async fn hand_over(dialer: Dialer, order: HandOverOrder, trace: TraceContext) -> &'static str {
     let Ok(mut link) = dialer.dial(&order.peer, order.address).await else {
         order.refused(None, Vec::new()).await;
         return "unreachable";
@@ -92,7 +92,7 @@
 }
 
 /// Takes one message of the answer; gives how the hand-over ended, if it did.
-async fn take(order: &Order, body: Body) -> Option<&'static str> {
+async fn take(order: &HandOverOrder, body: Body) -> Option<&'static str> {
     let id = order.id();
     match body {
         Body::AnswerHead(head) => {
@@ -135,7 +135,7 @@
     }
 }
 
-async fn caller_left(order: &Order) -> Option<&'static str> {
+async fn caller_left(order: &HandOverOrder) -> Option<&'static str> {
     let _ = order
         .inputs
         .send(Input::Event(Event::CallerLeft(order.id())))
@@ -143,7 +143,7 @@
     Some("caller-left")
 }
 
-fn message_of(order: &Order, trace: TraceContext) -> message::HandOver {
+fn message_of(order: &HandOverOrder, trace: TraceContext) -> message::HandOver {
     let payload = &order.exchange.payload;
     let cause = match order.cause {
         HandOverCause::KeyOwner => Cause::KeyOwner,
--- a/crates/firdock-node/src/peer/heartbeat.rs
+++ b/crates/firdock-node/src/peer/heartbeat.rs
@@ -233,7 +233,7 @@
 }
 
 /// Keeps a beating link to every instance of the list, until `stop` turns true.
-pub async fn beat(
+pub async fn run_heartbeats(
     dialer: Dialer,
     self_status: watch::Receiver<SelfStatus>,
     pause: Duration,
@@ -258,7 +258,7 @@
         });
         for peer in peers {
             links.entry(peer.clone()).or_insert_with(|| {
-                tokio::spawn(beat_one(
+                tokio::spawn(heartbeat_peer(
                     dialer.clone(),
                     peer,
                     self_status.clone(),
@@ -274,7 +274,7 @@
     }
 }
 
-async fn beat_one(
+async fn heartbeat_peer(
     dialer: Dialer,
     peer: (InstanceId, SocketAddr),
     self_status: watch::Receiver<SelfStatus>,
--- a/crates/firdock-node/src/peer/known.rs
+++ b/crates/firdock-node/src/peer/known.rs
@@ -38,7 +38,7 @@
 
 /// What an instance asks a peer for.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Question {
+pub struct StateQuery {
     /// When it is asked.
     pub asked: Time,
     /// Whether the topics are asked for.
@@ -48,22 +48,22 @@
     /// Whether the topics are asked for however long they are.
     pub whole: bool,
     /// Parts of an earlier answer that did not come; `None` where all is asked for.
-    pub lacking: Option<MissingParts>,
+    pub missing: Option<MissingParts>,
     /// Availability zone of who asks.
     pub zone: ZoneId,
 }
 
-impl Question {
+impl StateQuery {
     pub(super) fn body(self) -> datagram::Body {
-        let lacking = self.lacking.unwrap_or_default();
+        let missing = self.missing.unwrap_or_default();
         let all = || Topic::ALL.map(|t| i32::from(t.write())).to_vec();
         datagram::Body::StateQuestion(message::StateQuestion {
             asked: millis(self.asked),
             topics: if self.topics { all() } else { Vec::new() },
             instances: self.instances,
             whole: self.whole,
-            state_id: lacking.state,
-            lacking: lacking.parts,
+            state_id: missing.state,
+            lacking: missing.parts,
             zone: self.zone,
         })
     }
@@ -74,7 +74,7 @@
             topics: !told.topics.is_empty(),
             instances: told.instances,
             whole: told.whole,
-            lacking: (!told.lacking.is_empty()).then(|| MissingParts {
+            missing: (!told.lacking.is_empty()).then(|| MissingParts {
                 state: told.state_id,
                 parts: told.lacking.clone(),
             }),
@@ -109,7 +109,7 @@
 
 /// A peer's answer; times are by its clock.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Answer {
+pub struct StateReply {
     /// Who told it.
     pub teller: PeerProcess,
     /// When this instance had asked, by its own clock.
@@ -128,7 +128,7 @@
     pub known: usize,
 }
 
-impl Answer {
+impl StateReply {
     /// Reads an answer; `None` for a malformed one.
     pub(super) fn read(told: message::StateAnswer) -> Option<Self> {
         let reads = read_reads(told.reads?);
--- a/crates/firdock-node/src/peer/parts.rs
+++ b/crates/firdock-node/src/peer/parts.rs
@@ -40,7 +40,7 @@
 
 /// Gives one part of a state.
 #[must_use]
-pub fn part_of(state: &[u8], part: u32) -> &[u8] {
+pub fn state_part(state: &[u8], part: u32) -> &[u8] {
     let start = (part as usize * PART_BYTES).min(state.len());
     let end = (start + PART_BYTES).min(state.len());
     &state[start..end]
@@ -130,13 +130,13 @@
 
     /// Gives what lacks of the answer of one that is to be asked again; `None` where nothing came of it.
     #[must_use]
-    pub fn lacking(&self, from: SocketAddr) -> Option<MissingParts> {
+    pub fn missing(&self, from: SocketAddr) -> Option<MissingParts> {
         let partial = self.by_teller.get(&from)?;
-        let lacks = partial.parts.iter().enumerate();
-        let lacks = lacks.filter(|(_, part)| part.is_none());
+        let absent = partial.parts.iter().enumerate();
+        let absent = absent.filter(|(_, part)| part.is_none());
         Some(MissingParts {
             state: partial.state,
-            parts: lacks.map(|(at, _)| at as u32).collect(),
+            parts: absent.map(|(at, _)| at as u32).collect(),
         })
     }
 
--- a/crates/firdock-node/src/peer/reads.rs
+++ b/crates/firdock-node/src/peer/reads.rs
@@ -24,7 +24,7 @@
 pub use self::due::{DueReads, ReadReason};
 use self::state::Inner;
 use super::book::ReadTurn;
-use super::known::{Answer, PeerProcess};
+use super::known::{PeerProcess, StateReply};
 use super::topic::{Topic, TopicRecords, TopicSnapshot};
 use crate::clock::Clock;
 
@@ -55,7 +55,7 @@
 
 /// What follows from a peer's word.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Heard {
+pub struct MergeOutcome {
     /// The configuration in force here was the newest at this time.
     pub fresh: Option<Time>,
     /// The peer's clock has to be asked for before its word is of use.
@@ -189,7 +189,7 @@
     }
 
     /// Takes a peer's answer to a question.
-    pub fn merge_reply(&self, answer: Answer) {
+    pub fn merge_reply(&self, answer: StateReply) {
         let PeerProcess { name, incarnation } = &answer.teller;
         self.take_clock(name, *incarnation, answer.asked, answer.clock);
         let inner = self.lock();
@@ -246,12 +246,12 @@
 
     /// Takes a peer's word, whose times are by its own clock.
     #[must_use]
-    pub fn merge_report(&self, now: Time, teller: &PeerProcess, told: ReadState) -> Heard {
+    pub fn merge_report(&self, now: Time, teller: &PeerProcess, told: ReadState) -> MergeOutcome {
         let mut inner = self.lock();
         let ask_state = inner.hear_news(now, told);
         let Some(bound) = inner.clocks.get(&teller.name, teller.incarnation) else {
             // An answer to the question for what it knows tells its clock as well.
-            return Heard {
+            return MergeOutcome {
                 fresh: None,
                 ask_clock: !ask_state,
                 ask_state,
@@ -265,7 +265,7 @@
         };
         let fresh = inner.confirm(told);
         inner.hear_steady(told);
-        Heard {
+        MergeOutcome {
             fresh,
             ask_clock: false,
             ask_state,
--- a/crates/firdock-node/src/peer/reads/due.rs
+++ b/crates/firdock-node/src/peer/reads/due.rs
@@ -77,27 +77,27 @@
     /// The list of endpoints.
     pub endpoints: Option<ReadReason>,
     /// Nothing of the store's: a peer told what it knows.
-    pub told: bool,
+    pub from_peers: bool,
 }
 
 impl DueReads {
     /// Only what a peer told.
-    pub const TOLD: Self = Self {
+    pub const FROM_PEERS: Self = Self {
         config: None,
         endpoints: None,
-        told: true,
+        from_peers: true,
     };
 
     /// Everything, as at a start.
     pub(super) const START: Self = Self {
         config: Some(ReadReason::Start),
         endpoints: Some(ReadReason::Start),
-        told: false,
+        from_peers: false,
     };
 
     /// Tells whether anything is due.
     pub(super) fn any(self) -> bool {
-        self.config.is_some() || self.endpoints.is_some() || self.told
+        self.config.is_some() || self.endpoints.is_some() || self.from_peers
     }
 }
 
--- a/crates/firdock-node/src/peer/reads/state.rs
+++ b/crates/firdock-node/src/peer/reads/state.rs
@@ -89,7 +89,7 @@
         read_turn: ReadTurn,
     ) -> (DueReads, Time) {
         if !self.told.is_empty() {
-            return (DueReads::TOLD, now);
+            return (DueReads::FROM_PEERS, now);
         }
         if now < self.held_until {
             return (DueReads::default(), self.held_until);
@@ -113,7 +113,7 @@
         let due = DueReads {
             config: (config_by <= now).then_some(config),
             endpoints: (endpoints_by <= now).then_some(endpoints),
-            told: false,
+            from_peers: false,
         };
         (due, config_by.min(endpoints_by))
     }
--- a/crates/firdock-node/tests/node/fleet.rs
+++ b/crates/firdock-node/tests/node/fleet.rs
@@ -87,13 +87,13 @@
     for n in 0..24 {
         hear(&directory, n, START);
     }
-    assert_eq!(hear(&directory, 100, START), HeartbeatOutcome::NotKept);
+    assert_eq!(hear(&directory, 100, START), HeartbeatOutcome::Untracked);
     // The first four of each group fall; the next ones tell all leads that they know of.
     let later = START + Duration::from_secs(7);
     for n in 24..36 {
         let peer = instance(n);
-        let hearing = directory.record_lead_heartbeat(word(&peer), peer.address, later);
-        assert_eq!(hearing, HeartbeatOutcome::First);
+        let outcome = directory.record_lead_heartbeat(word(&peer), peer.address, later);
+        assert_eq!(outcome, HeartbeatOutcome::First);
     }
     directory.sweep(later);
     let leads = directory.group_leads(later);
--- a/crates/firdock-node/tests/node/parts.rs
+++ b/crates/firdock-node/tests/node/parts.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use firdock_node::peer::{
-    InvalidPart, MissingParts, PART_BYTES, PartialAnswers, count_parts, part_of,
+    InvalidPart, MissingParts, PART_BYTES, PartialAnswers, count_parts, state_part,
 };
 use firdock_wire::message::StateAnswer;
 use proptest::prelude::*;
@@ -22,7 +22,7 @@
 fn part(id: u64, state: &[u8], part: u32) -> StateAnswer {
     StateAnswer {
         incarnation: vec![1; 16],
-        state: part_of(state, part).to_vec(),
+        state: state_part(state, part).to_vec(),
         state_id: id,
         part,
         parts: count_parts(state.len()).expect("few parts"),
@@ -34,19 +34,19 @@
 fn a_part_that_is_lost_is_asked_for_alone() {
     let told = state(PART_BYTES * 2 + 7);
     let mut answers = PartialAnswers::default();
-    assert_eq!(answers.lacking(teller(1)), None);
+    assert_eq!(answers.missing(teller(1)), None);
     for n in [0, 2] {
         assert_eq!(answers.take(NOW, teller(1), part(9, &told, n)), Ok(None));
     }
-    let lacking = MissingParts {
+    let missing = MissingParts {
         state: 9,
         parts: vec![1],
     };
-    assert_eq!(answers.lacking(teller(1)), Some(lacking));
-    assert_eq!(answers.lacking(teller(2)), None);
+    assert_eq!(answers.missing(teller(1)), Some(missing));
+    assert_eq!(answers.missing(teller(2)), None);
     let whole = answers.take(NOW, teller(1), part(9, &told, 1));
     assert_eq!(whole.map(|w| w.map(|w| w.state)), Ok(Some(told)));
-    assert_eq!(answers.lacking(teller(1)), None);
+    assert_eq!(answers.missing(teller(1)), None);
 }
 
 #[test]
@@ -83,7 +83,7 @@
         let now = NOW + Duration::from_millis(n.into());
         assert_eq!(answers.take(now, teller(n), part(1, &told, 0)), Ok(None));
     }
-    let kept = (1..=200).filter(|n| answers.lacking(teller(*n)).is_some());
+    let kept = (1..=200).filter(|n| answers.missing(teller(*n)).is_some());
     assert_eq!(kept.count(), 4);
     assert_eq!(count_parts(PART_BYTES * 64), Some(64));
     assert_eq!(
--- a/crates/firdock-node/tests/node/peers.rs
+++ b/crates/firdock-node/tests/node/peers.rs
@@ -406,7 +406,7 @@
         .due(Clock::new(), millis(60_000), ReadTurn::alone)
         .await;
     assert!(
-        due.told && due.endpoints.is_none() && due.config.is_none(),
+        due.from_peers && due.endpoints.is_none() && due.config.is_none(),
         "{due:?}"
     );
     let told = shared.take_peer_records();
