--- a/crates/firdock-node/src/edge/parts.rs
+++ b/crates/firdock-node/src/edge/parts.rs
@@ -248,10 +248,10 @@
             changes,
             seeds: other_seeds(&self.settings),
             sums: Mutex::default(),
-            partial: Mutex::default(),
+            partial_replies: Mutex::default(),
             inputs: inputs.clone(),
-            pause: self.settings.peers.heartbeat(),
-            link: self.settings.instance.link_mbits,
+            interval: self.settings.peers.heartbeat(),
+            link_mbits: self.settings.instance.link_mbits,
             clock: self.clock,
             log: self.log.new(o!("part" => "peers")),
         };
--- a/crates/firdock-node/src/instance/parts.rs
+++ b/crates/firdock-node/src/instance/parts.rs
@@ -27,7 +27,7 @@
 use crate::exchange::AnswerRoom;
 use crate::input::Input;
 use crate::operator::{OperatorServer, Watchers, serve_operators};
-use crate::peer::{Dialer, SelfStatus, ask_for_state};
+use crate::peer::{Dialer, SelfStatus, fetch_state};
 use crate::platform::{HttpInstances, HttpLog};
 use crate::site::Site;
 use crate::source::WantedRecords;
@@ -139,7 +139,7 @@
         let dialer = self.dialer.clone();
         let parts = FollowParts {
             log_client: self.log_client.clone(),
-            ask_peers: move || runtime.block_on(ask_for_state(&dialer)),
+            ask_peers: move || runtime.block_on(fetch_state(&dialer)),
             hub: Arc::clone(&self.hub),
             inputs: inputs.clone(),
             clock: self.clock,
--- a/crates/firdock-node/src/peer.rs
+++ b/crates/firdock-node/src/peer.rs
@@ -33,11 +33,11 @@
 pub use known::{KnownState, PeerProcess, StateQuery, StateReply};
 pub use link::{Link, LinkError};
 pub use parts::{
-    InvalidPart, MissingParts, PART_BYTES, PartialAnswers, StateId, count_parts, state_part,
+    InvalidPart, MissingParts, PART_BYTES, PartialReplies, StateId, count_parts, state_part,
 };
 pub use reads::{DueReads, MergeOutcome, ReadReason, ReadState, SharedReads};
 pub use serve::{PeerServer, serve_peers};
-pub use state::ask_for_state;
+pub use state::fetch_state;
 pub use topic::{KeyedRecord, Topic, TopicRecords, TopicSnapshot};
 
 use std::time::Duration;
--- a/crates/firdock-node/src/peer/beacon.rs
+++ b/crates/firdock-node/src/peer/beacon.rs
@@ -37,7 +37,7 @@
 use super::datagram::{seal, write_address, write_reads, write_uses};
 use super::heartbeat::{SelfStatus, write_demand, write_work};
 use super::known::records_body;
-use super::parts::PartialAnswers;
+use super::parts::PartialReplies;
 use super::reads::SharedReads;
 use super::rollouts::{write_seen, write_words};
 use super::topic::TopicRecords;
@@ -103,13 +103,13 @@
     /// Counts of what all instances let pass of limits, where this one leads.
     pub sums: Mutex<UseSums>,
     /// Answers of which parts came.
-    pub partial: Mutex<PartialAnswers>,
+    pub partial_replies: Mutex<PartialReplies>,
     /// Way to the scheduler.
     pub inputs: mpsc::Sender<Input>,
     /// Pause between two beacons.
-    pub pause: Duration,
+    pub interval: Duration,
     /// Link of this instance, in Mbit/s; 0 where that is not known.
-    pub link: f64,
+    pub link_mbits: f64,
     /// Clock.
     pub clock: Clock,
     /// Logger.
@@ -119,7 +119,7 @@
 impl BeaconService {
     /// Sends and takes beacons until `stop` turns true; a last one tells that this instance ends.
     pub async fn run(mut self, mut stop: watch::Receiver<bool>) {
-        let mut ticks = interval(self.pause);
+        let mut ticks = interval(self.interval);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         let mut known = None;
@@ -242,8 +242,10 @@
         }
     }
 
-    fn partial(&self) -> MutexGuard<'_, PartialAnswers> {
-        self.partial.lock().unwrap_or_else(PoisonError::into_inner)
+    fn partial_replies(&self) -> MutexGuard<'_, PartialReplies> {
+        self.partial_replies
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Sends a beacon that tells of `heard` and of what was used; where nobody gets it, none is made.
--- a/crates/firdock-node/src/peer/beacon/answer.rs
+++ b/crates/firdock-node/src/peer/beacon/answer.rs
@@ -189,8 +189,8 @@
 
     /// Gives the time that an answer takes of the own link.
     fn sending_time(&self, bytes: usize) -> Duration {
-        let link = if self.link > 0.0 {
-            self.link
+        let link = if self.link_mbits > 0.0 {
+            self.link_mbits
         } else {
             LINK_GUESS
         };
@@ -255,7 +255,7 @@
 
     fn known_state(&self, question: &StateQuery, now: Time) -> KnownState {
         let topics = if question.topics {
-            self.reads.images()
+            self.reads.snapshots()
         } else {
             Vec::new()
         };
--- a/crates/firdock-node/src/peer/beacon/meet.rs
+++ b/crates/firdock-node/src/peer/beacon/meet.rs
@@ -154,7 +154,7 @@
             topics: !self.reads.is_known(),
             instances: next.instances,
             whole: next.whole,
-            missing: self.partial().missing(next.to),
+            missing: self.partial_replies().missing(next.to),
             zone: self.directory.zone().to_owned(),
         };
         self.send_to(&seal(&self.key, question.body()), "", next.to)
--- a/crates/firdock-node/src/peer/beacon/take.rs
+++ b/crates/firdock-node/src/peer/beacon/take.rs
@@ -62,7 +62,7 @@
             self.reads.note_queued(self.clock.now());
             return;
         }
-        let taken = self.partial().take(self.clock.now(), from, told);
+        let taken = self.partial_replies().take(self.clock.now(), from, told);
         let whole = taken.map(|whole| whole.map(StateReply::read));
         match whole {
             Ok(Some(Some(answer))) => self.take_answer(answer),
@@ -250,7 +250,7 @@
                 topics: true,
                 instances: !self.directory.is_listed(),
                 whole: false,
-                missing: self.partial().missing(from),
+                missing: self.partial_replies().missing(from),
                 zone: self.directory.zone().to_owned(),
             };
             question.body()
--- a/crates/firdock-node/src/peer/parts.rs
+++ b/crates/firdock-node/src/peer/parts.rs
@@ -84,11 +84,11 @@
 
 /// The answers of which parts came, by who tells them.
 #[derive(Debug, Default)]
-pub struct PartialAnswers {
+pub struct PartialReplies {
     by_teller: BTreeMap<SocketAddr, Partial>,
 }
 
-impl PartialAnswers {
+impl PartialReplies {
     /// Takes an answer or a part of one; gives the whole answer once no part lacks.
     ///
     /// Parts of another state than before, which the teller made anew, replace what came of that.
--- a/crates/firdock-node/src/peer/reads.rs
+++ b/crates/firdock-node/src/peer/reads.rs
@@ -114,7 +114,7 @@
 
     /// Tells whether an instance that just started still waits for its peers' answer.
     #[must_use]
-    pub fn awaits_answer(&self, now: Time) -> bool {
+    pub fn awaits_reply(&self, now: Time) -> bool {
         let inner = self.lock();
         let until = inner.started.map(|at| inner.start_by(at));
         until.is_none_or(|until| now < until)
@@ -163,18 +163,24 @@
     }
 
     /// Keeps records as they stand in the store, to be passed on; gives what changed by them.
-    pub fn keep(&self, new: &TopicRecords) -> Option<TopicRecords> {
+    pub fn apply_records(&self, new: &TopicRecords) -> Option<TopicRecords> {
         let mut inner = self.lock();
-        let slot = inner.images.of(new.topic);
+        let slot = inner.snapshots.of(new.topic);
         let known = slot.is_some();
         slot.get_or_insert_default().take(new, known)
     }
 
     /// Gives the topics as they stand in the store, for a peer that asks.
     #[must_use]
-    pub fn images(&self) -> Vec<(Topic, TopicSnapshot)> {
+    pub fn snapshots(&self) -> Vec<(Topic, TopicSnapshot)> {
         let mut inner = self.lock();
-        let image = |topic| inner.images.of(topic).clone().map(|image| (topic, image));
+        let image = |topic| {
+            inner
+                .snapshots
+                .of(topic)
+                .clone()
+                .map(|image| (topic, image))
+        };
         Topic::ALL.into_iter().filter_map(image).collect()
     }
 
--- a/crates/firdock-node/src/peer/reads/state.rs
+++ b/crates/firdock-node/src/peer/reads/state.rs
@@ -18,12 +18,12 @@
 const ASK_PAUSE: Duration = Duration::from_millis(150);
 /// What is known of the topics, as it stands in the store.
 #[derive(Debug, Default)]
-pub(super) struct Images {
+pub(super) struct Snapshots {
     config: Option<TopicSnapshot>,
     endpoints: Option<TopicSnapshot>,
 }
 
-impl Images {
+impl Snapshots {
     pub(super) fn of(&mut self, topic: Topic) -> &mut Option<TopicSnapshot> {
         match topic {
             Topic::Config => &mut self.config,
@@ -54,7 +54,7 @@
     pub(super) endpoints_news: Option<Time>,
     /// What peers told, to be taken.
     pub(super) told: Vec<TopicRecords>,
-    pub(super) images: Images,
+    pub(super) snapshots: Snapshots,
     pub(super) clocks: PeerClocks,
 }
 
--- a/crates/firdock-node/src/peer/state.rs
+++ b/crates/firdock-node/src/peer/state.rs
@@ -30,7 +30,7 @@
 }
 
 /// Asks the peers for their state, one after another; gives the newest of the first two.
-pub async fn ask_for_state(dialer: &Dialer) -> Option<State> {
+pub async fn fetch_state(dialer: &Dialer) -> Option<State> {
     const ENOUGH: usize = 2;
     let mut states = Vec::new();
     for (name, address) in dialer.peers() {
--- a/crates/firdock-node/src/source.rs
+++ b/crates/firdock-node/src/source.rs
@@ -208,8 +208,8 @@
     /// Keeps records that were taken here, and tells the other instances what changed by them.
     ///
     /// `read_here` tells whether this instance read them itself.
-    pub fn keep(&self, records: &TopicRecords, read_locally: bool) {
-        if let Some(records) = self.reads.keep(records) {
+    pub fn apply_records(&self, records: &TopicRecords, read_locally: bool) {
+        if let Some(records) = self.reads.apply_records(records) {
             // A peer that does not hear of them asks for them.
             let _ = self.changes.try_send(AppliedRecords {
                 records,
@@ -300,7 +300,7 @@
     /// Tells whether this instance just started, and still waits for what its peers tell.
     #[must_use]
     pub fn awaits_peers(&self) -> bool {
-        self.reads.awaits_answer(self.clock.now())
+        self.reads.awaits_reply(self.clock.now())
     }
 
     /// Tells whether any other instance has been heard from.
--- a/crates/firdock-node/tests/node/parts.rs
+++ b/crates/firdock-node/tests/node/parts.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use firdock_node::peer::{
-    InvalidPart, MissingParts, PART_BYTES, PartialAnswers, count_parts, state_part,
+    InvalidPart, MissingParts, PART_BYTES, PartialReplies, count_parts, state_part,
 };
 use firdock_wire::message::StateAnswer;
 use proptest::prelude::*;
@@ -33,7 +33,7 @@
 #[test]
 fn a_part_that_is_lost_is_asked_for_alone() {
     let told = state(PART_BYTES * 2 + 7);
-    let mut answers = PartialAnswers::default();
+    let mut answers = PartialReplies::default();
     assert_eq!(answers.missing(teller(1)), None);
     for n in [0, 2] {
         assert_eq!(answers.take(NOW, teller(1), part(9, &told, n)), Ok(None));
@@ -52,7 +52,7 @@
 #[test]
 fn parts_of_a_state_that_was_made_anew_replace_those_before() {
     let (old, new) = (state(PART_BYTES + 1), state(PART_BYTES + 9));
-    let mut answers = PartialAnswers::default();
+    let mut answers = PartialReplies::default();
     assert_eq!(answers.take(NOW, teller(1), part(1, &old, 0)), Ok(None));
     assert_eq!(answers.take(NOW, teller(1), part(2, &new, 1)), Ok(None));
     let whole = answers.take(NOW, teller(1), part(2, &new, 0));
@@ -69,7 +69,7 @@
 #[test]
 fn parts_that_cannot_be_and_tellers_without_end_take_no_room() {
     let told = state(PART_BYTES + 1);
-    let mut answers = PartialAnswers::default();
+    let mut answers = PartialReplies::default();
     let hostile = |part_no: u32, parts: u32| StateAnswer {
         part: part_no,
         parts,
@@ -101,7 +101,7 @@
     ) {
         let told = state(bytes);
         let parts = count_parts(bytes).expect("few parts");
-        let mut answers = PartialAnswers::default();
+        let mut answers = PartialReplies::default();
         let mut whole = None;
         for n in order.into_iter().map(|n| n % parts).chain(0..parts) {
             if whole.is_none() {
--- a/crates/firdock-node/tests/node/party.rs
+++ b/crates/firdock-node/tests/node/party.rs
@@ -44,10 +44,10 @@
             changes: mpsc::channel(1).1,
             seeds,
             sums: Mutex::default(),
-            partial: Mutex::default(),
+            partial_replies: Mutex::default(),
             inputs,
-            pause: Duration::from_millis(20),
-            link: 0.0,
+            interval: Duration::from_millis(20),
+            link_mbits: 0.0,
             clock,
             log: silent(),
         };
--- a/crates/firdock-node/tests/node/peers.rs
+++ b/crates/firdock-node/tests/node/peers.rs
@@ -206,7 +206,7 @@
     let to = socket.local_addr().expect("an address");
     let other = UdpSocket::bind(any).await.expect("a socket");
     let mut party = party("z", socket, Clock::new(), ("b", &other));
-    party.beacons.pause = Duration::from_mins(1);
+    party.beacons.interval = Duration::from_mins(1);
     // So many of its group are heard before it that it does not lead.
     for n in 0..20 {
         let address = ([127, 0, 0, 1], 1).into();
@@ -262,7 +262,7 @@
     let to = socket.local_addr().expect("an address");
     let other = UdpSocket::bind(any).await.expect("a socket");
     let mut party = party("z", socket, Clock::new(), ("b", &other));
-    party.beacons.pause = Duration::from_mins(1);
+    party.beacons.interval = Duration::from_mins(1);
     let key = Arc::clone(&party.beacons.key);
     let (stop, stops) = watch::channel(false);
     let running = tokio::spawn(party.beacons.run(stops));
@@ -317,7 +317,7 @@
     // It knows of another instance, and not of the one that will send.
     let known = UdpSocket::bind(any).await.expect("a socket");
     let mut party = party("a", socket, Clock::new(), ("b", &known));
-    party.beacons.pause = Duration::from_mins(1);
+    party.beacons.interval = Duration::from_mins(1);
     let key = Arc::clone(&party.beacons.key);
     let (stop, stops) = watch::channel(false);
     let running = tokio::spawn(party.beacons.run(stops));
--- a/crates/firdock-node/tests/node/sharing.rs
+++ b/crates/firdock-node/tests/node/sharing.rs
@@ -194,7 +194,7 @@
             read_at,
             ..records(None, 9, &value)
         };
-        let _ = seed.reads.keep(&new);
+        let _ = seed.reads.apply_records(&new);
     }
     seed.reads.record_read(read_at, known(5, 9, read_at));
     seed.directory.mark_listed();
--- a/crates/firdock-node/tests/node/starts.rs
+++ b/crates/firdock-node/tests/node/starts.rs
@@ -127,7 +127,7 @@
 fn knows(party: &Party, endpoints: u32, clock: Clock) {
     let read_at = clock.now();
     for (topic, count) in [(Topic::Config, 1), (Topic::Endpoints, endpoints)] {
-        let _ = party.reads.keep(&TopicRecords {
+        let _ = party.reads.apply_records(&TopicRecords {
             read_at,
             ..entries(topic, count)
         });
