--- a/crates/firdock-node/src/peer/reads/due.rs
+++ b/crates/firdock-node/src/peer/reads/due.rs
@@ -53,7 +53,7 @@
     /// Nothing was heard of those that read.
     Silence,
     /// A peer has something newer, and did not pass it on.
-    News,
+    PeerAhead,
 }
 
 impl ReadReason {
@@ -64,7 +64,7 @@
             Self::Start => "start",
             Self::Turn => "turn",
             Self::Silence => "silence",
-            Self::News => "news",
+            Self::PeerAhead => "news",
         }
     }
 }
@@ -129,7 +129,7 @@
         };
         let news = self.news_since.map(|since| since + NEWS_PATIENCE);
         match news.map(|by| by.max(earliest)) {
-            Some(by) if by < old => (by, ReadReason::News),
+            Some(by) if by < old => (by, ReadReason::PeerAhead),
             _ => (old, reason),
         }
     }
--- a/crates/firdock-node/tests/node/sharing.rs
+++ b/crates/firdock-node/tests/node/sharing.rs
@@ -113,7 +113,7 @@
     // No answer comes: the store is read in time for a change to be in force.
     let later = now + millis(400);
     let (due, _) = shared.due_at(later, PAUSE, member(1, 50));
-    assert_eq!(due.config, Some(ReadReason::News));
+    assert_eq!(due.config, Some(ReadReason::PeerAhead));
     assert_eq!(due.endpoints, None, "of these nothing newer was told");
 }
 
