--- a/crates/firdock-node/src/edge/parts.rs
+++ b/crates/firdock-node/src/edge/parts.rs
@@ -27,7 +27,10 @@
 use crate::http::{ServerOptions, serve};
 use crate::input::Input;
 use crate::instance::{ListenSnafu, StartError, UnsetSnafu, open};
-use crate::peer::{Beacons, Dialer, PeerBook, SelfNews, SharedReads, Taken, open_beacons};
+use crate::peer::{
+    AppliedRecords, BeaconService, Dialer, PeerDirectory, SelfStatus, SharedReads,
+    bind_beacon_socket,
+};
 use crate::placement::{DatagramLink, Membership, Placement};
 use crate::site::Site;
 use crate::source::{SourceSink, WantedRecords};
@@ -52,7 +55,7 @@
     pub door: DoorState,
     room: AnswerRoom,
     metrics: Arc<Metrics>,
-    peers: Arc<PeerBook>,
+    peers: Arc<PeerDirectory>,
     reads: Arc<SharedReads>,
     log: Logger,
     pub lines: Arc<LineBudget>,
@@ -62,7 +65,7 @@
 #[derive(Debug)]
 pub struct DriverOutlets {
     /// What peers are told of this instance.
-    pub news: watch::Sender<SelfNews>,
+    pub self_status: watch::Sender<SelfStatus>,
     /// States of roll-outs that are to be kept in the platform's store.
     pub records: watch::Sender<WantedRecords>,
     /// Turns true once a stopping instance has nothing left to do.
@@ -117,10 +120,10 @@
             room,
             metrics,
             peers: Arc::new(
-                PeerBook::new(name, settings.instance.zone.clone())
-                    .with_power(settings.instance.power()),
+                PeerDirectory::new(name, settings.instance.zone.clone())
+                    .with_millicores(settings.instance.millicores()),
             ),
-            reads: Arc::new(SharedReads::default().with_peers_first(asks_first(settings))),
+            reads: Arc::new(SharedReads::default().with_asks_peers_first(asks_first(settings))),
             log,
             lines,
         }
@@ -130,7 +133,7 @@
     pub fn sink(
         &self,
         inputs: &mpsc::Sender<Input>,
-        changes: mpsc::Sender<Taken>,
+        changes: mpsc::Sender<AppliedRecords>,
         records: watch::Receiver<WantedRecords>,
     ) -> SourceSink {
         SourceSink {
@@ -187,7 +190,7 @@
             lines: Arc::clone(&self.lines),
             runtime: Handle::current(),
             inputs: inputs.clone(),
-            news: told.news,
+            self_status: told.self_status,
             records: told.records,
             drained: told.drained,
         };
@@ -220,7 +223,7 @@
     pub async fn open_datagrams(&self) -> Result<Arc<UdpSocket>, StartError> {
         let field = "instance.peers";
         let address = self.settings.instance.peers.context(UnsetSnafu { field })?;
-        let socket = open_beacons(address)
+        let socket = bind_beacon_socket(address)
             .await
             .context(ListenSnafu { address })?;
         Ok(Arc::new(socket))
@@ -231,24 +234,24 @@
         &self,
         socket: &Arc<UdpSocket>,
         inputs: &mpsc::Sender<Input>,
-        news: watch::Receiver<SelfNews>,
-        changes: mpsc::Receiver<Taken>,
+        self_status: watch::Receiver<SelfStatus>,
+        changes: mpsc::Receiver<AppliedRecords>,
         stop: watch::Receiver<bool>,
     ) {
-        let beacons = Beacons {
+        let beacons = BeaconService {
             socket: Arc::clone(socket),
             member: self.member.clone(),
             key: self.key(),
-            book: Arc::clone(&self.peers),
+            directory: Arc::clone(&self.peers),
             reads: Arc::clone(&self.reads),
-            news,
+            self_status,
             changes,
             seeds: other_seeds(&self.settings),
             sums: Mutex::default(),
-            partial: Mutex::default(),
+            partial_replies: Mutex::default(),
             inputs: inputs.clone(),
-            pause: self.settings.peers.heartbeat(),
-            link: self.settings.instance.link_mbits,
+            interval: self.settings.peers.heartbeat(),
+            link_mbits: self.settings.instance.link_mbits,
             clock: self.clock,
             log: self.log.new(o!("part" => "peers")),
         };
--- a/crates/firdock-node/src/peer.rs
+++ b/crates/firdock-node/src/peer.rs
@@ -20,20 +20,25 @@
 mod suspects;
 mod topic;
 
-pub use beacon::{Beacons, Taken, open_socket as open_beacons};
-pub use book::{Hearing, KnownPeer, PeerBook, PeerWord, Place, Power, Reader, Turn};
+pub use beacon::{AppliedRecords, BeaconService, bind_socket as bind_beacon_socket};
+pub use book::{
+    HeartbeatOutcome, Millicores, PeerDirectory, PeerInfo, PeerRecord, PeerRelation, ReadRole,
+    ReadTurn,
+};
 pub use datagram::{read_incarnation, seal};
 pub use dial::{DialError, Dialer};
-pub use hand_over::{Order, hand_over, read_reason};
-pub use heartbeat::{SelfNews, beat};
+pub use hand_over::{HandOverOrder, hand_over, read_reason};
+pub use heartbeat::{SelfStatus, run_heartbeats};
 pub use keys::transfer_keys;
-pub use known::{Answer, KnownState, Question, Teller};
+pub use known::{KnownState, PeerProcess, StateQuery, StateReply};
 pub use link::{Link, LinkError};
-pub use parts::{BadPart, Lacking, PART_BYTES, PartialAnswers, StateId, count_parts, part_of};
-pub use reads::{Due, Heard, ReadReason, Reads, SharedReads};
+pub use parts::{
+    InvalidPart, MissingParts, PART_BYTES, PartialReplies, StateId, count_parts, state_part,
+};
+pub use reads::{DueReads, MergeOutcome, ReadReason, ReadState, SharedReads};
 pub use serve::{PeerServer, serve_peers};
-pub use state::ask_for_state;
-pub use topic::{Image, KeyedRecord, Topic, TopicRecords};
+pub use state::fetch_state;
+pub use topic::{KeyedRecord, Topic, TopicRecords, TopicSnapshot};
 
 use std::time::Duration;
 
--- a/crates/firdock-node/src/peer/beacon.rs
+++ b/crates/firdock-node/src/peer/beacon.rs
@@ -29,15 +29,15 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{MissedTickBehavior, interval, sleep};
 
-use self::answer::Answers;
+use self::answer::ReplyQueue;
 use self::due::PeersDue;
 use self::meet::Meeting;
 use self::usage::ToldUse;
-use super::book::{KnownPeer, PeerBook, Reader};
+use super::book::{PeerDirectory, PeerRecord, ReadRole};
 use super::datagram::{seal, write_address, write_reads, write_uses};
-use super::heartbeat::{SelfNews, write_demand, write_work};
+use super::heartbeat::{SelfStatus, write_demand, write_work};
 use super::known::records_body;
-use super::parts::PartialAnswers;
+use super::parts::PartialReplies;
 use super::reads::SharedReads;
 use super::rollouts::{write_seen, write_words};
 use super::topic::TopicRecords;
@@ -56,23 +56,23 @@
 
 /// Records that this instance took, for its peers.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Taken {
+pub struct AppliedRecords {
     /// The records.
     pub records: TopicRecords,
     /// Whether it read them itself; what a peer told is passed on by those that lead alone.
-    pub read_here: bool,
+    pub read_locally: bool,
 }
 
 /// What the lead of a group tells of it.
 #[derive(Debug, Default)]
 struct LeadWord {
     /// Instances of the group that it hears.
-    group_heard: usize,
+    group_live: usize,
     /// Instances of all groups that their leads hear.
-    site_heard: usize,
+    site_live: usize,
     /// The same of those that it knows of, heard or not.
-    group_known: usize,
-    site_known: usize,
+    group_size: usize,
+    site_size: usize,
     /// Demand of the group.
     group_demand: Vec<PoolDemand>,
     /// What the group saw of roll-outs.
@@ -83,7 +83,7 @@
 
 /// What sending and taking beacons needs.
 #[derive(Debug)]
-pub struct Beacons {
+pub struct BeaconService {
     /// Socket for both.
     pub socket: Arc<UdpSocket>,
     /// This instance and this start of it.
@@ -91,46 +91,46 @@
     /// Key that all instances share.
     pub key: Arc<[u8]>,
     /// The other instances.
-    pub book: Arc<PeerBook>,
+    pub directory: Arc<PeerDirectory>,
     /// What this instance read of the platform's store, with what peers told of theirs.
     pub reads: Arc<SharedReads>,
     /// What this instance tells of itself.
-    pub news: watch::Receiver<SelfNews>,
+    pub self_status: watch::Receiver<SelfStatus>,
     /// Changes in the platform's store that this instance took, for its peers.
-    pub changes: mpsc::Receiver<Taken>,
+    pub changes: mpsc::Receiver<AppliedRecords>,
     /// Instances that are asked first at the start.
     pub seeds: Vec<SocketAddr>,
     /// Counts of what all instances let pass of limits, where this one leads.
     pub sums: Mutex<UseSums>,
     /// Answers of which parts came.
-    pub partial: Mutex<PartialAnswers>,
+    pub partial_replies: Mutex<PartialReplies>,
     /// Way to the scheduler.
     pub inputs: mpsc::Sender<Input>,
     /// Pause between two beacons.
-    pub pause: Duration,
+    pub interval: Duration,
     /// Link of this instance, in Mbit/s; 0 where that is not known.
-    pub link: f64,
+    pub link_mbits: f64,
     /// Clock.
     pub clock: Clock,
     /// Logger.
     pub log: Logger,
 }
 
-impl Beacons {
+impl BeaconService {
     /// Sends and takes beacons until `stop` turns true; a last one tells that this instance ends.
     pub async fn run(mut self, mut stop: watch::Receiver<bool>) {
-        let mut ticks = interval(self.pause);
+        let mut ticks = interval(self.interval);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         let mut known = None;
         let mut decides = None;
-        let mut news = self.news.clone();
+        let mut self_status = self.self_status.clone();
         let mut steps = Steps::default();
         let mut tick = 0;
-        let mut answers = Answers::default();
+        let mut answers = ReplyQueue::default();
         let mut meeting = Meeting::new(
             self.clock.now(),
-            self.reads.asks_first(),
+            self.reads.asks_peers_first(),
             self.seeds.clone(),
             &self.member.name,
         );
@@ -150,27 +150,27 @@
                     tick += 1;
                     decides = self.tell_decides(decides).await;
                     self.send(tick).await;
-                    if tick >= LIST_TICKS || self.book.was_listed() {
+                    if tick >= LIST_TICKS || self.directory.is_listed() {
                         known = self.count(known).await;
                     }
                 }
                 Some(taken) = self.changes.recv() => self.tell_changes(&taken).await,
-                () = self.book.first_listed() => {
+                () = self.directory.wait_until_listed() => {
                     known = self.count(known).await;
                     self.send_at_once().await;
                 }
-                () = sleep_until_due(meeting.next(now, &self.reads, &self.book), now) => {
+                () = sleep_until_due(meeting.next(now, &self.reads, &self.directory), now) => {
                     self.ask_seed(&mut meeting).await;
                 }
-                () = sleep_until_due(answers.next(&self.reads, &self.book), now) => {
+                () = sleep_until_due(answers.next(&self.reads, &self.directory), now) => {
                     self.answer_next(&mut answers).await;
                 }
-                Some(new) = new_steps(&mut news, &steps) => {
+                Some(new) = new_steps(&mut self_status, &steps) => {
                     let own = new.suspected.own != steps.suspected.own;
                     steps = new;
                     self.send_step(own).await;
                 }
-                () = self.reads.known_more() => {}
+                () = self.reads.wait_for_change() => {}
                 () = stopped(&mut stop) => break,
             }
         }
@@ -179,7 +179,7 @@
 
     /// Tells the scheduler how many instances are known of, when that changed.
     async fn count(&self, before: Option<usize>) -> Option<usize> {
-        let known = Some(self.book.sweep(self.clock.now()));
+        let known = Some(self.directory.sweep(self.clock.now()));
         if let Some(count) = known.filter(|_| known != before) {
             info!(self.log, "instances known"; "count" => count, "before" => before);
             self.tell(Event::PeersKnown(count)).await;
@@ -190,25 +190,25 @@
     /// Sends the beacons that are due at a tick.
     async fn send(&self, tick: usize) {
         let now = self.clock.now();
-        let due = PeersDue::at(tick, &self.book, now);
+        let due = PeersDue::at(tick, &self.directory, now);
         let heard = if tick.is_multiple_of(TELL_EVERY) {
-            self.book.heard(now)
+            self.directory.live_peers(now)
         } else {
             Vec::new()
         };
         let (for_group, for_leads) = self.count_use(tick, now).await;
-        self.send_all(&due.near, &heard, &for_group).await;
+        self.send_all(&due.same_group, &heard, &for_group).await;
         self.send_all(&due.leads, &heard, &for_leads).await;
         self.send_far(&due.far).await;
     }
 
     /// Sends the beacons to instances far away that lead nothing, which need to know little of this one:
     /// the leads of their groups tell them the rest, and bytes between zones are paid for.
-    async fn send_far(&self, peers: &[KnownPeer]) {
+    async fn send_far(&self, peers: &[PeerRecord]) {
         if peers.is_empty() {
             return;
         }
-        let beacon = if self.book.is_small() {
+        let beacon = if self.directory.is_single_group() {
             self.beacon(&[], &ToldUse::Nothing)
         } else {
             self.short_beacon()
@@ -218,15 +218,15 @@
 
     /// Sends beacons at a start or an end, which those that need to know hear of at once.
     async fn send_at_once(&self) {
-        let due = PeersDue::at_once(&self.book, self.clock.now());
-        self.send_all(&due.near, &[], &ToldUse::Nothing).await;
+        let due = PeersDue::at_once(&self.directory, self.clock.now());
+        self.send_all(&due.same_group, &[], &ToldUse::Nothing).await;
         self.send_all(&due.leads, &[], &ToldUse::Nothing).await;
     }
 
     /// Tells the scheduler whether this instance decides on roll-outs, when that changed: it leads the
     /// site, as far as it hears.
     async fn tell_decides(&self, before: Option<bool>) -> Option<bool> {
-        let decides = self.book.turn(self.clock.now()).reader == Reader::Site;
+        let decides = self.directory.read_turn(self.clock.now()).role == ReadRole::SiteLead;
         if before != Some(decides) {
             self.tell(Event::Decides(decides)).await;
         }
@@ -237,17 +237,19 @@
     /// that itself or tells its group: a version that was found bad, or such a request, should get nothing
     /// any more, wherever that is not known yet.
     async fn send_step(&self, own: bool) {
-        if own || self.book.tells(self.clock.now()) {
+        if own || self.directory.is_reporter(self.clock.now()) {
             self.send_at_once().await;
         }
     }
 
-    fn partial(&self) -> MutexGuard<'_, PartialAnswers> {
-        self.partial.lock().unwrap_or_else(PoisonError::into_inner)
+    fn partial_replies(&self) -> MutexGuard<'_, PartialReplies> {
+        self.partial_replies
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Sends a beacon that tells of `heard` and of what was used; where nobody gets it, none is made.
-    async fn send_all(&self, peers: &[KnownPeer], heard: &[KnownPeer], used: &ToldUse) {
+    async fn send_all(&self, peers: &[PeerRecord], heard: &[PeerRecord], used: &ToldUse) {
         if peers.is_empty() {
             return;
         }
@@ -256,8 +258,8 @@
     }
 
     /// Sends a beacon to an instance that was not heard before: what it may have missed goes with it.
-    async fn send_first(&self, peer: &KnownPeer) {
-        let full = self.news.borrow().in_full();
+    async fn send_first(&self, peer: &PeerRecord) {
+        let full = self.self_status.borrow().in_full();
         let beacon = Beacon {
             heartbeat: Some(full.message(self.clock.now(), 0)),
             ..self.beacon(&[], &ToldUse::Nothing)
@@ -265,7 +267,7 @@
         self.send_sealed(std::slice::from_ref(peer), beacon).await;
     }
 
-    async fn send_sealed(&self, peers: &[KnownPeer], beacon: Beacon) {
+    async fn send_sealed(&self, peers: &[PeerRecord], beacon: Beacon) {
         let sealed = seal(&self.key, datagram::Body::Beacon(beacon));
         for peer in peers {
             self.send_to(&sealed, &peer.name, peer.address).await;
@@ -273,18 +275,21 @@
     }
 
     /// Tells changes in the platform's store to the peers that rely on this instance for them.
-    async fn tell_changes(&self, taken: &Taken) {
+    async fn tell_changes(&self, taken: &AppliedRecords) {
         let now = self.clock.now();
-        if !taken.read_here && !self.book.leads(now) {
+        if !taken.read_locally && !self.directory.is_lead(now) {
             return;
         }
         // What is too long for a datagram is asked for, or read.
         let Some(body) = records_body(&self.member, &taken.records) else {
             return;
         };
-        let leads = self.book.leads_of_all(now);
+        let leads = self.directory.group_leads(now);
         let sealed = seal(&self.key, body);
-        for (peer, _) in self.book.pick(&leads, |place| place.near || place.lead) {
+        for (peer, _) in self
+            .directory
+            .pick(&leads, |relation| relation.same_group || relation.lead)
+        {
             self.send_to(&sealed, &peer.name, peer.address).await;
         }
     }
@@ -295,15 +300,15 @@
         }
     }
 
-    fn beacon(&self, peers: &[KnownPeer], used: &ToldUse) -> Beacon {
-        let news = self.news.borrow();
+    fn beacon(&self, peers: &[PeerRecord], used: &ToldUse) -> Beacon {
+        let self_status = self.self_status.borrow();
         let now = self.clock.now();
-        let lead = self.lead_word(now, &news);
-        let leads = !self.book.is_small() && self.book.tells(now);
+        let lead = self.lead_word(now, &self_status);
+        let leads = !self.directory.is_single_group() && self.directory.is_reporter(now);
         let heartbeat = if leads {
-            news.as_lead().message(now, 0)
+            self_status.as_lead().message(now, 0)
         } else {
-            news.message(now, 0)
+            self_status.message(now, 0)
         };
         let start = usize::from(rand::random::<u16>()) % peers.len().max(1);
         let told = peers.iter().cycle().skip(start).take(peers.len());
@@ -312,17 +317,17 @@
             instance: self.member.name.clone(),
             incarnation: self.member.incarnation.as_bytes().to_vec(),
             heartbeat: Some(heartbeat),
-            used: write_uses(&news.used),
+            used: write_uses(&self_status.used),
             peers: told.take(MAX_TOLD).map(write_address).collect(),
             reads: Some(write_reads(self.reads.own())),
-            group_heard: lead.group_heard as u32,
-            site_heard: lead.site_heard as u32,
-            group_known: lead.group_known as u32,
-            site_known: lead.site_known as u32,
+            group_heard: lead.group_live as u32,
+            site_heard: lead.site_live as u32,
+            group_known: lead.group_size as u32,
+            site_known: lead.site_size as u32,
             group_demand: write_demand(&lead.group_demand),
-            power: self.book.power(),
-            rollouts: write_words(&news.rollouts.words),
-            rollout_seen: write_seen(&news.rollouts.own),
+            power: self.directory.millicores(),
+            rollouts: write_words(&self_status.rollouts.words),
+            rollout_seen: write_seen(&self_status.rollouts.own),
             group_rollout_seen: write_seen(&lead.group_seen),
             group_work: write_work(&lead.group_work),
             ..Beacon::default()
@@ -333,31 +338,34 @@
 
     /// Makes a beacon that tells that this instance is there, what it knows of the store and its demand.
     fn short_beacon(&self) -> Beacon {
-        let news = self.news.borrow();
+        let self_status = self.self_status.borrow();
         Beacon {
             protocol: PROTOCOL,
             instance: self.member.name.clone(),
             incarnation: self.member.incarnation.as_bytes().to_vec(),
-            heartbeat: Some(news.short_message()),
+            heartbeat: Some(self_status.short_message()),
             reads: Some(write_reads(self.reads.own())),
-            power: self.book.power(),
+            power: self.directory.millicores(),
             ..Beacon::default()
         }
     }
 
     /// Gives what this instance tells of its group, nothing where it does not lead one or is to stop.
-    fn lead_word(&self, now: Time, news: &SelfNews) -> LeadWord {
-        if self.book.is_small() || news.draining || !self.book.tells(now) {
+    fn lead_word(&self, now: Time, self_status: &SelfStatus) -> LeadWord {
+        if self.directory.is_single_group()
+            || self_status.draining
+            || !self.directory.is_reporter(now)
+        {
             return LeadWord::default();
         }
         LeadWord {
-            group_heard: self.book.group_heard(now),
-            site_heard: self.book.site_heard(now),
-            group_known: self.book.group_known(),
-            site_known: self.book.site_known(now),
-            group_demand: self.book.group_demand(now, &news.demand),
-            group_seen: news.rollouts.group.clone(),
-            group_work: news.work.clone(),
+            group_live: self.directory.group_live(now),
+            site_live: self.directory.site_live(now),
+            group_size: self.directory.group_size(),
+            site_size: self.directory.site_size(now),
+            group_demand: self.directory.group_demand(now, &self_status.demand),
+            group_seen: self_status.rollouts.group.clone(),
+            group_work: self_status.work.clone(),
         }
     }
 
@@ -381,18 +389,20 @@
 }
 
 impl Steps {
-    fn new(news: &SelfNews) -> Self {
+    fn new(self_status: &SelfStatus) -> Self {
         Self {
-            stages: news.stages(),
-            suspected: news.suspected,
+            stages: self_status.stages(),
+            suspected: self_status.suspected,
         }
     }
 }
 
 /// Waits until things are not any more as they were `told`; gives how they are.
-async fn new_steps(news: &mut watch::Receiver<SelfNews>, told: &Steps) -> Option<Steps> {
-    let news = news.wait_for(|news| Steps::new(news) != *told).await;
-    news.ok().map(|news| Steps::new(&news))
+async fn new_steps(self_status: &mut watch::Receiver<SelfStatus>, told: &Steps) -> Option<Steps> {
+    let self_status = self_status
+        .wait_for(|self_status| Steps::new(self_status) != *told)
+        .await;
+    self_status.ok().map(|self_status| Steps::new(&self_status))
 }
 
 /// Waits until `due`; for ever where nothing is.
@@ -413,6 +423,6 @@
 /// # Errors
 ///
 /// Returns the operating system's error, such as an address in use.
-pub async fn open_socket(address: SocketAddr) -> io::Result<UdpSocket> {
+pub async fn bind_socket(address: SocketAddr) -> io::Result<UdpSocket> {
     UdpSocket::bind(address).await
 }
--- a/crates/firdock-node/src/peer/beacon/answer.rs
+++ b/crates/firdock-node/src/peer/beacon/answer.rs
@@ -14,12 +14,12 @@
 use firdock_wire::message::PeerAddress;
 use slog::warn;
 
-use super::Beacons;
-use crate::peer::book::{KnownPeer, PeerBook};
+use super::BeaconService;
+use crate::peer::book::{PeerDirectory, PeerRecord};
 use crate::peer::datagram::{seal, write_address};
-use crate::peer::known::{KnownState, Question, ToldPart, answer_body, queued_body};
-use crate::peer::parts::{Lacking, StateId, count_parts, part_of};
-use crate::peer::reads::{Reads, SharedReads};
+use crate::peer::known::{KnownState, StateQuery, ToldPart, answer_body, queued_body};
+use crate::peer::parts::{MissingParts, StateId, count_parts, state_part};
+use crate::peer::reads::{ReadState, SharedReads};
 
 /// Shortest pause between two answers: some 8 KB each are 3 ms of a link of 20 Mbit/s, to which they come
 /// spread over its queue.
@@ -63,7 +63,7 @@
     at: Time,
     id: StateId,
     /// When it was the newest.
-    reads: Reads,
+    reads: ReadState,
     state: Vec<u8>,
     /// Whether the topics are left out for their length.
     large: bool,
@@ -77,12 +77,12 @@
 #[derive(Debug)]
 struct Waiting {
     from: SocketAddr,
-    question: Question,
+    question: StateQuery,
 }
 
 /// Peers that wait for an answer, and the last ones that were made.
 #[derive(Debug, Default)]
-pub(super) struct Answers {
+pub(super) struct ReplyQueue {
     waiting: VecDeque<Waiting>,
     /// When the next answer may be sent.
     free_at: Time,
@@ -92,11 +92,11 @@
     count: StateId,
 }
 
-impl Answers {
+impl ReplyQueue {
     /// Notes that a peer asks; its latest question counts.
     ///
     /// Tells whether so many wait that the peer is to know that its answer will take a while.
-    pub(super) fn ask(&mut self, from: SocketAddr, question: Question) -> bool {
+    pub(super) fn ask(&mut self, from: SocketAddr, question: StateQuery) -> bool {
         if let Some(known) = self.waiting.iter_mut().find(|w| w.from == from) {
             known.question = question;
         } else if self.waiting.len() < MAX_WAITING {
@@ -108,15 +108,15 @@
     /// Gives when the next answer is due; `None` while nobody waits or not all is known.
     ///
     /// Who is told of few instances takes more of the accounts' limits for its own than it may.
-    pub(super) fn next(&self, reads: &SharedReads, book: &PeerBook) -> Option<Time> {
-        let can_answer = reads.is_known() && book.was_listed();
+    pub(super) fn next(&self, reads: &SharedReads, directory: &PeerDirectory) -> Option<Time> {
+        let can_answer = reads.is_known() && directory.is_listed();
         let due = can_answer && !self.waiting.is_empty();
         due.then_some(self.free_at)
     }
 
     /// Gives the state of which parts are asked for, if it is still kept.
-    fn kept(&self, lacking: Option<&Lacking>) -> Option<usize> {
-        let id = lacking?.state;
+    fn kept(&self, missing: Option<&MissingParts>) -> Option<usize> {
+        let id = missing?.state;
         self.made.iter().position(|m| m.id == id)
     }
 
@@ -129,16 +129,16 @@
     }
 }
 
-impl Beacons {
+impl BeaconService {
     /// Answers the peer that has waited longest, by one part of the answer where it goes in several.
-    pub(super) async fn answer_next(&self, answers: &mut Answers) {
+    pub(super) async fn answer_next(&self, answers: &mut ReplyQueue) {
         let Some(Waiting { from, mut question }) = answers.waiting.pop_front() else {
             return;
         };
         let now = self.clock.now();
         answers.made.retain(|m| m.at + KEEP > now);
-        let asked_for = question.lacking.take();
-        if !self.book.is_fleet() {
+        let asked_for = question.missing.take();
+        if !self.directory.is_partial() {
             // All are told of all, by one answer for everyone.
             question.zone.clear();
         }
@@ -151,29 +151,29 @@
             return;
         };
         let asked_for = asked_for.filter(|l| l.state == made.id);
-        let mut lacking: Vec<u32> =
-            asked_for.map_or_else(|| (0..parts).collect(), |lacking| lacking.parts);
-        lacking.retain(|part| *part < parts);
-        if lacking.is_empty() {
+        let mut missing: Vec<u32> =
+            asked_for.map_or_else(|| (0..parts).collect(), |missing| missing.parts);
+        missing.retain(|part| *part < parts);
+        if missing.is_empty() {
             return;
         }
-        let part = lacking.remove(0);
+        let part = missing.remove(0);
         let told = ToldPart {
             reads: made.reads,
             state: made.id,
             part,
             parts,
-            bytes: part_of(&made.state, part).to_vec(),
+            bytes: state_part(&made.state, part).to_vec(),
             large: made.large,
             known: made.known,
         };
         answers.free_at = now + self.sending_time(told.bytes.len());
         let asked = question.asked;
-        if !lacking.is_empty() {
+        if !missing.is_empty() {
             // The rest goes before others' answers: half of an answer is of no use.
-            question.lacking = Some(Lacking {
+            question.missing = Some(MissingParts {
                 state: made.id,
-                parts: lacking,
+                parts: missing,
             });
             answers.waiting.push_front(Waiting { from, question });
         }
@@ -189,8 +189,8 @@
 
     /// Gives the time that an answer takes of the own link.
     fn sending_time(&self, bytes: usize) -> Duration {
-        let link = if self.link > 0.0 {
-            self.link
+        let link = if self.link_mbits > 0.0 {
+            self.link_mbits
         } else {
             LINK_GUESS
         };
@@ -200,7 +200,7 @@
 
     /// Gives the place of the state by which a question is answered, which is made unless one that still
     /// holds was.
-    fn state_for(&self, question: &Question, now: Time, answers: &mut Answers) -> usize {
+    fn state_for(&self, question: &StateQuery, now: Time, answers: &mut ReplyQueue) -> usize {
         let reads = self.reads.own();
         let basis = Basis {
             topics: question.topics,
@@ -230,22 +230,22 @@
             reads,
             state,
             large,
-            known: 1 + self.book.count(now),
+            known: 1 + self.directory.count(now),
             parts,
         })
     }
 
     /// Makes the state that is told, and tells whether the topics are left out of it; who asks for the
     /// instances as well is told where else to ask for long topics.
-    fn make(&self, question: &Question, now: Time) -> Option<(Vec<u8>, bool)> {
+    fn make(&self, question: &StateQuery, now: Time) -> Option<(Vec<u8>, bool)> {
         let direct = question.whole || !question.instances || !question.topics;
-        if direct || !self.book.is_fleet() {
+        if direct || !self.directory.is_partial() {
             let all = self.known_state(question, now).deflate()?;
-            if direct || all.len() <= DIRECT_BYTES || self.book.is_small() {
+            if direct || all.len() <= DIRECT_BYTES || self.directory.is_single_group() {
                 return Some((all, false));
             }
         }
-        let instances = Question {
+        let instances = StateQuery {
             topics: false,
             ..question.clone()
         };
@@ -253,9 +253,9 @@
         Some((state, true))
     }
 
-    fn known_state(&self, question: &Question, now: Time) -> KnownState {
+    fn known_state(&self, question: &StateQuery, now: Time) -> KnownState {
         let topics = if question.topics {
-            self.reads.images()
+            self.reads.snapshots()
         } else {
             Vec::new()
         };
@@ -269,14 +269,14 @@
 
     /// Gives the instances that one of `zone` is told of, this one among them.
     fn known_instances(&self, zone: &str, now: Time) -> Vec<PeerAddress> {
-        self.book.sweep(now);
-        let mut known = self.book.told_to(zone);
+        self.directory.sweep(now);
+        let mut known = self.directory.peers_for_zone(zone);
         if let Ok(address) = self.socket.local_addr() {
-            known.push(KnownPeer {
+            known.push(PeerRecord {
                 name: self.member.name.clone(),
                 address,
-                zone: self.book.zone().to_owned(),
-                power: self.book.power(),
+                zone: self.directory.zone().to_owned(),
+                millicores: self.directory.millicores(),
             });
         }
         known.iter().map(write_address).collect()
--- a/crates/firdock-node/src/peer/beacon/due.rs
+++ b/crates/firdock-node/src/peer/beacon/due.rs
@@ -6,8 +6,8 @@
 
 use firdock_policy::Time;
 
-use crate::peer::book::Place;
-use crate::peer::{KnownPeer, PeerBook};
+use crate::peer::book::PeerRelation;
+use crate::peer::{PeerDirectory, PeerRecord};
 
 /// Near peers that get a beacon at each tick; with more of them, each gets one at every few ticks.
 const NEAR_PEERS_A_TICK: usize = 16;
@@ -24,36 +24,38 @@
 #[derive(Debug, Default)]
 pub struct PeersDue {
     /// Those of the own group.
-    pub near: Vec<KnownPeer>,
+    pub same_group: Vec<PeerRecord>,
     /// The leads of other groups, where this instance leads its own.
-    pub leads: Vec<KnownPeer>,
+    pub leads: Vec<PeerRecord>,
     /// All others.
-    pub far: Vec<KnownPeer>,
+    pub far: Vec<PeerRecord>,
 }
 
 impl PeersDue {
     /// Gives the peers that get a beacon at a tick: of many, every few ticks a part of them; the
     /// leads of groups get one at each.
-    pub fn at(tick: usize, book: &PeerBook, now: Time) -> Self {
-        let known = book.count(now);
-        let leads = book.leads_of_all(now);
-        let i_lead = book.tells(now);
+    pub fn at(tick: usize, directory: &PeerDirectory, now: Time) -> Self {
+        let known = directory.count(now);
+        let leads = directory.group_leads(now);
+        let i_lead = directory.is_reporter(now);
         let near_pace = (known / NEAR_PEERS_A_TICK).max(1);
         let far_pace = far_pace(tick, known);
-        let wanted = |place: Place| {
-            let turn = |pace: usize| (tick + place.at + 1).is_multiple_of(pace);
-            let led = i_lead && place.lead;
-            if place.near {
-                i_lead || place.lead || turn(near_pace)
+        let wanted = |relation: PeerRelation| {
+            let turn = |pace: usize| (tick + relation.at + 1).is_multiple_of(pace);
+            let led = i_lead && relation.lead;
+            if relation.same_group {
+                i_lead || relation.lead || turn(near_pace)
             } else {
                 led || turn(far_pace)
             }
         };
         let mut due = Self::default();
-        for (peer, place) in book.pick(&leads, wanted) {
-            match place {
-                Place { near: true, .. } => due.near.push(peer),
-                Place { lead: true, .. } if i_lead => due.leads.push(peer),
+        for (peer, relation) in directory.pick(&leads, wanted) {
+            match relation {
+                PeerRelation {
+                    same_group: true, ..
+                } => due.same_group.push(peer),
+                PeerRelation { lead: true, .. } if i_lead => due.leads.push(peer),
                 _ => due.far.push(peer),
             }
         }
@@ -66,13 +68,15 @@
     /// All of them would be some 300 times 300 datagrams where all instances start at one moment, each
     /// answered: seconds of work for an instance with an eighth of a core. The others hear within
     /// the first ticks, or by the leads.
-    pub fn at_once(book: &PeerBook, now: Time) -> Self {
-        let mut leads = book.leads_of_all(now);
-        leads.extend(book.likely_leads());
+    pub fn at_once(directory: &PeerDirectory, now: Time) -> Self {
+        let mut leads = directory.group_leads(now);
+        leads.extend(directory.likely_group_leads());
         let mut due = Self::default();
-        for (peer, place) in book.pick(&leads, |place| place.near || place.lead) {
-            if place.near {
-                due.near.push(peer);
+        for (peer, relation) in
+            directory.pick(&leads, |relation| relation.same_group || relation.lead)
+        {
+            if relation.same_group {
+                due.same_group.push(peer);
             } else {
                 due.leads.push(peer);
             }
--- a/crates/firdock-node/src/peer/beacon/meet.rs
+++ b/crates/firdock-node/src/peer/beacon/meet.rs
@@ -9,10 +9,10 @@
 use firdock_core::rendezvous;
 use firdock_policy::Time;
 
-use super::Beacons;
-use crate::peer::book::PeerBook;
+use super::BeaconService;
+use crate::peer::book::PeerDirectory;
 use crate::peer::datagram::seal;
-use crate::peer::known::Question;
+use crate::peer::known::StateQuery;
 use crate::peer::reads::SharedReads;
 
 /// Pause before the next one is asked: many times the way there and back, and time enough for one
@@ -63,12 +63,17 @@
     /// Makes the meeting of an instance that starts now; its name tells whom it asks first.
     ///
     /// `asks_first` tells whether it waits for an answer, and is not asked itself.
-    pub(super) fn new(now: Time, asks_first: bool, mut seeds: Vec<SocketAddr>, me: &str) -> Self {
+    pub(super) fn new(
+        now: Time,
+        asks_peers_first: bool,
+        mut seeds: Vec<SocketAddr>,
+        me: &str,
+    ) -> Self {
         if !seeds.is_empty() {
             let first = rendezvous::hash_key(me.as_bytes()) % seeds.len() as u64;
             seeds.rotate_left(first as usize);
         }
-        let again_after = if asks_first {
+        let again_after = if asks_peers_first {
             AGAIN_AFTER
         } else {
             SEED_AGAIN_AFTER
@@ -83,16 +88,21 @@
     }
 
     /// Gives when the next one is to be asked; `None` if no more are.
-    pub(super) fn next(&mut self, now: Time, reads: &SharedReads, book: &PeerBook) -> Option<Time> {
+    pub(super) fn next(
+        &mut self,
+        now: Time,
+        reads: &SharedReads,
+        directory: &PeerDirectory,
+    ) -> Option<Time> {
         if self.seeds.is_empty() {
             return None;
         }
-        if self.asks == Asked::Seeds && reads.is_large() && book.was_listed() {
+        if self.asks == Asked::Seeds && reads.is_large() && directory.is_listed() {
             self.asks = Asked::Zone;
             self.started = now;
             self.asked = 0;
         }
-        let missing = !reads.is_known() || !book.was_listed();
+        let missing = !reads.is_known() || !directory.is_listed();
         let tries = match self.asks {
             Asked::Seeds => TRIES,
             Asked::Zone => usize::MAX,
@@ -106,7 +116,7 @@
 
     /// Gives whom to ask now: one that is above in the own zone, for what is long; who has nobody above,
     /// or nobody that answers, asks those that the platform names.
-    fn take_next(&mut self, now: Time, reads: &SharedReads, book: &PeerBook) -> Next {
+    fn take_next(&mut self, now: Time, reads: &SharedReads, directory: &PeerDirectory) -> Next {
         let again = self.again_at.is_some_and(|at| at <= now);
         if again {
             self.again_at = None;
@@ -124,7 +134,7 @@
                 whole: false,
             };
         }
-        let above = book.ancestors();
+        let above = directory.ancestors();
         let above = above.get(turn / TRIES_EACH).map(|peer| peer.address);
         Next {
             to: above.unwrap_or(seed),
@@ -134,18 +144,18 @@
     }
 }
 
-impl Beacons {
+impl BeaconService {
     /// Asks the next of those that are likely to be up.
     pub(super) async fn ask_seed(&self, meeting: &mut Meeting) {
         let now = self.clock.now();
-        let next = meeting.take_next(now, &self.reads, &self.book);
-        let question = Question {
+        let next = meeting.take_next(now, &self.reads, &self.directory);
+        let question = StateQuery {
             asked: now,
             topics: !self.reads.is_known(),
             instances: next.instances,
             whole: next.whole,
-            lacking: self.partial().lacking(next.to),
-            zone: self.book.zone().to_owned(),
+            missing: self.partial_replies().missing(next.to),
+            zone: self.directory.zone().to_owned(),
         };
         self.send_to(&seal(&self.key, question.body()), "", next.to)
             .await;
--- a/crates/firdock-node/src/peer/beacon/take.rs
+++ b/crates/firdock-node/src/peer/beacon/take.rs
@@ -11,22 +11,22 @@
 };
 use slog::warn;
 
-use super::{Beacons, MAX_TOLD};
+use super::{BeaconService, MAX_TOLD};
 use crate::clock::millis;
 use crate::input::Input;
-use crate::peer::book::{Hearing, KnownPeer, PeerWord};
+use crate::peer::book::{HeartbeatOutcome, PeerInfo, PeerRecord};
 use crate::peer::datagram::{open, read_incarnation, read_reads, read_uses, seal};
 use crate::peer::heartbeat::{peer_news, read_demand, read_work};
-use crate::peer::known::{Answer, Question, Teller, read_records};
-use crate::peer::parts::BadPart;
-use crate::peer::reads::Reads;
+use crate::peer::known::{PeerProcess, StateQuery, StateReply, read_records};
+use crate::peer::parts::InvalidPart;
+use crate::peer::reads::ReadState;
 use crate::peer::rollouts::{read_seen, read_words};
 use crate::placement::{PlacementInput, read_reply, read_report};
 
-impl Beacons {
+impl BeaconService {
     /// Takes a datagram; one that is not sealed with the shared key is dropped. Gives a question that
     /// is to be answered.
-    pub(super) async fn take(&self, sealed: &[u8], from: SocketAddr) -> Option<Question> {
+    pub(super) async fn take(&self, sealed: &[u8], from: SocketAddr) -> Option<StateQuery> {
         match open(&self.key, sealed) {
             Some(datagram::Body::Beacon(beacon)) => self.take_beacon(beacon, from).await,
             Some(datagram::Body::ClockQuestion(question)) => {
@@ -35,11 +35,11 @@
             }
             Some(datagram::Body::ClockAnswer(answer)) => self.take_clock(&answer),
             Some(datagram::Body::TopicRecords(told)) => match read_records(told) {
-                Some((teller, changes)) => self.reads.hear_changes(&teller, changes),
+                Some((teller, changes)) => self.reads.merge_changes(&teller, changes),
                 None => self.drop_malformed("changes", from),
             },
             Some(datagram::Body::StateQuestion(question)) => {
-                return Some(Question::read(&question));
+                return Some(StateQuery::read(&question));
             }
             Some(datagram::Body::StateAnswer(answer)) => self.take_part(answer, from),
             Some(datagram::Body::PlacementReport(told)) => {
@@ -62,12 +62,12 @@
             self.reads.note_queued(self.clock.now());
             return;
         }
-        let taken = self.partial().take(self.clock.now(), from, told);
-        let whole = taken.map(|whole| whole.map(Answer::read));
+        let taken = self.partial_replies().take(self.clock.now(), from, told);
+        let whole = taken.map(|whole| whole.map(StateReply::read));
         match whole {
             Ok(Some(Some(answer))) => self.take_answer(answer),
             Ok(None) => {}
-            Ok(Some(None)) | Err(BadPart) => self.drop_malformed("an answer", from),
+            Ok(Some(None)) | Err(InvalidPart) => self.drop_malformed("an answer", from),
         }
     }
 
@@ -76,36 +76,36 @@
     }
 
     /// Takes what a peer answered: the other instances, and what it knows of the store.
-    fn take_answer(&self, mut answer: Answer) {
+    fn take_answer(&self, mut answer: StateReply) {
         let now = self.clock.now();
         let instances = std::mem::take(&mut answer.instances);
         if !instances.is_empty() {
-            self.know(instances, now);
-            self.book.note_listed();
+            self.add_reported(instances, now);
+            self.directory.mark_listed();
             if answer.known > 0 {
-                self.book.note_known(answer.known, now);
+                self.directory.set_site_size(answer.known, now);
             }
         }
         if answer.large {
             self.reads.note_large();
         }
-        self.reads.hear_answer(answer);
+        self.reads.merge_reply(answer);
     }
 
     /// Notes instances that a peer told of.
-    fn know(&self, peers: Vec<PeerAddress>, now: Time) {
+    fn add_reported(&self, peers: Vec<PeerAddress>, now: Time) {
         for peer in peers {
             let Ok(address) = peer.address.parse() else {
                 warn!(self.log, "address of an instance not taken"; "instance" => peer.instance);
                 continue;
             };
-            let known = KnownPeer {
+            let known = PeerRecord {
                 name: peer.instance,
                 address,
                 zone: peer.zone,
-                power: peer.power,
+                millicores: peer.power,
             };
-            self.book.know(known, now);
+            self.directory.add_reported(known, now);
         }
     }
 
@@ -131,14 +131,14 @@
             return;
         }
         let now = self.clock.now();
-        let hearing = self.note(&beacon, from, now);
-        if hearing == Some(Hearing::First) {
+        let outcome = self.note(&beacon, from, now);
+        if outcome == Some(HeartbeatOutcome::First) {
             // It may not know of this one, and its turn among many would come late.
-            let known = KnownPeer {
+            let known = PeerRecord {
                 name: beacon.instance.clone(),
                 address: from,
                 zone: String::new(),
-                power: beacon.power,
+                millicores: beacon.power,
             };
             self.send_first(&known).await;
         }
@@ -150,13 +150,14 @@
         if let Some(reads) = beacon.reads {
             self.take_reads(&news, read_reads(reads), from).await;
         }
-        self.book.note_demand(&news.name, news.demand.clone());
+        self.directory
+            .record_demand(&news.name, news.demand.clone());
         news.used = read_uses(beacon.used);
         for word in read_words(beacon.rollouts) {
             self.tell(Event::Rollout(word)).await;
         }
         news.seen = read_seen(beacon.rollout_seen);
-        let near = self.book.is_own_zone(&news.zone);
+        let near = self.directory.is_own_zone(&news.zone);
         if near {
             self.sums().hear_member(now, &news.own_use());
         }
@@ -178,7 +179,7 @@
                 self.sums().hear_group(now, &news.zone, &counts);
             }
         }
-        if hearing != Some(Hearing::NotKept) {
+        if outcome != Some(HeartbeatOutcome::Untracked) {
             self.tell(Event::Peer(news)).await;
         }
     }
@@ -200,16 +201,17 @@
         if beacon.group_heard == 0 || draining {
             return;
         }
-        if self.book.is_own_zone(zone) {
+        if self.directory.is_own_zone(zone) {
             self.tell(Event::Reach(beacon.site_heard as usize)).await;
             // Two leads that took each other's word would hold on to one that is long past.
-            if beacon.site_known > 0 && !self.book.tells(now) {
-                self.book.note_known(beacon.site_known as usize, now);
+            if beacon.site_known > 0 && !self.directory.is_reporter(now) {
+                self.directory
+                    .set_site_size(beacon.site_known as usize, now);
             }
         } else {
             let known = beacon.group_known.max(beacon.group_heard);
-            self.book
-                .note_group(zone, beacon.group_heard as usize, known as usize, now);
+            self.directory
+                .record_group(zone, beacon.group_heard as usize, known as usize, now);
             let group = GroupDemand {
                 zone: zone.to_owned(),
                 demand: read_demand(beacon.group_demand.clone()),
@@ -223,36 +225,36 @@
                     .await;
             }
         }
-        if self.book.tells(now) {
-            let count = self.book.site_heard(now);
+        if self.directory.is_reporter(now) {
+            let count = self.directory.site_live(now);
             self.tell(Event::Reach(count)).await;
         }
     }
 
     /// Takes what a peer read; it is asked for what it has newer, and for its clock where its word
     /// counts.
-    async fn take_reads(&self, news: &PeerNews, told: Reads, from: SocketAddr) {
+    async fn take_reads(&self, news: &PeerNews, told: ReadState, from: SocketAddr) {
         let now = self.clock.now();
-        let teller = Teller {
+        let teller = PeerProcess {
             name: news.name.clone(),
             incarnation: news.incarnation,
         };
-        let heard = self.reads.hear(now, &teller, told);
-        if let Some(at) = heard.fresh {
+        let merged = self.reads.merge_report(now, &teller, told);
+        if let Some(at) = merged.fresh {
             self.tell(Event::Fresh(at)).await;
         }
         let starts = self.reads.is_large() && !self.reads.is_known();
-        let question = if heard.ask_state && !starts {
-            let question = Question {
+        let question = if merged.ask_state && !starts {
+            let question = StateQuery {
                 asked: now,
                 topics: true,
-                instances: !self.book.was_listed(),
+                instances: !self.directory.is_listed(),
                 whole: false,
-                lacking: self.partial().lacking(from),
-                zone: self.book.zone().to_owned(),
+                missing: self.partial_replies().missing(from),
+                zone: self.directory.zone().to_owned(),
             };
             question.body()
-        } else if heard.ask_clock && self.counts(&news.name, now) {
+        } else if merged.ask_clock && self.counts(&news.name, now) {
             let asked = millis(now);
             datagram::Body::ClockQuestion(ClockQuestion { asked })
         } else {
@@ -266,32 +268,32 @@
     ///
     /// Of hundreds, each would ask all others for their clocks after a start.
     fn counts(&self, name: &str, now: Time) -> bool {
-        self.book.is_small()
+        self.directory.is_single_group()
             || self.reads.is_aging(now)
-            || self.book.leads_of_all(now).contains(name)
+            || self.directory.group_leads(now).contains(name)
     }
 
     /// Notes the sender and the instances that it tells of; gives what follows for the sender, unless it
     /// stops.
-    fn note(&self, beacon: &Beacon, from: SocketAddr, now: Time) -> Option<Hearing> {
+    fn note(&self, beacon: &Beacon, from: SocketAddr, now: Time) -> Option<HeartbeatOutcome> {
         let heartbeat = beacon.heartbeat.as_ref();
-        let hearing = if heartbeat.is_some_and(|b| b.draining) {
-            self.book.forget(&beacon.instance, now);
+        let outcome = if heartbeat.is_some_and(|b| b.draining) {
+            self.directory.forget(&beacon.instance, now);
             None
         } else {
-            let word = PeerWord {
+            let word = PeerInfo {
                 name: &beacon.instance,
                 zone: heartbeat.map_or("", |b| &b.zone),
-                power: beacon.power,
+                millicores: beacon.power,
             };
-            let hearing = if beacon.group_heard > 0 {
-                self.book.hear_lead(word, from, now)
+            let outcome = if beacon.group_heard > 0 {
+                self.directory.record_lead_heartbeat(word, from, now)
             } else {
-                self.book.hear(word, from, now)
+                self.directory.record_heartbeat(word, from, now)
             };
-            Some(hearing)
+            Some(outcome)
         };
-        self.know(beacon.peers.iter().take(MAX_TOLD).cloned().collect(), now);
-        hearing
+        self.add_reported(beacon.peers.iter().take(MAX_TOLD).cloned().collect(), now);
+        outcome
     }
 }
--- a/crates/firdock-node/src/peer/beacon/usage.rs
+++ b/crates/firdock-node/src/peer/beacon/usage.rs
@@ -8,7 +8,7 @@
 use firdock_wire::message::Beacon;
 use uuid::Uuid;
 
-use super::{Beacons, TELL_EVERY};
+use super::{BeaconService, TELL_EVERY};
 use crate::peer::datagram::write_uses;
 
 /// What a beacon tells of the use of limits.
@@ -37,14 +37,14 @@
     }
 }
 
-impl Beacons {
+impl BeaconService {
     /// Counts what instances let pass of limits, where this one leads; gives what is told of that to its
     /// group and to other leads.
     ///
     /// The instance that takes over from the lead counts as well and tells it a few times more seldom, so
     /// that its counts are known when the lead falls.
     pub(super) async fn count_use(&self, tick: usize, now: Time) -> (ToldUse, ToldUse) {
-        if self.book.is_small() || !self.book.tells(now) {
+        if self.directory.is_single_group() || !self.directory.is_reporter(now) {
             self.sums().end();
             return Default::default();
         }
@@ -54,7 +54,7 @@
             sums.begin(Uuid::now_v7);
             sums.hear_member(now, &self.own_use());
             sums.sweep(now);
-            if !self.book.leads(now) && !tick.is_multiple_of(TELL_EVERY) {
+            if !self.directory.is_lead(now) && !tick.is_multiple_of(TELL_EVERY) {
                 return Default::default();
             }
             (sums.take_for_leads(me), sums.take_for_group(me))
@@ -72,7 +72,7 @@
         PeerUse {
             name: self.member.name.clone(),
             incarnation: self.member.incarnation,
-            used: self.news.borrow().used.clone(),
+            used: self.self_status.borrow().used.clone(),
         }
     }
 
--- a/crates/firdock-node/src/peer/book.rs
+++ b/crates/firdock-node/src/peer/book.rs
@@ -15,18 +15,18 @@
 use firdock_policy::table::peer::MAX_PEERS;
 use tokio::sync::Notify;
 
-use self::fleet::ToldKnown;
+use self::fleet::ReportedSize;
 use self::group::GroupCounts;
-pub use self::group::{Place, Reader, Turn};
+pub use self::group::{PeerRelation, ReadRole, ReadTurn};
 
 /// Silence after which an instance is forgotten: it was replaced or taken away.
 const FORGET_AFTER: Duration = Duration::from_mins(1);
 /// Silence after which an instance does not count as heard.
-const HEARD_WITHIN: Duration = Duration::from_secs(5);
+const LIVE_WITHIN: Duration = Duration::from_secs(5);
 
 /// Where another instance takes heartbeats.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct KnownPeer {
+pub struct PeerRecord {
     /// Name.
     pub name: InstanceId,
     /// Address.
@@ -34,40 +34,40 @@
     /// Availability zone; empty where it is not known.
     pub zone: ZoneId,
     /// Processor that it has, as far as that is known.
-    pub power: Power,
+    pub millicores: Millicores,
 }
 
 /// What follows from a heartbeat for what is known of its sender.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Hearing {
+pub enum HeartbeatOutcome {
     /// It was not heard before.
     First,
     /// It was.
-    Again,
+    Repeated,
     /// It is not kept: its lead tells for it.
-    NotKept,
+    Untracked,
 }
 
 /// What an instance tells of itself in each heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct PeerWord<'a> {
+pub struct PeerInfo<'a> {
     /// Name.
     pub name: &'a str,
     /// Availability zone.
     pub zone: &'a str,
     /// Processor that it has, in thousandths of a core.
-    pub power: Power,
+    pub millicores: Millicores,
 }
 
 /// Processor that an instance has, in thousandths of a core; zero where it is not known.
-pub type Power = u32;
+pub type Millicores = u32;
 
 /// One other instance.
 #[derive(Debug, Clone)]
 struct Entry {
     address: SocketAddr,
     zone: ZoneId,
-    power: Power,
+    millicores: Millicores,
     /// When it was heard, or else when it was first told of.
     since: Time,
     heard: bool,
@@ -82,8 +82,8 @@
     }
 
     /// Tells whether the instance was heard a short while ago.
-    fn is_heard(&self, now: Time) -> bool {
-        self.heard_within(now, HEARD_WITHIN)
+    fn is_live(&self, now: Time) -> bool {
+        self.heard_within(now, LIVE_WITHIN)
     }
 }
 
@@ -92,45 +92,45 @@
 
 /// The other instances.
 #[derive(Debug)]
-pub struct PeerBook {
+pub struct PeerDirectory {
     me: InstanceId,
     zone: ZoneId,
-    power: Power,
+    millicores: Millicores,
     entries: Mutex<Entries>,
     /// Where others know this instance.
-    own_listed: Mutex<Option<SocketAddr>>,
+    listed_address: Mutex<Option<SocketAddr>>,
     listed: AtomicBool,
-    listed_now: Notify,
+    first_listed: Notify,
     /// Counts of the other groups.
     groups: Mutex<GroupCounts>,
     /// How many instances there are, as the list or a lead told, and when.
-    told_known: Mutex<ToldKnown>,
+    reported_size: Mutex<ReportedSize>,
     /// Instances that said that they stop, and when: others may still tell of them for a while.
     departed: Mutex<BTreeMap<InstanceId, Time>>,
 }
 
-impl PeerBook {
+impl PeerDirectory {
     /// Makes a book for the instance `me` in `zone`.
     #[must_use]
     pub fn new(me: InstanceId, zone: ZoneId) -> Self {
         Self {
             me,
             zone,
-            power: 0,
+            millicores: 0,
             entries: Mutex::default(),
-            own_listed: Mutex::default(),
+            listed_address: Mutex::default(),
             listed: AtomicBool::new(false),
-            listed_now: Notify::new(),
+            first_listed: Notify::new(),
             groups: Mutex::default(),
-            told_known: Mutex::default(),
+            reported_size: Mutex::default(),
             departed: Mutex::default(),
         }
     }
 
     /// Sets the processor that this instance has: of those that are heard, the strongest lead.
     #[must_use]
-    pub fn with_power(mut self, power: Power) -> Self {
-        self.power = power;
+    pub fn with_millicores(mut self, millicores: Millicores) -> Self {
+        self.millicores = millicores;
         self
     }
 
@@ -142,35 +142,35 @@
 
     /// Gives the processor that this instance has.
     #[must_use]
-    pub fn power(&self) -> Power {
-        self.power
+    pub fn millicores(&self) -> Millicores {
+        self.millicores
     }
 
     /// Notes that someone told of an instance, if it is to be known here.
-    pub fn know(&self, peer: KnownPeer, now: Time) {
-        let kept = self.keeps(&self.lock(), &peer.name, &peer.zone, peer.power);
+    pub fn add_reported(&self, peer: PeerRecord, now: Time) {
+        let kept = self.should_track(&self.lock(), &peer.name, &peer.zone, peer.millicores);
         if kept || peer.name == self.me {
-            self.know_listed(peer, now);
+            self.add_listed(peer, now);
         }
     }
 
     /// Notes that the list of instances has one: who read it tells others of all for a while, though it
     /// need not know them itself.
-    pub fn know_listed(&self, peer: KnownPeer, now: Time) {
+    pub fn add_listed(&self, peer: PeerRecord, now: Time) {
         if self.departed().contains_key(&peer.name) {
             return;
         }
         if peer.name == self.me {
             *self
-                .own_listed
+                .listed_address
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner) = Some(peer.address);
             return;
         }
         let mut entries = self.lock();
         if let Some(entry) = entries.get_mut(&peer.name) {
-            if !entry.heard && peer.power > 0 {
-                entry.power = peer.power;
+            if !entry.heard && peer.millicores > 0 {
+                entry.millicores = peer.millicores;
             }
             return;
         }
@@ -180,7 +180,7 @@
         let entry = Entry {
             address: peer.address,
             zone: peer.zone,
-            power: peer.power,
+            millicores: peer.millicores,
             since: now,
             heard: false,
             demand: Vec::new(),
@@ -190,67 +190,77 @@
 
     /// Gives the address at which others know this instance, if anyone told.
     #[must_use]
-    pub fn own_listed(&self) -> Option<SocketAddr> {
+    pub fn listed_address(&self) -> Option<SocketAddr> {
         *self
-            .own_listed
+            .listed_address
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Notes that the platform's list of instances was read.
-    pub fn note_listed(&self) {
+    pub fn mark_listed(&self) {
         if !self.listed.swap(true, Ordering::Relaxed) {
-            self.listed_now.notify_one();
+            self.first_listed.notify_one();
         }
     }
 
     /// Waits until the platform's list of instances was read for the first time.
-    pub async fn first_listed(&self) {
-        self.listed_now.notified().await;
+    pub async fn wait_until_listed(&self) {
+        self.first_listed.notified().await;
     }
 
     /// Tells whether the platform's list of instances was read.
     #[must_use]
-    pub fn was_listed(&self) -> bool {
+    pub fn is_listed(&self) -> bool {
         self.listed.load(Ordering::Relaxed)
     }
 
     /// Notes that an instance was heard.
-    pub fn hear(&self, word: PeerWord<'_>, address: SocketAddr, now: Time) -> Hearing {
-        let kept = self.keeps(&self.lock(), word.name, word.zone, word.power);
+    pub fn record_heartbeat(
+        &self,
+        word: PeerInfo<'_>,
+        address: SocketAddr,
+        now: Time,
+    ) -> HeartbeatOutcome {
+        let kept = self.should_track(&self.lock(), word.name, word.zone, word.millicores);
         if kept {
-            self.hear_lead(word, address, now)
+            self.record_lead_heartbeat(word, address, now)
         } else {
             self.lock().remove(word.name);
-            Hearing::NotKept
+            HeartbeatOutcome::Untracked
         }
     }
 
     /// Notes that an instance was heard that tells for its group: it is kept whatever stands before it,
     /// for that has fallen.
-    pub fn hear_lead(&self, word: PeerWord<'_>, address: SocketAddr, now: Time) -> Hearing {
+    pub fn record_lead_heartbeat(
+        &self,
+        word: PeerInfo<'_>,
+        address: SocketAddr,
+        now: Time,
+    ) -> HeartbeatOutcome {
         let mut entries = self.lock();
         let known = entries.contains_key(word.name) || entries.len() < MAX_PEERS;
         if word.name == self.me || !known {
-            return Hearing::NotKept;
+            return HeartbeatOutcome::Untracked;
         }
         let entry = Entry {
             address,
             zone: word.zone.to_owned(),
-            power: word.power,
+            millicores: word.millicores,
             since: now,
             heard: true,
             demand: Vec::new(),
         };
         let before = entries.insert(word.name.to_owned(), entry);
         match before {
-            Some(before) if before.heard => Hearing::Again,
-            _ => Hearing::First,
+            Some(before) if before.heard => HeartbeatOutcome::Repeated,
+            _ => HeartbeatOutcome::First,
         }
     }
 
     /// Notes the demand that an instance told of, which was heard.
-    pub fn note_demand(&self, name: &str, demand: Vec<PoolDemand>) {
+    pub fn record_demand(&self, name: &str, demand: Vec<PoolDemand>) {
         if let Some(entry) = self.lock().get_mut(name) {
             entry.demand = demand;
         }
@@ -264,8 +274,8 @@
 
     /// Forgets instances that have been silent for long; counts the others of the site.
     pub fn sweep(&self, now: Time) -> usize {
-        self.departed().retain(|_, at| *at + HEARD_WITHIN > now);
-        self.told_known()
+        self.departed().retain(|_, at| *at + LIVE_WITHIN > now);
+        self.reported_size()
             .take_if(|(at, _)| *at + FORGET_AFTER <= now);
         let mut entries = self.lock();
         entries.retain(|_, e| e.since + FORGET_AFTER > now);
@@ -276,23 +286,23 @@
 
     /// Tells whether any instance was heard a short while ago.
     #[must_use]
-    pub fn hears_any(&self, now: Time) -> bool {
+    pub fn any_live(&self, now: Time) -> bool {
         let entries = self.lock();
-        entries.values().any(|e| e.is_heard(now))
+        entries.values().any(|e| e.is_live(now))
     }
 
     /// Gives all instances, by name.
     #[must_use]
-    pub fn known(&self) -> Vec<KnownPeer> {
+    pub fn known_peers(&self) -> Vec<PeerRecord> {
         let entries = self.lock();
         entries.iter().map(known_peer).collect()
     }
 
     /// Gives the instances that were heard a short while ago, by name.
     #[must_use]
-    pub fn heard(&self, now: Time) -> Vec<KnownPeer> {
+    pub fn live_peers(&self, now: Time) -> Vec<PeerRecord> {
         let entries = self.lock();
-        let heard = entries.iter().filter(|(_, e)| e.is_heard(now));
+        let heard = entries.iter().filter(|(_, e)| e.is_live(now));
         heard.map(known_peer).collect()
     }
 
@@ -305,11 +315,11 @@
     }
 }
 
-fn known_peer((name, entry): (&InstanceId, &Entry)) -> KnownPeer {
-    KnownPeer {
+fn known_peer((name, entry): (&InstanceId, &Entry)) -> PeerRecord {
+    PeerRecord {
         name: name.clone(),
         address: entry.address,
         zone: entry.zone.clone(),
-        power: entry.power,
+        millicores: entry.millicores,
     }
 }
--- a/crates/firdock-node/src/peer/book/group.rs
+++ b/crates/firdock-node/src/peer/book/group.rs
@@ -15,7 +15,7 @@
 use firdock_policy::event::PoolDemand;
 use firdock_policy::table::SMALL_SITE;
 
-use super::{Entries, Entry, KnownPeer, PeerBook, Power, known_peer};
+use super::{Entries, Entry, Millicores, PeerDirectory, PeerRecord, known_peer};
 
 /// Silence after which an instance neither leads a group nor counts in it: six heartbeats of the
 /// deployments' 200 ms (`deploy/settings.toml`).
@@ -32,7 +32,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct GroupCount {
     pub at: Time,
-    pub heard: usize,
+    pub live: usize,
     pub known: usize,
 }
 
@@ -41,60 +41,60 @@
 
 /// An instance's part in the reading of the platform's store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reader {
+pub enum ReadRole {
     /// Reads for the whole site.
-    Site,
+    SiteLead,
     /// Leads its group: passes on what the site's reader read.
-    Group,
+    GroupLead,
     /// Takes what its group's lead tells.
     Member,
     /// Takes what the site's reader tells, where all instances are one group.
-    SmallMember,
+    SingleGroupMember,
 }
 
 /// Where another instance stands to this one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Place {
+pub struct PeerRelation {
     /// Its number in the order of names.
     pub at: usize,
     /// Whether it is in this one's group.
-    pub near: bool,
+    pub same_group: bool,
     /// Whether it is among the leads that were asked about.
     pub lead: bool,
 }
 
 /// An instance's place in the order in which instances lead.
-type Standing<'a> = (Reverse<Power>, &'a str);
+type LeadPriority<'a> = (Reverse<Millicores>, &'a str);
 
 /// An instance's part in the reading of the platform's store, and its turn among its like.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Turn {
+pub struct ReadTurn {
     /// Part.
-    pub reader: Reader,
+    pub role: ReadRole,
     /// Instances of its group that have their turn before it.
-    pub place: usize,
+    pub index: usize,
     /// Instances of its group, itself among them.
-    pub of: usize,
+    pub group_size: usize,
 }
 
-impl Turn {
+impl ReadTurn {
     /// Makes the turn of an instance that hears no other.
     #[must_use]
     pub fn alone() -> Self {
         Self {
-            reader: Reader::Site,
-            place: 0,
-            of: 1,
+            role: ReadRole::SiteLead,
+            index: 0,
+            group_size: 1,
         }
     }
 }
 
-fn standing<'a>((name, entry): &(&'a InstanceId, &Entry)) -> Standing<'a> {
-    standing_of(entry.power, name)
+fn lead_priority<'a>((name, entry): &(&'a InstanceId, &Entry)) -> LeadPriority<'a> {
+    lead_priority_of(entry.millicores, name)
 }
 
-pub(super) fn standing_of(power: Power, name: &str) -> Standing<'_> {
-    (Reverse(power), name)
+pub(super) fn lead_priority_of(millicores: Millicores, name: &str) -> LeadPriority<'_> {
+    (Reverse(millicores), name)
 }
 
 impl Entry {
@@ -109,7 +109,7 @@
     entries.iter().filter(move |(_, e)| e.is_present(now))
 }
 
-impl PeerBook {
+impl PeerDirectory {
     /// Gives the demand of this one's group by pool, with `own` as this instance's.
     #[must_use]
     pub fn group_demand(&self, now: Time, own: &[PoolDemand]) -> Vec<PoolDemand> {
@@ -132,76 +132,83 @@
     /// The lead of each group hears of what was read and passes it on. The first of the leads reads
     /// for the whole site.
     #[must_use]
-    pub fn turn(&self, now: Time) -> Turn {
+    pub fn read_turn(&self, now: Time) -> ReadTurn {
         let entries = self.lock();
-        let few = self.are_few(&entries);
-        let me = self.standing();
-        let (mut led_site, mut led_group, mut place, mut of) = (false, false, 0, 1);
-        for peer in entries.iter().filter(|(_, e)| e.is_heard(now)) {
-            let before = standing(&peer) < me;
+        let few = self.is_single_group_of(&entries);
+        let me = self.lead_priority();
+        let (mut led_site, mut led_group, mut index, mut group_size) = (false, false, 0, 1);
+        for peer in entries.iter().filter(|(_, e)| e.is_live(now)) {
+            let before = lead_priority(&peer) < me;
             let grouped = few || peer.1.zone == self.zone;
             let leads = before && peer.1.is_present(now);
             led_site |= leads;
             led_group |= leads && grouped;
             // Members of a larger group hear each other every few seconds only.
-            place += usize::from(before && grouped);
-            of += usize::from(grouped);
+            index += usize::from(before && grouped);
+            group_size += usize::from(grouped);
         }
-        let reader = match (led_site, led_group, few) {
-            (false, _, _) => Reader::Site,
-            (_, false, _) => Reader::Group,
-            (_, _, true) => Reader::SmallMember,
-            _ => Reader::Member,
+        let role = match (led_site, led_group, few) {
+            (false, _, _) => ReadRole::SiteLead,
+            (_, false, _) => ReadRole::GroupLead,
+            (_, _, true) => ReadRole::SingleGroupMember,
+            _ => ReadRole::Member,
         };
-        Turn { reader, place, of }
+        ReadTurn {
+            role,
+            index,
+            group_size,
+        }
     }
 
-    fn standing(&self) -> Standing<'_> {
-        (Reverse(self.power), self.me.as_str())
+    fn lead_priority(&self) -> LeadPriority<'_> {
+        (Reverse(self.millicores), self.me.as_str())
     }
 
     /// Tells whether this instance leads its group.
     #[must_use]
-    pub fn leads(&self, now: Time) -> bool {
-        matches!(self.turn(now).reader, Reader::Site | Reader::Group)
+    pub fn is_lead(&self, now: Time) -> bool {
+        matches!(
+            self.read_turn(now).role,
+            ReadRole::SiteLead | ReadRole::GroupLead
+        )
     }
 
     /// Gives the first instances of each group that are heard: its lead, and the one that takes over
     /// from it.
     #[must_use]
-    pub fn leads_of_all(&self, now: Time) -> BTreeSet<InstanceId> {
+    pub fn group_leads(&self, now: Time) -> BTreeSet<InstanceId> {
         let entries = self.lock();
-        strongest_of_zones(entries.iter().filter(|(_, e)| e.is_heard(now)), LEADS_TOLD)
+        strongest_of_zones(entries.iter().filter(|(_, e)| e.is_live(now)), LEADS_TOLD)
     }
 
     /// Gives the first instances of each availability zone by what is known of them, heard or not.
     #[must_use]
-    pub fn likely_leads(&self) -> BTreeSet<InstanceId> {
+    pub fn likely_group_leads(&self) -> BTreeSet<InstanceId> {
         strongest_of_zones(self.lock().iter(), LEADS_TOLD)
     }
 
     /// Tells whether this instance tells its group of the site: its lead does, and the one that takes
     /// over from it.
     #[must_use]
-    pub fn tells(&self, now: Time) -> bool {
+    pub fn is_reporter(&self, now: Time) -> bool {
         let entries = self.lock();
         let near = self.present_in_zone(&entries, now);
-        let before = near.filter(|peer| standing(peer) < self.standing());
+        let before = near.filter(|peer| lead_priority(peer) < self.lead_priority());
         before.count() < LEADS_TOLD
     }
 
     /// Counts the instances of this one's group that are heard, itself among them.
     #[must_use]
-    pub fn group_heard(&self, now: Time) -> usize {
+    pub fn group_live(&self, now: Time) -> usize {
         let entries = self.lock();
         1 + self.present_in_zone(&entries, now).count()
     }
 
     /// Notes how many instances of another group its lead hears, and knows of.
-    pub fn note_group(&self, zone: &str, heard: usize, known: usize, now: Time) {
+    pub fn record_group(&self, zone: &str, live: usize, known: usize, now: Time) {
         let count = GroupCount {
             at: now,
-            heard,
+            live,
             known,
         };
         self.groups().insert(zone.to_owned(), count);
@@ -209,13 +216,13 @@
 
     /// Counts the instances of all groups that their leads hear.
     #[must_use]
-    pub fn site_heard(&self, now: Time) -> usize {
+    pub fn site_live(&self, now: Time) -> usize {
         let groups = self.groups();
         let fresh = groups
             .iter()
             .filter(|(zone, count)| **zone != self.zone && count.at + PRESENT_WITHIN > now);
-        let others: usize = fresh.map(|(_, count)| count.heard).sum();
-        self.group_heard(now) + others
+        let others: usize = fresh.map(|(_, count)| count.live).sum();
+        self.group_live(now) + others
     }
 
     /// Gives the first instance of this one's group, of those that are heard and `open`, with whether
@@ -224,42 +231,44 @@
         &self,
         now: Time,
         open: impl Fn(&str) -> bool,
-    ) -> Option<(KnownPeer, bool)> {
+    ) -> Option<(PeerRecord, bool)> {
         let entries = self.lock();
-        let few = self.are_few(&entries);
+        let few = self.is_single_group_of(&entries);
         let group =
             present(&entries, now).filter(|(name, e)| (few || e.zone == self.zone) && open(name));
-        let first = group.min_by(|a, b| standing(a).cmp(&standing(b)))?;
-        let before = standing(&first) < self.standing();
+        let first = group.min_by(|a, b| lead_priority(a).cmp(&lead_priority(b)))?;
+        let before = lead_priority(&first) < self.lead_priority();
         Some((known_peer(first), before))
     }
 
     /// Gives whom this instance asks at its start for what is long, nearest first: those above it in the
     /// tree that the instances of its zone make by their standing. Nobody is above the first one.
     #[must_use]
-    pub fn ancestors(&self) -> Vec<KnownPeer> {
+    pub fn ancestors(&self) -> Vec<PeerRecord> {
         let entries = self.lock();
         let zone = entries.iter().filter(|(_, e)| e.zone == self.zone);
-        let mut before: Vec<_> = zone.filter(|p| standing(p) < self.standing()).collect();
-        before.sort_by(|a, b| standing(a).cmp(&standing(b)));
-        let mut place = before.len();
+        let mut before: Vec<_> = zone
+            .filter(|p| lead_priority(p) < self.lead_priority())
+            .collect();
+        before.sort_by(|a, b| lead_priority(a).cmp(&lead_priority(b)));
+        let mut index = before.len();
         let mut above = Vec::new();
-        while place > 0 {
-            place = (place - 1) / CHILDREN;
-            above.push(known_peer(before[place]));
+        while index > 0 {
+            index = (index - 1) / CHILDREN;
+            above.push(known_peer(before[index]));
         }
         above
     }
 
     /// Tells whether instances are so few that all of them are one group.
     #[must_use]
-    pub fn is_small(&self) -> bool {
-        self.are_few(&self.lock())
+    pub fn is_single_group(&self) -> bool {
+        self.is_single_group_of(&self.lock())
     }
 
     /// Tells the same by those that are known here, if these are all.
-    fn are_few(&self, entries: &Entries) -> bool {
-        entries.len() < SMALL_SITE && !self.are_many(entries.len())
+    fn is_single_group_of(&self, entries: &Entries) -> bool {
+        entries.len() < SMALL_SITE && !self.is_partial_at(entries.len())
     }
 
     /// Tells whether an availability zone is this instance's.
@@ -274,21 +283,21 @@
     pub fn pick(
         &self,
         leads: &BTreeSet<InstanceId>,
-        wanted: impl Fn(Place) -> bool,
-    ) -> Vec<(KnownPeer, Place)> {
+        wanted: impl Fn(PeerRelation) -> bool,
+    ) -> Vec<(PeerRecord, PeerRelation)> {
         let entries = self.lock();
-        let few = self.are_few(&entries);
+        let few = self.is_single_group_of(&entries);
         let placed = entries.iter().enumerate().map(|(at, peer)| {
-            let place = Place {
+            let relation = PeerRelation {
                 at,
-                near: few || peer.1.zone == self.zone,
+                same_group: few || peer.1.zone == self.zone,
                 lead: leads.contains(peer.0),
             };
-            (peer, place)
+            (peer, relation)
         });
-        let picked = placed.filter(|(_, place)| wanted(*place));
+        let picked = placed.filter(|(_, relation)| wanted(*relation));
         picked
-            .map(|(peer, place)| (known_peer(peer), place))
+            .map(|(peer, relation)| (known_peer(peer), relation))
             .collect()
     }
 
@@ -315,7 +324,7 @@
     let mut zones: BTreeMap<&str, Vec<(&InstanceId, &Entry)>> = BTreeMap::new();
     for peer in peers {
         let first = zones.entry(&peer.1.zone).or_default();
-        let at = first.partition_point(|p| standing(p) < standing(&peer));
+        let at = first.partition_point(|p| lead_priority(p) < lead_priority(&peer));
         first.insert(at, peer);
         first.truncate(count);
     }
--- a/crates/firdock-node/src/peer/parts.rs
+++ b/crates/firdock-node/src/peer/parts.rs
@@ -24,7 +24,7 @@
 
 /// What lacks of an answer.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Lacking {
+pub struct MissingParts {
     /// The state that the answer tells.
     pub state: StateId,
     /// Its parts that did not come, by their numbers.
@@ -40,7 +40,7 @@
 
 /// Gives one part of a state.
 #[must_use]
-pub fn part_of(state: &[u8], part: u32) -> &[u8] {
+pub fn state_part(state: &[u8], part: u32) -> &[u8] {
     let start = (part as usize * PART_BYTES).min(state.len());
     let end = (start + PART_BYTES).min(state.len());
     &state[start..end]
@@ -80,15 +80,15 @@
 
 /// Why a part is not taken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct BadPart;
+pub struct InvalidPart;
 
 /// The answers of which parts came, by who tells them.
 #[derive(Debug, Default)]
-pub struct PartialAnswers {
+pub struct PartialReplies {
     by_teller: BTreeMap<SocketAddr, Partial>,
 }
 
-impl PartialAnswers {
+impl PartialReplies {
     /// Takes an answer or a part of one; gives the whole answer once no part lacks.
     ///
     /// Parts of another state than before, which the teller made anew, replace what came of that.
@@ -101,12 +101,12 @@
         now: Time,
         from: SocketAddr,
         told: StateAnswer,
-    ) -> Result<Option<StateAnswer>, BadPart> {
+    ) -> Result<Option<StateAnswer>, InvalidPart> {
         if told.parts <= 1 {
             return Ok(Some(told));
         }
         if told.parts as usize > MAX_PARTS || told.part >= told.parts {
-            return Err(BadPart);
+            return Err(InvalidPart);
         }
         self.by_teller
             .retain(|_, partial| partial.heard + GIVE_UP_AFTER > now);
@@ -130,13 +130,13 @@
 
     /// Gives what lacks of the answer of one that is to be asked again; `None` where nothing came of it.
     #[must_use]
-    pub fn lacking(&self, from: SocketAddr) -> Option<Lacking> {
+    pub fn missing(&self, from: SocketAddr) -> Option<MissingParts> {
         let partial = self.by_teller.get(&from)?;
-        let lacks = partial.parts.iter().enumerate();
-        let lacks = lacks.filter(|(_, part)| part.is_none());
-        Some(Lacking {
+        let absent = partial.parts.iter().enumerate();
+        let absent = absent.filter(|(_, part)| part.is_none());
+        Some(MissingParts {
             state: partial.state,
-            parts: lacks.map(|(at, _)| at as u32).collect(),
+            parts: absent.map(|(at, _)| at as u32).collect(),
         })
     }
 
--- a/crates/firdock-node/src/peer/reads.rs
+++ b/crates/firdock-node/src/peer/reads.rs
@@ -21,11 +21,11 @@
 use tokio::time::sleep;
 use uuid::Uuid;
 
-pub use self::due::{Due, ReadReason};
+pub use self::due::{DueReads, ReadReason};
 use self::state::Inner;
-use super::book::Turn;
-use super::known::{Answer, Teller};
-use super::topic::{Image, Topic, TopicRecords};
+use super::book::ReadTurn;
+use super::known::{PeerProcess, StateReply};
+use super::topic::{Topic, TopicRecords, TopicSnapshot};
 use crate::clock::Clock;
 
 /// Age of what is known beyond which every peer's word counts, and not that of leads alone: a read
@@ -36,7 +36,7 @@
 
 /// What an instance knows to be the newest.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Reads {
+pub struct ReadState {
     /// Version of the configuration.
     pub version: Version,
     /// Offset after the last record of the configuration's topic: not every record there is a new
@@ -55,7 +55,7 @@
 
 /// What follows from a peer's word.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Heard {
+pub struct MergeOutcome {
     /// The configuration in force here was the newest at this time.
     pub fresh: Option<Time>,
     /// The peer's clock has to be asked for before its word is of use.
@@ -75,15 +75,15 @@
 impl SharedReads {
     /// Lets peers be asked at the start before the store is.
     #[must_use]
-    pub fn with_peers_first(self, asks: bool) -> Self {
-        self.lock().asks_first = asks;
+    pub fn with_asks_peers_first(self, asks: bool) -> Self {
+        self.lock().asks_peers_first = asks;
         self
     }
 
     /// Tells whether peers are asked at the start before the store is.
     #[must_use]
-    pub fn asks_first(&self) -> bool {
-        self.lock().asks_first
+    pub fn asks_peers_first(&self) -> bool {
+        self.lock().asks_peers_first
     }
 
     /// Notes that what peers know of the store is so long that it comes from the own zone.
@@ -114,7 +114,7 @@
 
     /// Tells whether an instance that just started still waits for its peers' answer.
     #[must_use]
-    pub fn awaits_answer(&self, now: Time) -> bool {
+    pub fn awaits_reply(&self, now: Time) -> bool {
         let inner = self.lock();
         let until = inner.started.map(|at| inner.start_by(at));
         until.is_none_or(|until| now < until)
@@ -122,7 +122,7 @@
 
     /// Notes what this instance read; times never go back, and a time of zero stands for what was not
     /// read.
-    pub fn note(&self, now: Time, reads: Reads) {
+    pub fn record_read(&self, now: Time, reads: ReadState) {
         let mut inner = self.lock();
         inner.read_at = now;
         inner.failed_at = None;
@@ -132,13 +132,13 @@
     }
 
     /// Notes what this instance took from its peers' words, likewise.
-    pub fn note_told(&self, reads: Reads) {
+    pub fn record_from_peers(&self, reads: ReadState) {
         self.lock().take(reads);
         self.known.notify_one();
     }
 
     /// Waits until more is known of the store than before.
-    pub async fn known_more(&self) {
+    pub async fn wait_for_change(&self) {
         self.known.notified().await;
     }
 
@@ -163,23 +163,29 @@
     }
 
     /// Keeps records as they stand in the store, to be passed on; gives what changed by them.
-    pub fn keep(&self, new: &TopicRecords) -> Option<TopicRecords> {
+    pub fn apply_records(&self, new: &TopicRecords) -> Option<TopicRecords> {
         let mut inner = self.lock();
-        let slot = inner.images.of(new.topic);
+        let slot = inner.snapshots.of(new.topic);
         let known = slot.is_some();
         slot.get_or_insert_default().take(new, known)
     }
 
     /// Gives the topics as they stand in the store, for a peer that asks.
     #[must_use]
-    pub fn images(&self) -> Vec<(Topic, Image)> {
+    pub fn snapshots(&self) -> Vec<(Topic, TopicSnapshot)> {
         let mut inner = self.lock();
-        let image = |topic| inner.images.of(topic).clone().map(|image| (topic, image));
+        let image = |topic| {
+            inner
+                .snapshots
+                .of(topic)
+                .clone()
+                .map(|image| (topic, image))
+        };
         Topic::ALL.into_iter().filter_map(image).collect()
     }
 
     /// Takes changes that a peer read, whose times are by its own clock, unless that is not known.
-    pub fn hear_changes(&self, teller: &Teller, changes: TopicRecords) {
+    pub fn merge_changes(&self, teller: &PeerProcess, changes: TopicRecords) {
         let inner = self.lock();
         let Some(bound) = inner.clocks.get(&teller.name, teller.incarnation) else {
             return;
@@ -189,8 +195,8 @@
     }
 
     /// Takes a peer's answer to a question.
-    pub fn hear_answer(&self, answer: Answer) {
-        let Teller { name, incarnation } = &answer.teller;
+    pub fn merge_reply(&self, answer: StateReply) {
+        let PeerProcess { name, incarnation } = &answer.teller;
         self.take_clock(name, *incarnation, answer.asked, answer.clock);
         let inner = self.lock();
         let Some(bound) = inner.clocks.get(name, *incarnation) else {
@@ -214,7 +220,7 @@
 
     /// Notes that changes that were told do not follow on what is known here, so that peers are asked
     /// for the whole.
-    pub fn note_gap(&self, now: Time, topic: Topic) {
+    pub fn record_gap(&self, now: Time, topic: Topic) {
         let mut inner = self.lock();
         match topic {
             Topic::Config => inner.config_news.get_or_insert(now),
@@ -226,12 +232,12 @@
 
     /// Gives what peers told, to be taken.
     #[must_use]
-    pub fn take_told(&self) -> Vec<TopicRecords> {
+    pub fn take_peer_records(&self) -> Vec<TopicRecords> {
         std::mem::take(&mut self.lock().told)
     }
 
     /// Notes that a read failed, and for how long nothing is read again.
-    pub fn note_failed(&self, now: Time, pause: Duration) {
+    pub fn record_failure(&self, now: Time, pause: Duration) {
         let mut inner = self.lock();
         inner.read_at = now;
         inner.failed_at = Some(now);
@@ -240,24 +246,24 @@
 
     /// Gives what this instance knows.
     #[must_use]
-    pub fn own(&self) -> Reads {
+    pub fn own(&self) -> ReadState {
         self.lock().own
     }
 
     /// Takes a peer's word, whose times are by its own clock.
     #[must_use]
-    pub fn hear(&self, now: Time, teller: &Teller, told: Reads) -> Heard {
+    pub fn merge_report(&self, now: Time, teller: &PeerProcess, told: ReadState) -> MergeOutcome {
         let mut inner = self.lock();
         let ask_state = inner.hear_news(now, told);
         let Some(bound) = inner.clocks.get(&teller.name, teller.incarnation) else {
             // An answer to the question for what it knows tells its clock as well.
-            return Heard {
+            return MergeOutcome {
                 fresh: None,
                 ask_clock: !ask_state,
                 ask_state,
             };
         };
-        let told = Reads {
+        let told = ReadState {
             config_at: bound.place(told.config_at),
             endpoints_at: bound.place(told.endpoints_at),
             steady_since: bound.place(told.steady_since),
@@ -265,7 +271,7 @@
         };
         let fresh = inner.confirm(told);
         inner.hear_steady(told);
-        Heard {
+        MergeOutcome {
             fresh,
             ask_clock: false,
             ask_state,
@@ -279,17 +285,22 @@
 
     /// Gives what is due now, and when to look again if nothing is and no peer tells anything.
     #[must_use]
-    pub fn due_at(&self, now: Time, pause: Duration, turn: Turn) -> (Due, Time) {
-        self.lock().due(now, pause, turn)
+    pub fn due_at(&self, now: Time, pause: Duration, read_turn: ReadTurn) -> (DueReads, Time) {
+        self.lock().due(now, pause, read_turn)
     }
 
     /// Waits until this instance has to read, or a peer told something; tells what.
     ///
     /// `turn` gives this instance's part in the reading.
-    pub async fn due(&self, clock: Clock, pause: Duration, turn: impl Fn() -> Turn) -> Due {
+    pub async fn due(
+        &self,
+        clock: Clock,
+        pause: Duration,
+        read_turn: impl Fn() -> ReadTurn,
+    ) -> DueReads {
         loop {
             let now = clock.now();
-            let (due, next) = self.due_at(now, pause, turn());
+            let (due, next) = self.due_at(now, pause, read_turn());
             if due.any() {
                 return due;
             }
--- a/crates/firdock-node/src/source.rs
+++ b/crates/firdock-node/src/source.rs
@@ -19,7 +19,8 @@
 use crate::clock::Clock;
 use crate::input::Input;
 use crate::peer::{
-    Due, KnownPeer, PeerBook, Power, Reader, Reads, SharedReads, Taken, Topic, TopicRecords,
+    AppliedRecords, DueReads, Millicores, PeerDirectory, PeerRecord, ReadRole, ReadState,
+    SharedReads, Topic, TopicRecords,
 };
 use crate::telemetry::{LineBudget, LineKind, Metrics};
 
@@ -94,9 +95,9 @@
 pub struct SourceSink {
     pub(crate) records: watch::Receiver<WantedRecords>,
     pub(crate) inputs: mpsc::Sender<Input>,
-    pub(crate) peers: Arc<PeerBook>,
+    pub(crate) peers: Arc<PeerDirectory>,
     pub(crate) reads: Arc<SharedReads>,
-    pub(crate) changes: mpsc::Sender<Taken>,
+    pub(crate) changes: mpsc::Sender<AppliedRecords>,
     pub(crate) clock: Clock,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) lines: Arc<LineBudget>,
@@ -125,8 +126,8 @@
     /// # Errors
     ///
     /// Fails if the instance was stopped.
-    pub async fn note(&self, reads: Reads) -> Result<(), Stopped> {
-        self.reads.note(self.clock.now(), reads);
+    pub async fn record_read(&self, reads: ReadState) -> Result<(), Stopped> {
+        self.reads.record_read(self.clock.now(), reads);
         self.refresh(reads).await
     }
 
@@ -135,12 +136,12 @@
     /// # Errors
     ///
     /// Fails if the instance was stopped.
-    pub async fn note_told(&self, reads: Reads) -> Result<(), Stopped> {
-        self.reads.note_told(reads);
+    pub async fn record_from_peers(&self, reads: ReadState) -> Result<(), Stopped> {
+        self.reads.record_from_peers(reads);
         self.refresh(reads).await
     }
 
-    async fn refresh(&self, reads: Reads) -> Result<(), Stopped> {
+    async fn refresh(&self, reads: ReadState) -> Result<(), Stopped> {
         if reads.config_at == Time::ZERO || reads.version == 0 {
             return Ok(());
         }
@@ -169,7 +170,7 @@
 
     /// Gives what is known to be the newest.
     #[must_use]
-    pub fn known(&self) -> Reads {
+    pub fn known(&self) -> ReadState {
         self.reads.own()
     }
 
@@ -181,36 +182,39 @@
     }
 
     /// Tells that a read failed, and for how long nothing is to be read again.
-    pub fn note_failed(&self, pause: Duration) {
-        self.reads.note_failed(self.clock.now(), pause);
+    pub fn record_failure(&self, pause: Duration) {
+        self.reads.record_failure(self.clock.now(), pause);
     }
 
     /// Waits until this instance has to read again, or a peer told something; tells what.
     ///
     /// It has to after `pause` if it reads for its peers, and later if another one does.
-    pub async fn due(&self, pause: Duration) -> Due {
-        let turn = || self.peers.turn(self.clock.now());
-        self.reads.due(self.clock, pause, turn).await
+    pub async fn due(&self, pause: Duration) -> DueReads {
+        let read_turn = || self.peers.read_turn(self.clock.now());
+        self.reads.due(self.clock, pause, read_turn).await
     }
 
     /// Gives the records that peers read and told, in order.
     #[must_use]
-    pub fn take_told(&self) -> Vec<TopicRecords> {
-        self.reads.take_told()
+    pub fn take_peer_records(&self) -> Vec<TopicRecords> {
+        self.reads.take_peer_records()
     }
 
     /// Notes that changes that a peer told do not follow on what is known here.
-    pub fn note_gap(&self, topic: Topic) {
-        self.reads.note_gap(self.clock.now(), topic);
+    pub fn record_gap(&self, topic: Topic) {
+        self.reads.record_gap(self.clock.now(), topic);
     }
 
     /// Keeps records that were taken here, and tells the other instances what changed by them.
     ///
     /// `read_here` tells whether this instance read them itself.
-    pub fn keep(&self, records: &TopicRecords, read_here: bool) {
-        if let Some(records) = self.reads.keep(records) {
+    pub fn apply_records(&self, records: &TopicRecords, read_locally: bool) {
+        if let Some(records) = self.reads.apply_records(records) {
             // A peer that does not hear of them asks for them.
-            let _ = self.changes.try_send(Taken { records, read_here });
+            let _ = self.changes.try_send(AppliedRecords {
+                records,
+                read_locally,
+            });
         }
     }
 
@@ -223,7 +227,7 @@
     /// Tells whether this instance leads the site, so that it is the one that writes to the store.
     #[must_use]
     pub fn leads_site(&self) -> bool {
-        self.peers.turn(self.clock.now()).reader == Reader::Site
+        self.peers.read_turn(self.clock.now()).role == ReadRole::SiteLead
     }
 
     /// Tells what the store has of a roll-out.
@@ -255,19 +259,19 @@
     }
 
     /// Tells of another instance and where it takes heartbeats.
-    pub fn know_peer(&self, peer: KnownPeer) {
-        self.peers.know_listed(peer, self.clock.now());
+    pub fn know_peer(&self, peer: PeerRecord) {
+        self.peers.add_listed(peer, self.clock.now());
     }
 
     /// Tells how many instances are listed, this one among them.
-    pub fn note_known(&self, count: usize) {
-        self.peers.note_known(count, self.clock.now());
+    pub fn set_site_size(&self, count: usize) {
+        self.peers.set_site_size(count, self.clock.now());
     }
 
     /// Tells whether a peer told that this instance is listed at an address.
     #[must_use]
     pub fn tells_of_me(&self, address: SocketAddr) -> bool {
-        self.peers.own_listed() == Some(address)
+        self.peers.listed_address() == Some(address)
     }
 
     /// Gives this instance's availability zone.
@@ -278,31 +282,31 @@
 
     /// Gives the processor that this instance has, in thousandths of a core.
     #[must_use]
-    pub fn power(&self) -> Power {
-        self.peers.power()
+    pub fn millicores(&self) -> Millicores {
+        self.peers.millicores()
     }
 
     /// Tells that the platform's list of instances was read, and all in it were told.
-    pub fn note_listed(&self) {
-        self.peers.note_listed();
+    pub fn mark_listed(&self) {
+        self.peers.mark_listed();
     }
 
     /// Tells whether the other instances were told of, by the platform's list or by one of them.
     #[must_use]
-    pub fn was_listed(&self) -> bool {
-        self.peers.was_listed()
+    pub fn is_listed(&self) -> bool {
+        self.peers.is_listed()
     }
 
     /// Tells whether this instance just started, and still waits for what its peers tell.
     #[must_use]
     pub fn awaits_peers(&self) -> bool {
-        self.reads.awaits_answer(self.clock.now())
+        self.reads.awaits_reply(self.clock.now())
     }
 
     /// Tells whether any other instance has been heard from.
     #[must_use]
     pub fn hears_peers(&self) -> bool {
-        self.peers.hears_any(self.clock.now())
+        self.peers.any_live(self.clock.now())
     }
 
     async fn send(&self, event: Event) -> Result<(), Stopped> {
--- a/crates/firdock-node/tests/node/parts.rs
+++ b/crates/firdock-node/tests/node/parts.rs
@@ -3,7 +3,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use firdock_node::peer::{BadPart, Lacking, PART_BYTES, PartialAnswers, count_parts, part_of};
+use firdock_node::peer::{
+    InvalidPart, MissingParts, PART_BYTES, PartialReplies, count_parts, state_part,
+};
 use firdock_wire::message::StateAnswer;
 use proptest::prelude::*;
 
@@ -20,7 +22,7 @@
 fn part(id: u64, state: &[u8], part: u32) -> StateAnswer {
     StateAnswer {
         incarnation: vec![1; 16],
-        state: part_of(state, part).to_vec(),
+        state: state_part(state, part).to_vec(),
         state_id: id,
         part,
         parts: count_parts(state.len()).expect("few parts"),
@@ -31,26 +33,26 @@
 #[test]
 fn a_part_that_is_lost_is_asked_for_alone() {
     let told = state(PART_BYTES * 2 + 7);
-    let mut answers = PartialAnswers::default();
-    assert_eq!(answers.lacking(teller(1)), None);
+    let mut answers = PartialReplies::default();
+    assert_eq!(answers.missing(teller(1)), None);
     for n in [0, 2] {
         assert_eq!(answers.take(NOW, teller(1), part(9, &told, n)), Ok(None));
     }
-    let lacking = Lacking {
+    let missing = MissingParts {
         state: 9,
         parts: vec![1],
     };
-    assert_eq!(answers.lacking(teller(1)), Some(lacking));
-    assert_eq!(answers.lacking(teller(2)), None);
+    assert_eq!(answers.missing(teller(1)), Some(missing));
+    assert_eq!(answers.missing(teller(2)), None);
     let whole = answers.take(NOW, teller(1), part(9, &told, 1));
     assert_eq!(whole.map(|w| w.map(|w| w.state)), Ok(Some(told)));
-    assert_eq!(answers.lacking(teller(1)), None);
+    assert_eq!(answers.missing(teller(1)), None);
 }
 
 #[test]
 fn parts_of_a_state_that_was_made_anew_replace_those_before() {
     let (old, new) = (state(PART_BYTES + 1), state(PART_BYTES + 9));
-    let mut answers = PartialAnswers::default();
+    let mut answers = PartialReplies::default();
     assert_eq!(answers.take(NOW, teller(1), part(1, &old, 0)), Ok(None));
     assert_eq!(answers.take(NOW, teller(1), part(2, &new, 1)), Ok(None));
     let whole = answers.take(NOW, teller(1), part(2, &new, 0));
@@ -67,7 +69,7 @@
 #[test]
 fn parts_that_cannot_be_and_tellers_without_end_take_no_room() {
     let told = state(PART_BYTES + 1);
-    let mut answers = PartialAnswers::default();
+    let mut answers = PartialReplies::default();
     let hostile = |part_no: u32, parts: u32| StateAnswer {
         part: part_no,
         parts,
@@ -75,13 +77,13 @@
     };
     for (part_no, parts) in [(2, 2), (0, u32::MAX), (u32::MAX, 3)] {
         let taken = answers.take(NOW, teller(1), hostile(part_no, parts));
-        assert_eq!(taken, Err(BadPart), "{part_no} of {parts}");
+        assert_eq!(taken, Err(InvalidPart), "{part_no} of {parts}");
     }
     for n in 1..=200 {
         let now = NOW + Duration::from_millis(n.into());
         assert_eq!(answers.take(now, teller(n), part(1, &told, 0)), Ok(None));
     }
-    let kept = (1..=200).filter(|n| answers.lacking(teller(*n)).is_some());
+    let kept = (1..=200).filter(|n| answers.missing(teller(*n)).is_some());
     assert_eq!(kept.count(), 4);
     assert_eq!(count_parts(PART_BYTES * 64), Some(64));
     assert_eq!(
@@ -99,7 +101,7 @@
     ) {
         let told = state(bytes);
         let parts = count_parts(bytes).expect("few parts");
-        let mut answers = PartialAnswers::default();
+        let mut answers = PartialReplies::default();
         let mut whole = None;
         for n in order.into_iter().map(|n| n % parts).chain(0..parts) {
             if whole.is_none() {
--- a/crates/firdock-node/tests/node/party.rs
+++ b/crates/firdock-node/tests/node/party.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use firdock_node::clock::Clock;
-use firdock_node::peer::{Beacons, PeerBook, SelfNews, SharedReads};
+use firdock_node::peer::{BeaconService, PeerDirectory, SelfStatus, SharedReads};
 use firdock_node::telemetry::silent;
 use firdock_policy::event::Member;
 use tokio::net::UdpSocket;
@@ -16,47 +16,47 @@
 const WAITING: usize = 256;
 
 pub struct Party {
-    pub beacons: Beacons,
-    pub book: Arc<PeerBook>,
+    pub beacons: BeaconService,
+    pub directory: Arc<PeerDirectory>,
     pub reads: Arc<SharedReads>,
     pub events: mpsc::Receiver<firdock_node::Input>,
-    pub news: watch::Sender<SelfNews>,
+    pub self_status: watch::Sender<SelfStatus>,
 }
 
 impl Party {
     /// Makes an instance that asks `seeds` at its start, if there are any.
     pub fn new(name: &str, socket: UdpSocket, clock: Clock, seeds: Vec<SocketAddr>) -> Self {
-        let book = Arc::new(PeerBook::new(name.to_owned(), "zone".to_owned()));
-        let reads = SharedReads::default().with_peers_first(!seeds.is_empty());
+        let directory = Arc::new(PeerDirectory::new(name.to_owned(), "zone".to_owned()));
+        let reads = SharedReads::default().with_asks_peers_first(!seeds.is_empty());
         let reads = Arc::new(reads);
         let (inputs, events) = mpsc::channel(WAITING);
-        let (news, told) = watch::channel(SelfNews::default());
-        let beacons = Beacons {
+        let (self_status, told) = watch::channel(SelfStatus::default());
+        let beacons = BeaconService {
             socket: Arc::new(socket),
             member: Member {
                 name: name.to_owned(),
                 incarnation: Uuid::now_v7(),
             },
             key: Arc::from(b"a key that all share".as_slice()),
-            book: Arc::clone(&book),
+            directory: Arc::clone(&directory),
             reads: Arc::clone(&reads),
-            news: told,
+            self_status: told,
             changes: mpsc::channel(1).1,
             seeds,
             sums: Mutex::default(),
-            partial: Mutex::default(),
+            partial_replies: Mutex::default(),
             inputs,
-            pause: Duration::from_millis(20),
-            link: 0.0,
+            interval: Duration::from_millis(20),
+            link_mbits: 0.0,
             clock,
             log: silent(),
         };
         Self {
             beacons,
-            book,
+            directory,
             reads,
             events,
-            news,
+            self_status,
         }
     }
 }
--- a/crates/firdock-node/tests/node/peers.rs
+++ b/crates/firdock-node/tests/node/peers.rs
@@ -7,8 +7,8 @@
 use firdock_core::settings::Settings;
 use firdock_node::clock::Clock;
 use firdock_node::peer::{
-    KnownPeer, PeerBook, PeerWord, Power, Reader, Reads, SelfNews, SharedReads, Teller, Topic,
-    TopicRecords, Turn, open_beacons, seal,
+    Millicores, PeerDirectory, PeerInfo, PeerProcess, PeerRecord, ReadRole, ReadState, ReadTurn,
+    SelfStatus, SharedReads, Topic, TopicRecords, bind_beacon_socket, seal,
 };
 use firdock_policy::{Event, Policy as _, PolicySettings, Scheduler};
 use firdock_wire::PROTOCOL;
@@ -25,33 +25,33 @@
     Duration::from_millis(n)
 }
 
-fn teller(name: &str, incarnation: Uuid) -> Teller {
+fn teller(name: &str, incarnation: Uuid) -> PeerProcess {
     let name = name.to_owned();
-    Teller { name, incarnation }
+    PeerProcess { name, incarnation }
 }
 
 /// The peer whose clock is known.
-fn p() -> Teller {
+fn p() -> PeerProcess {
     teller("p", INCARNATION)
 }
 
 /// The present time where it does not matter.
 const NOW: Duration = Duration::from_mins(1);
 
-fn reads(version: u64, endpoints_next: u64, at: Duration) -> Reads {
-    Reads {
+fn reads(version: u64, endpoints_next: u64, at: Duration) -> ReadState {
+    ReadState {
         version,
         endpoints_next,
         config_at: at,
         endpoints_at: at,
-        ..Reads::default()
+        ..ReadState::default()
     }
 }
 
 /// Reads of version 5 at 10 s, with the clock of peer `p` known to be no earlier than ours + 1 s.
 fn shared() -> SharedReads {
     let shared = SharedReads::default();
-    shared.note(millis(10_000), reads(5, 1, millis(10_000)));
+    shared.record_read(millis(10_000), reads(5, 1, millis(10_000)));
     shared.take_clock("p", INCARNATION, millis(10_000), millis(9_000));
     shared
 }
@@ -59,7 +59,7 @@
 #[test]
 fn a_peers_word_counts_from_the_earliest_time_that_it_can_mean() {
     let shared = shared();
-    let heard = shared.hear(NOW, &p(), reads(5, 1, millis(9_400)));
+    let heard = shared.merge_report(NOW, &p(), reads(5, 1, millis(9_400)));
     assert_eq!(heard.fresh, Some(millis(10_400)));
     assert_eq!(shared.own().config_at, millis(10_400));
 }
@@ -68,7 +68,7 @@
 fn a_peer_with_another_version_makes_nothing_fresh() {
     let shared = shared();
     for version in [4, 6] {
-        let heard = shared.hear(NOW, &p(), reads(version, 1, millis(9_400)));
+        let heard = shared.merge_report(NOW, &p(), reads(version, 1, millis(9_400)));
         assert_eq!(heard.fresh, None);
     }
     assert_eq!(shared.own().config_at, millis(10_000));
@@ -77,7 +77,7 @@
 #[test]
 fn a_restarted_peers_clock_is_asked_for_anew() {
     let shared = shared();
-    let heard = shared.hear(
+    let heard = shared.merge_report(
         NOW,
         &teller("p", Uuid::from_u128(8)),
         reads(5, 1, millis(9_400)),
@@ -90,7 +90,7 @@
     let shared = shared();
     // Asked long ago and answered late: stands for an earlier time than what is known.
     shared.take_clock("p", INCARNATION, millis(10_500), millis(12_000));
-    let heard = shared.hear(NOW, &p(), reads(5, 1, millis(9_400)));
+    let heard = shared.merge_report(NOW, &p(), reads(5, 1, millis(9_400)));
     assert_eq!(heard.fresh, Some(millis(10_400)));
 }
 
@@ -100,7 +100,8 @@
     for n in 0..2_000 {
         let name = format!("front-{n}");
         shared.take_clock(&name, INCARNATION, millis(10_000), millis(9_000));
-        let heard = shared.hear(NOW, &teller(&name, INCARNATION), reads(5, 1, millis(9_000)));
+        let heard =
+            shared.merge_report(NOW, &teller(&name, INCARNATION), reads(5, 1, millis(9_000)));
         assert!(!heard.ask_clock, "the clock of {name} is known");
     }
 }
@@ -112,7 +113,7 @@
     let shared = shared();
     for second in 10..60 {
         let told = reads(5, 1, millis(second * 1_000 - 1_000));
-        let _ = shared.hear(NOW, &p(), told);
+        let _ = shared.merge_report(NOW, &p(), told);
     }
     assert_eq!(shared.steady_since(millis(60_000)), millis(10_000));
 }
@@ -125,7 +126,7 @@
     // Nobody reads from 10 s to 15 s; the peer does then, and this instance not before 18 s.
     for second in [15, 16, 17] {
         let told = reads(5, 1, millis(second * 1_000 - 1_000));
-        let _ = shared.hear(NOW, &p(), told);
+        let _ = shared.merge_report(NOW, &p(), told);
     }
     assert_eq!(shared.steady_since(millis(18_000)), millis(15_000));
 }
@@ -134,7 +135,7 @@
 fn an_outage_that_only_this_instance_sees_the_end_of_ends_with_its_own_read() {
     let shared = shared();
     assert_eq!(shared.steady_since(millis(15_000)), millis(15_000));
-    shared.note(millis(15_000), reads(5, 1, millis(15_000)));
+    shared.record_read(millis(15_000), reads(5, 1, millis(15_000)));
     assert_eq!(shared.steady_since(millis(16_000)), millis(15_000));
 }
 
@@ -143,56 +144,56 @@
 #[test]
 fn an_instance_that_was_cut_off_alone_takes_its_silence_for_no_outage() {
     let shared = shared();
-    shared.note(millis(20_000), reads(5, 1, millis(20_000)));
+    shared.record_read(millis(20_000), reads(5, 1, millis(20_000)));
     assert_eq!(shared.steady_since(millis(20_000)), millis(20_000));
     // The peer has read all the while, since 2 s by our clock.
-    let told = Reads {
+    let told = ReadState {
         steady_since: millis(1_000),
         ..reads(5, 1, millis(18_900))
     };
-    let _ = shared.hear(NOW, &p(), told);
+    let _ = shared.merge_report(NOW, &p(), told);
     assert_eq!(shared.steady_since(millis(20_200)), millis(2_000));
     // Its clock is known a little better at the next word, which is no news.
-    let nearly = Reads {
+    let nearly = ReadState {
         steady_since: millis(990),
         ..told
     };
-    let _ = shared.hear(NOW, &p(), nearly);
+    let _ = shared.merge_report(NOW, &p(), nearly);
     assert_eq!(shared.steady_since(millis(20_200)), millis(2_000));
 }
 
 #[test]
 fn a_peer_that_has_not_read_since_an_outage_does_not_tell_it_away() {
     let shared = shared();
-    shared.note(millis(20_000), reads(5, 1, millis(20_000)));
-    let told = Reads {
+    shared.record_read(millis(20_000), reads(5, 1, millis(20_000)));
+    let told = ReadState {
         steady_since: millis(1_000),
         ..reads(5, 1, millis(15_000))
     };
-    let _ = shared.hear(NOW, &p(), told);
+    let _ = shared.merge_report(NOW, &p(), told);
     assert_eq!(shared.steady_since(millis(20_200)), millis(20_000));
 }
 
 /// News of a scheduler that has taken `version`.
-fn news(version: u64) -> SelfNews {
+fn news(version: u64) -> SelfStatus {
     let settings = PolicySettings::new(&Settings::default(), INCARNATION);
     let mut scheduler = Scheduler::new(settings);
     let catalog = Event::Config(Arc::new(Catalog::new(version)));
     scheduler.step(millis(1), catalog, &mut Vec::new());
-    SelfNews::new(scheduler.tables(), millis(1))
+    SelfStatus::new(scheduler.tables(), millis(1))
 }
 
 /// An instance that tells what version 4 is in force, and knows of another.
 fn party(name: &str, socket: UdpSocket, clock: Clock, other: (&str, &UdpSocket)) -> Party {
     let party = Party::new(name, socket, clock, Vec::new());
-    party.news.send_replace(news(4));
-    let known = KnownPeer {
-        power: 0,
+    party.self_status.send_replace(news(4));
+    let known = PeerRecord {
+        millicores: 0,
         name: other.0.to_owned(),
         address: other.1.local_addr().expect("an address"),
         zone: "zone".to_owned(),
     };
-    party.book.know(known, clock.now());
+    party.directory.add_reported(known, clock.now());
     party
 }
 
@@ -201,19 +202,19 @@
 #[tokio::test]
 async fn a_lead_that_stops_or_is_of_another_group_does_not_tell_how_many_are_heard() {
     let any = "127.0.0.1:0".parse().expect("an address");
-    let socket = open_beacons(any).await.expect("a socket");
+    let socket = bind_beacon_socket(any).await.expect("a socket");
     let to = socket.local_addr().expect("an address");
     let other = UdpSocket::bind(any).await.expect("a socket");
     let mut party = party("z", socket, Clock::new(), ("b", &other));
-    party.beacons.pause = Duration::from_mins(1);
+    party.beacons.interval = Duration::from_mins(1);
     // So many of its group are heard before it that it does not lead.
     for n in 0..20 {
         let address = ([127, 0, 0, 1], 1).into();
-        let (book, now) = (&party.beacons.book, party.beacons.clock.now());
+        let (directory, now) = (&party.beacons.directory, party.beacons.clock.now());
         let name = format!("m-{n}");
-        book.hear(word(&name, "zone", 0), address, now);
+        directory.record_heartbeat(word(&name, "zone", 0), address, now);
         let name = format!("m-{n}");
-        book.hear(word(&name, "zone", 0), address, now);
+        directory.record_heartbeat(word(&name, "zone", 0), address, now);
     }
     let key = Arc::clone(&party.beacons.key);
     let (stop, stops) = watch::channel(false);
@@ -249,7 +250,7 @@
         }
     }
     assert_eq!(reach, [40]);
-    drop(party.news);
+    drop(party.self_status);
 }
 
 /// What accounts had of other groups' places is heard from those groups' leads alone, and figures that
@@ -257,11 +258,11 @@
 #[tokio::test]
 async fn work_of_accounts_is_heard_from_leads_of_other_groups() {
     let any = "127.0.0.1:0".parse().expect("an address");
-    let socket = open_beacons(any).await.expect("a socket");
+    let socket = bind_beacon_socket(any).await.expect("a socket");
     let to = socket.local_addr().expect("an address");
     let other = UdpSocket::bind(any).await.expect("a socket");
     let mut party = party("z", socket, Clock::new(), ("b", &other));
-    party.beacons.pause = Duration::from_mins(1);
+    party.beacons.interval = Duration::from_mins(1);
     let key = Arc::clone(&party.beacons.key);
     let (stop, stops) = watch::channel(false);
     let running = tokio::spawn(party.beacons.run(stops));
@@ -302,7 +303,7 @@
         }
     }
     assert_eq!(heard, [("elsewhere".to_owned(), vec!["lead".to_owned()])]);
-    drop(party.news);
+    drop(party.self_status);
 }
 
 /// Leads that had all restarted at one moment did not hear each other for seconds, where the one's
@@ -310,13 +311,13 @@
 #[tokio::test]
 async fn a_first_heartbeat_is_answered() {
     let any = "127.0.0.1:0".parse().expect("an address");
-    let socket = open_beacons(any).await.expect("a socket");
+    let socket = bind_beacon_socket(any).await.expect("a socket");
     let to = socket.local_addr().expect("an address");
     let stranger = UdpSocket::bind(any).await.expect("a socket");
     // It knows of another instance, and not of the one that will send.
     let known = UdpSocket::bind(any).await.expect("a socket");
     let mut party = party("a", socket, Clock::new(), ("b", &known));
-    party.beacons.pause = Duration::from_mins(1);
+    party.beacons.interval = Duration::from_mins(1);
     let key = Arc::clone(&party.beacons.key);
     let (stop, stops) = watch::channel(false);
     let running = tokio::spawn(party.beacons.run(stops));
@@ -333,7 +334,7 @@
     assert!(matches!(answer, Ok(Ok(_))), "no answer: {answer:?}");
     stop.send_replace(true);
     running.await.expect("the task ends");
-    drop((party.events, party.news));
+    drop((party.events, party.self_status));
 }
 
 /// Finding 2: an instance that had just read version 19 told it with the version of its last
@@ -341,7 +342,7 @@
 #[tokio::test]
 async fn a_read_is_told_with_its_own_version_and_not_the_published_one() {
     let any = "127.0.0.1:0".parse().expect("an address");
-    let (a, b) = (open_beacons(any).await, open_beacons(any).await);
+    let (a, b) = (bind_beacon_socket(any).await, bind_beacon_socket(any).await);
     let (a, b) = (a.expect("a socket"), b.expect("a socket"));
     let clock = Clock::new();
     let probe = UdpSocket::bind(any).await.expect("a socket");
@@ -351,10 +352,10 @@
     let mut second = party("b", b, clock, ("a", &first.beacons.socket));
     assert!(to_a.is_ok() && to_b.is_ok());
     let old = clock.now();
-    second.reads.note(old, reads(4, 1, old));
+    second.reads.record_read(old, reads(4, 1, old));
     // Far enough ahead that the bound on the clock does not hide it.
     let newer = clock.now() + millis(2_000);
-    first.reads.note(newer, reads(19, 1, newer));
+    first.reads.record_read(newer, reads(19, 1, newer));
     let (stop, stops) = watch::channel(false);
     let running = [
         tokio::spawn(first.beacons.run(stops.clone())),
@@ -375,7 +376,7 @@
     }
     assert!(heard > 0, "no heartbeat came");
     assert_eq!(second.reads.own().config_at, old);
-    drop((first.news, second.news));
+    drop((first.self_status, second.self_status));
 }
 
 fn changes(from: u64, next: u64) -> TopicRecords {
@@ -391,25 +392,27 @@
 #[tokio::test]
 async fn changes_that_a_peer_read_are_taken_without_a_read() {
     let shared = shared();
-    shared.hear_changes(&teller("stranger", INCARNATION), changes(1, 2));
-    shared.hear_changes(&teller("p", Uuid::from_u128(8)), changes(1, 2));
+    shared.merge_changes(&teller("stranger", INCARNATION), changes(1, 2));
+    shared.merge_changes(&teller("p", Uuid::from_u128(8)), changes(1, 2));
     assert!(
-        shared.take_told().is_empty(),
+        shared.take_peer_records().is_empty(),
         "a clock that is not known dates nothing"
     );
-    shared.hear_changes(&p(), changes(1, 2));
+    shared.merge_changes(&p(), changes(1, 2));
     // Its heartbeat with the new offset asks for no read, since the changes are here.
-    let heard = shared.hear(NOW, &p(), reads(5, 2, millis(9_500)));
+    let heard = shared.merge_report(NOW, &p(), reads(5, 2, millis(9_500)));
     assert!(!heard.ask_state);
-    let due = shared.due(Clock::new(), millis(60_000), Turn::alone).await;
+    let due = shared
+        .due(Clock::new(), millis(60_000), ReadTurn::alone)
+        .await;
     assert!(
-        due.told && due.endpoints.is_none() && due.config.is_none(),
+        due.from_peers && due.endpoints.is_none() && due.config.is_none(),
         "{due:?}"
     );
-    let told = shared.take_told();
+    let told = shared.take_peer_records();
     assert_eq!(told.len(), 1);
     assert_eq!(told[0].read_at, millis(10_500));
-    shared.note_told(Reads {
+    shared.record_from_peers(ReadState {
         config_at: Duration::ZERO,
         ..reads(5, 2, told[0].read_at)
     });
@@ -417,17 +420,21 @@
     assert_eq!(shared.own().endpoints_next, 2);
 }
 
-fn word<'a>(name: &'a str, zone: &'a str, power: Power) -> PeerWord<'a> {
-    PeerWord { name, zone, power }
+fn word<'a>(name: &'a str, zone: &'a str, millicores: Millicores) -> PeerInfo<'a> {
+    PeerInfo {
+        name,
+        zone,
+        millicores,
+    }
 }
 
-fn book(me: &str, zone: &str, others: &[(&str, &str)], now: Duration) -> PeerBook {
-    let book = PeerBook::new(me.to_owned(), zone.to_owned());
+fn directory(me: &str, zone: &str, others: &[(&str, &str)], now: Duration) -> PeerDirectory {
+    let directory = PeerDirectory::new(me.to_owned(), zone.to_owned());
     let address = "127.0.0.1:1".parse().expect("an address");
     for (name, zone) in others {
-        book.hear(word(name, zone, 0), address, now);
+        directory.record_heartbeat(word(name, zone, 0), address, now);
     }
-    book
+    directory
 }
 
 #[test]
@@ -440,16 +447,16 @@
         others.map(|(name, zone)| (name.as_str(), *zone)).collect()
     };
     let now = millis(1_000);
-    let part = |me: &str, zone: &str| book(me, zone, &others(me), now).turn(now).reader;
-    assert_eq!(part("00", "east"), Reader::Site);
-    assert_eq!(part("01", "west"), Reader::Group);
-    assert_eq!(part("02", "east"), Reader::Member);
-    assert_eq!(part("19", "west"), Reader::Member);
-    let leads = book("19", "west", &others("19"), now).leads_of_all(now);
+    let part = |me: &str, zone: &str| directory(me, zone, &others(me), now).read_turn(now).role;
+    assert_eq!(part("00", "east"), ReadRole::SiteLead);
+    assert_eq!(part("01", "west"), ReadRole::GroupLead);
+    assert_eq!(part("02", "east"), ReadRole::Member);
+    assert_eq!(part("19", "west"), ReadRole::Member);
+    let leads = directory("19", "west", &others("19"), now).group_leads(now);
     let expected = ["00", "01", "02", "03"].map(str::to_owned);
     assert_eq!(leads, expected.into());
-    let few = book("b", "west", &[("a", "east"), ("c", "west")], now);
-    assert_eq!(few.turn(now).reader, Reader::SmallMember);
+    let few = directory("b", "west", &[("a", "east"), ("c", "west")], now);
+    assert_eq!(few.read_turn(now).role, ReadRole::SingleGroupMember);
     // The first one fell silent.
-    assert_eq!(few.turn(now + millis(1_300)).reader, Reader::Site);
+    assert_eq!(few.read_turn(now + millis(1_300)).role, ReadRole::SiteLead);
 }
--- a/crates/firdock-node/tests/node/placement.rs
+++ b/crates/firdock-node/tests/node/placement.rs
@@ -6,7 +6,7 @@
 use firdock_core::resource::{Account, Catalog, Endpoint, PoolWeight, Resource, Service, Tier};
 use firdock_core::settings::Settings;
 use firdock_core::{Reason, RequestId};
-use firdock_node::peer::{PeerBook, PeerWord};
+use firdock_node::peer::{PeerDirectory, PeerInfo};
 use firdock_node::placement::{
     Coordinator, Course, Membership, News, Noticed, Paced, Report, Wanted, read_reply, read_report,
     write_reply, write_report,
@@ -292,23 +292,23 @@
 struct Asking {
     member: Membership,
     scheduler: Scheduler,
-    book: Arc<PeerBook>,
+    directory: Arc<PeerDirectory>,
     now: Time,
 }
 
 impl Asking {
     fn new() -> Self {
-        let book = Arc::new(PeerBook::new("b".to_owned(), "zone".to_owned()));
+        let directory = Arc::new(PeerDirectory::new("b".to_owned(), "zone".to_owned()));
         let me = Member {
             name: "b".to_owned(),
             incarnation: Uuid::from_u128(2),
         };
         let zone = "zone".to_owned();
-        let member = Membership::new(me, zone, Arc::clone(&book), silent());
+        let member = Membership::new(me, zone, Arc::clone(&directory), silent());
         let mut asking = Self {
             member,
             scheduler: Scheduler::new(policy()),
-            book,
+            directory,
             now: millis(1_000),
         };
         asking.step(catalog());
@@ -320,9 +320,16 @@
         for (name, port) in [("a", 1), ("c", 3)] {
             let address = ([127, 0, 0, 1], port).into();
             let zone = "zone";
-            let power = 0;
-            self.book
-                .hear(PeerWord { name, zone, power }, address, self.now);
+            let millicores = 0;
+            self.directory.record_heartbeat(
+                PeerInfo {
+                    name,
+                    zone,
+                    millicores,
+                },
+                address,
+                self.now,
+            );
         }
     }
 
--- a/crates/firdock-node/tests/node/sharing.rs
+++ b/crates/firdock-node/tests/node/sharing.rs
@@ -4,8 +4,8 @@
 
 use firdock_node::clock::Clock;
 use firdock_node::peer::{
-    Image, KeyedRecord, PeerBook, PeerWord, Power, ReadReason, Reader, Reads, SharedReads, Teller,
-    Topic, TopicRecords, Turn, open_beacons,
+    KeyedRecord, Millicores, PeerDirectory, PeerInfo, PeerProcess, ReadReason, ReadRole, ReadState,
+    ReadTurn, SharedReads, Topic, TopicRecords, TopicSnapshot, bind_beacon_socket,
 };
 use tokio::sync::watch;
 use uuid::Uuid;
@@ -21,19 +21,19 @@
     Duration::from_millis(n)
 }
 
-fn known(version: u64, next: u64, at: Duration) -> Reads {
-    Reads {
+fn known(version: u64, next: u64, at: Duration) -> ReadState {
+    ReadState {
         version,
         endpoints_next: next,
         config_at: at,
         endpoints_at: at,
-        ..Reads::default()
+        ..ReadState::default()
     }
 }
 
 /// The lead of the instance's group, whose clock is known to be the same.
-fn lead_of(shared: &SharedReads) -> Teller {
-    let lead = Teller {
+fn lead_of(shared: &SharedReads) -> PeerProcess {
+    let lead = PeerProcess {
         name: "lead".to_owned(),
         incarnation: Uuid::from_u128(7),
     };
@@ -41,9 +41,13 @@
     lead
 }
 
-fn member(place: usize, of: usize) -> Turn {
-    let reader = Reader::Member;
-    Turn { reader, place, of }
+fn member(index: usize, group_size: usize) -> ReadTurn {
+    let role = ReadRole::Member;
+    ReadTurn {
+        role,
+        index,
+        group_size,
+    }
 }
 
 /// Goes through an outage of the store of so many seconds that a group of instances sees; gives the
@@ -51,7 +55,7 @@
 fn outage(size: usize, secs: u64) -> (usize, Duration) {
     let group: Vec<SharedReads> = (0..size).map(|_| SharedReads::default()).collect();
     for one in &group {
-        one.note(START, known(5, 1, START));
+        one.record_read(START, known(5, 1, START));
     }
     let (mut tries, mut first) = (0, Duration::MAX);
     for tick in 0..secs * 100 {
@@ -61,7 +65,7 @@
             if due.config.is_some() {
                 tries += 1;
                 first = first.min(millis(tick * 10));
-                one.note_failed(now, millis(1_000));
+                one.record_failure(now, millis(1_000));
             }
         }
     }
@@ -80,13 +84,13 @@
 #[test]
 fn a_member_that_hears_its_lead_never_reads() {
     let shared = SharedReads::default();
-    shared.note(START, known(5, 1, START));
+    shared.record_read(START, known(5, 1, START));
     let lead = lead_of(&shared);
     for tick in 0..600 {
         let now = START + millis(tick * 100);
         // Every 600 ms the lead reads, and tells of it with each heartbeat.
         let read_at = START + millis(tick / 6 * 600);
-        let heard = shared.hear(now, &lead, known(5, 1, read_at));
+        let heard = shared.merge_report(now, &lead, known(5, 1, read_at));
         assert!(!heard.ask_state && !heard.ask_clock);
         let (due, _) = shared.due_at(now, PAUSE, member(1, 50));
         assert_eq!(due.config.or(due.endpoints), None, "at {now:?}");
@@ -96,31 +100,34 @@
 #[test]
 fn what_a_peer_has_newer_is_asked_of_it_before_the_store_is_read() {
     let shared = SharedReads::default();
-    shared.note(START, known(5, 1, START));
+    shared.record_read(START, known(5, 1, START));
     let lead = lead_of(&shared);
     let now = START + millis(600);
-    let heard = shared.hear(now, &lead, known(6, 1, now));
+    let heard = shared.merge_report(now, &lead, known(6, 1, now));
     assert!(heard.ask_state);
     assert!(
-        !shared.hear(now, &lead, known(6, 1, now)).ask_state,
+        !shared.merge_report(now, &lead, known(6, 1, now)).ask_state,
         "asked"
     );
     assert_eq!(shared.due_at(now, PAUSE, member(1, 50)).0.config, None);
     // No answer comes: the store is read in time for a change to be in force.
     let later = now + millis(400);
     let (due, _) = shared.due_at(later, PAUSE, member(1, 50));
-    assert_eq!(due.config, Some(ReadReason::News));
+    assert_eq!(due.config, Some(ReadReason::PeerAhead));
     assert_eq!(due.endpoints, None, "of these nothing newer was told");
 }
 
 #[test]
 fn a_start_reads_the_store_only_after_its_peers_were_asked() {
     let alone = SharedReads::default();
-    let (due, _) = alone.due_at(START, PAUSE, Turn::alone());
+    let (due, _) = alone.due_at(START, PAUSE, ReadTurn::alone());
     assert_eq!(due.config, Some(ReadReason::Start), "nobody can be asked");
-    let asking = SharedReads::default().with_peers_first(true);
-    assert_eq!(asking.due_at(START, PAUSE, Turn::alone()).0.config, None);
-    let (due, _) = asking.due_at(START + millis(800), PAUSE, Turn::alone());
+    let asking = SharedReads::default().with_asks_peers_first(true);
+    assert_eq!(
+        asking.due_at(START, PAUSE, ReadTurn::alone()).0.config,
+        None
+    );
+    let (due, _) = asking.due_at(START + millis(800), PAUSE, ReadTurn::alone());
     assert_eq!(due.endpoints, Some(ReadReason::Start));
 }
 
@@ -146,7 +153,7 @@
 /// the others are told of the difference.
 #[test]
 fn a_listing_is_passed_on_as_what_changed_by_it() {
-    let mut image = Image::default();
+    let mut image = TopicSnapshot::default();
     let first = [record("a", Some("1")), record("b", Some("2"))];
     assert_eq!(image.take(&records(None, 7, &first), false), None);
     let listed = [record("b", Some("3")), record("c", Some("4"))];
@@ -166,11 +173,11 @@
 #[tokio::test]
 async fn instances_that_start_are_told_all_by_the_one_that_they_ask() {
     let any = "127.0.0.1:0".parse().expect("an address");
-    let socket = open_beacons(any).await.expect("a socket");
+    let socket = bind_beacon_socket(any).await.expect("a socket");
     let to = socket.local_addr().expect("an address");
     let clock = Clock::new();
     let seed = Party::new("seed", socket, clock, Vec::new());
-    let socket = open_beacons(any).await.expect("a socket");
+    let socket = bind_beacon_socket(any).await.expect("a socket");
     let starter = Party::new("starter", socket, clock, vec![to]);
     let (stop, stops) = watch::channel(false);
     let running = [
@@ -178,7 +185,7 @@
         tokio::spawn(starter.beacons.run(stops)),
     ];
     tokio::time::sleep(millis(100)).await;
-    assert!(!starter.book.was_listed(), "nothing is known yet");
+    assert!(!starter.directory.is_listed(), "nothing is known yet");
     let read_at = clock.now();
     for topic in Topic::ALL {
         let value = [record("key", Some("a value"))];
@@ -187,12 +194,12 @@
             read_at,
             ..records(None, 9, &value)
         };
-        let _ = seed.reads.keep(&new);
+        let _ = seed.reads.apply_records(&new);
     }
-    seed.reads.note(read_at, known(5, 9, read_at));
-    seed.book.note_listed();
+    seed.reads.record_read(read_at, known(5, 9, read_at));
+    seed.directory.mark_listed();
     tokio::time::sleep(millis(600)).await;
-    let told = starter.reads.take_told();
+    let told = starter.reads.take_peer_records();
     // Nobody takes them here, so that it asked again.
     assert!(
         Topic::ALL
@@ -202,7 +209,7 @@
     assert!(told.iter().all(|t| t.from.is_none() && t.next == 9));
     let early = told[0].read_at <= read_at && read_at < told[0].read_at + millis(700);
     assert!(early, "{:?} of {read_at:?}", told[0].read_at);
-    assert!(starter.book.was_listed());
+    assert!(starter.directory.is_listed());
     stop.send_replace(true);
     for task in running {
         task.await.expect("the task ends");
@@ -210,14 +217,28 @@
     drop((seed.events, starter.events));
 }
 
-fn book(me: &str, power: Power, others: &[(&str, Power)], now: Duration) -> PeerBook {
-    let book = PeerBook::new(me.to_owned(), "zone".to_owned()).with_power(power);
+fn directory(
+    me: &str,
+    millicores: Millicores,
+    others: &[(&str, Millicores)],
+    now: Duration,
+) -> PeerDirectory {
+    let directory =
+        PeerDirectory::new(me.to_owned(), "zone".to_owned()).with_millicores(millicores);
     let address = "127.0.0.1:1".parse().expect("an address");
-    for (name, power) in others {
-        let (zone, power) = ("zone", *power);
-        book.hear(PeerWord { name, zone, power }, address, now);
+    for (name, millicores) in others {
+        let (zone, millicores) = ("zone", *millicores);
+        directory.record_heartbeat(
+            PeerInfo {
+                name,
+                zone,
+                millicores,
+            },
+            address,
+            now,
+        );
     }
-    book
+    directory
 }
 
 /// One instance in sixteen has four times the processor of the others, and its name says nothing.
@@ -225,29 +246,36 @@
 fn the_strongest_leads_whatever_its_name() {
     for (size, at) in [(300, 299), (300, 150), (500, 3)] {
         let names: Vec<String> = (0..size).map(|n| format!("front-{n:04}")).collect();
-        let power = |n: usize| if n == at { 500 } else { 120 };
-        let others = |me: usize| -> Vec<(&str, Power)> {
+        let millicores = |n: usize| if n == at { 500 } else { 120 };
+        let others = |me: usize| -> Vec<(&str, Millicores)> {
             let all = names.iter().enumerate();
             let others = all.filter(|(n, _)| *n != me);
-            others.map(|(n, name)| (name.as_str(), power(n))).collect()
+            others
+                .map(|(n, name)| (name.as_str(), millicores(n)))
+                .collect()
         };
         let weak = usize::from(at == 0);
-        let strong_book = book(&names[at], power(at), &others(at), START);
-        assert_eq!(strong_book.turn(START).reader, Reader::Site);
-        let weak_book = book(&names[weak], power(weak), &others(weak), START);
-        assert_eq!(weak_book.turn(START).reader, Reader::Member);
-        let (first, before) = weak_book.first_of_group(START, |_| true).expect("heard");
+        let strong_directory = directory(&names[at], millicores(at), &others(at), START);
+        assert_eq!(strong_directory.read_turn(START).role, ReadRole::SiteLead);
+        let weak_directory = directory(&names[weak], millicores(weak), &others(weak), START);
+        assert_eq!(weak_directory.read_turn(START).role, ReadRole::Member);
+        let (first, before) = weak_directory
+            .first_of_group(START, |_| true)
+            .expect("heard");
         assert!(first.name == names[at] && before);
-        assert!(weak_book.leads_of_all(START).contains(&names[at]));
+        assert!(weak_directory.group_leads(START).contains(&names[at]));
     }
 }
 
 #[test]
 fn among_equals_the_first_by_name_leads() {
-    let first = book("a", 120, &[("b", 120), ("c", 120)], START);
-    assert_eq!(first.turn(START).reader, Reader::Site);
-    let second = book("b", 120, &[("a", 120), ("c", 120)], START);
-    assert_eq!(second.turn(START).place, 1);
+    let first = directory("a", 120, &[("b", 120), ("c", 120)], START);
+    assert_eq!(first.read_turn(START).role, ReadRole::SiteLead);
+    let second = directory("b", 120, &[("a", 120), ("c", 120)], START);
+    assert_eq!(second.read_turn(START).index, 1);
     // It falls silent: the next one leads, and nobody goes back and forth while it is heard.
-    assert_eq!(second.turn(START + millis(1_300)).reader, Reader::Site);
+    assert_eq!(
+        second.read_turn(START + millis(1_300)).role,
+        ReadRole::SiteLead
+    );
 }
--- a/crates/firdock-node/tests/node/starts.rs
+++ b/crates/firdock-node/tests/node/starts.rs
@@ -10,7 +10,8 @@
 
 use firdock_node::clock::Clock;
 use firdock_node::peer::{
-    KeyedRecord, KnownPeer, PeerBook, Power, Reads, Topic, TopicRecords, open_beacons,
+    KeyedRecord, Millicores, PeerDirectory, PeerRecord, ReadState, Topic, TopicRecords,
+    bind_beacon_socket,
 };
 use tokio::net::UdpSocket;
 use tokio::sync::watch;
@@ -32,27 +33,27 @@
 }
 
 /// Gives instance `n`; one in nine is four times as strong as the others.
-fn instance(n: usize) -> KnownPeer {
-    KnownPeer {
+fn instance(n: usize) -> PeerRecord {
+    PeerRecord {
         name: format!("front-{n:04}"),
         address: address(n),
         zone: format!("zone-{}", n % 4),
-        power: power(n),
+        millicores: millicores(n),
     }
 }
 
-fn power(n: usize) -> Power {
+fn millicores(n: usize) -> Millicores {
     if n.is_multiple_of(9) { 500 } else { 120 }
 }
 
 /// Gives whom instance `n` of `size` asks, nearest first.
 fn above(n: usize, size: usize) -> Vec<String> {
     let me = instance(n);
-    let book = PeerBook::new(me.name, me.zone).with_power(me.power);
+    let directory = PeerDirectory::new(me.name, me.zone).with_millicores(me.millicores);
     for other in (0..size).filter(|other| *other != n) {
-        book.know(instance(other), START);
+        directory.add_reported(instance(other), START);
     }
-    book.ancestors().into_iter().map(|p| p.name).collect()
+    directory.ancestors().into_iter().map(|p| p.name).collect()
 }
 
 #[test]
@@ -126,14 +127,14 @@
 fn knows(party: &Party, endpoints: u32, clock: Clock) {
     let read_at = clock.now();
     for (topic, count) in [(Topic::Config, 1), (Topic::Endpoints, endpoints)] {
-        let _ = party.reads.keep(&TopicRecords {
+        let _ = party.reads.apply_records(&TopicRecords {
             read_at,
             ..entries(topic, count)
         });
     }
-    party.reads.note(
+    party.reads.record_read(
         read_at,
-        Reads {
+        ReadState {
             version: 5,
             config_next: 9,
             endpoints_next: 9,
@@ -142,12 +143,12 @@
             steady_since: Duration::ZERO,
         },
     );
-    party.book.note_listed();
+    party.directory.mark_listed();
 }
 
 async fn socket() -> (UdpSocket, SocketAddr) {
     let any = "127.0.0.1:0".parse().expect("an address");
-    let socket = open_beacons(any).await.expect("a socket");
+    let socket = bind_beacon_socket(any).await.expect("a socket");
     let address = socket.local_addr().expect("an address");
     (socket, address)
 }
@@ -165,15 +166,15 @@
     knows(&seed, endpoints, clock);
     for n in 0..20 {
         // Others, so that the site is no small one; they are in other zones.
-        seed.book.know(instance(n), clock.now());
+        seed.directory.add_reported(instance(n), clock.now());
     }
-    let stronger = KnownPeer {
+    let stronger = PeerRecord {
         name: "parent".to_owned(),
         address: parent_at,
         zone: "zone".to_owned(),
-        power: 500,
+        millicores: 500,
     };
-    seed.book.know(stronger, clock.now());
+    seed.directory.add_reported(stronger, clock.now());
     if parent_knows {
         knows(&parent, endpoints, clock);
     }
@@ -183,7 +184,7 @@
     let mut told = Vec::new();
     for _ in 0..200 {
         tokio::time::sleep(Duration::from_millis(20)).await;
-        told.extend(starter.reads.take_told());
+        told.extend(starter.reads.take_peer_records());
         if !told.is_empty() {
             break;
         }
