--- a/crates/firdock-node/src/driver/placement.rs
+++ b/crates/firdock-node/src/driver/placement.rs
@@ -15,7 +15,7 @@
     pub(super) fn take_placement(&mut self, input: PlacementInput) {
         let now = self.parts.clock.now();
         if let Some(placement) = &mut self.placement {
-            let events = placement.take(now, input);
+            let events = placement.handle_input(now, input);
             self.apply_all(events);
         }
     }
@@ -38,7 +38,7 @@
     /// Asks for a place for a request with the next report.
     pub(super) fn ask_placement(&mut self, id: RequestId) {
         if let Some(placement) = &mut self.placement {
-            placement.ask(id);
+            placement.request_placement(id);
         }
     }
 
--- a/crates/firdock-node/src/placement.rs
+++ b/crates/firdock-node/src/placement.rs
@@ -15,7 +15,10 @@
 pub use codec::{read_reply, read_report, write_reply, write_report};
 pub use coordinator::Coordinator;
 pub use member::Membership;
-pub use report::{Course, News, Noticed, Paced, Placed, Refused, Reply, Report, Wanted};
+pub use report::{
+    Assignment, EndpointNotice, EndpointPace, PlacementRequest, Progress, ProgressUpdate, Refusal,
+    Reply, Report,
+};
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -100,13 +103,13 @@
     }
 
     /// Takes a datagram; gives the events that follow for this instance's own scheduler.
-    pub fn take(&mut self, now: Time, input: PlacementInput) -> Vec<Event> {
+    pub fn handle_input(&mut self, now: Time, input: PlacementInput) -> Vec<Event> {
         match input {
             PlacementInput::Report(report, from) => {
-                self.coordinator.take(now, *report, Some(from));
+                self.coordinator.handle_report(now, *report, Some(from));
                 self.send_replies()
             }
-            PlacementInput::Reply(reply) => self.member.take(reply),
+            PlacementInput::Reply(reply) => self.member.handle_reply(reply),
         }
     }
 
@@ -123,8 +126,8 @@
     }
 
     /// Notes that a request waits for a place.
-    pub fn ask(&mut self, id: RequestId) {
-        self.member.ask(id);
+    pub fn request_placement(&mut self, id: RequestId) {
+        self.member.request_placement(id);
     }
 
     /// Notes that a place is given back.
@@ -154,7 +157,7 @@
 
     /// Tells the coordinator what is new; gives the events that follow here, if it is this instance.
     pub fn exchange(&mut self, now: Time, t: &Tables) -> Vec<Event> {
-        match self.member.report_news(now, t) {
+        match self.member.report_updates(now, t) {
             Some(report) => self.deliver(now, report),
             None => Vec::new(),
         }
@@ -164,8 +167,8 @@
     pub fn tick(&mut self, now: Time, t: &Tables) -> Vec<Event> {
         self.coordinator.follow(now, t);
         self.coordinator.tick(now);
-        let mut events = self.member.check(now, t.draining);
-        if let Some(report) = self.member.report_all(now, t) {
+        let mut events = self.member.select_coordinator(now, t.draining);
+        if let Some(report) = self.member.report_full(now, t) {
             events.extend(self.deliver(now, report));
         }
         events.extend(self.send_replies());
@@ -183,7 +186,7 @@
 
     fn deliver(&mut self, now: Time, report: Report) -> Vec<Event> {
         let Some(address) = self.member.address() else {
-            self.coordinator.take(now, report, None);
+            self.coordinator.handle_report(now, report, None);
             return self.send_replies();
         };
         let body = datagram::Body::PlacementReport(write_report(&report));
@@ -199,7 +202,7 @@
                 let body = datagram::Body::PlacementReply(write_reply(&reply, self.member.name()));
                 self.link.send(body, address);
             } else {
-                events.extend(self.member.take(reply));
+                events.extend(self.member.handle_reply(reply));
             }
         }
         events
--- a/crates/firdock-node/src/placement/codec.rs
+++ b/crates/firdock-node/src/placement/codec.rs
@@ -10,7 +10,10 @@
 use firdock_wire::message;
 use uuid::Uuid;
 
-use super::report::{Course, News, Noticed, Paced, Placed, Refused, Reply, Report, Wanted};
+use super::report::{
+    Assignment, EndpointNotice, EndpointPace, PlacementRequest, Progress, ProgressUpdate, Refusal,
+    Reply, Report,
+};
 use crate::clock::millis;
 use crate::peer::{read_incarnation, read_reason};
 
@@ -29,35 +32,35 @@
 #[must_use]
 pub fn write_report(report: &Report) -> message::PlacementReport {
     let room = MAX_REQUESTS.saturating_sub(report.waiting.len());
-    let cut = report.waiting.len() > MAX_REQUESTS || report.running.len() > room;
+    let truncated = report.waiting.len() > MAX_REQUESTS || report.running.len() > room;
     message::PlacementReport {
         instance: report.instance.clone(),
         incarnation: report.incarnation.as_bytes().to_vec(),
         zone: report.zone.clone(),
         number: report.number,
-        whole: report.whole,
+        whole: report.full,
         waiting: report
             .waiting
             .iter()
             .take(MAX_REQUESTS)
-            .map(write_wanted)
+            .map(write_request)
             .collect(),
         running: report
             .running
             .iter()
             .take(room)
-            .map(|(wanted, endpoint)| message::PlacementRun {
-                request: Some(write_wanted(wanted)),
+            .map(|(request, endpoint)| message::PlacementRun {
+                request: Some(write_request(request)),
                 endpoint: endpoint.clone(),
             })
             .collect(),
         news: report
-            .news
+            .updates
             .iter()
             .take(MAX_REQUESTS)
-            .map(write_news)
+            .map(write_update)
             .collect(),
-        cut: report.cut || cut,
+        cut: report.truncated || truncated,
         paces: report
             .paces
             .iter()
@@ -68,7 +71,7 @@
             .notices
             .iter()
             .take(MAX_NOTICES)
-            .map(write_noticed)
+            .map(write_notice)
             .collect(),
     }
 }
@@ -78,7 +81,7 @@
 pub fn read_report(told: message::PlacementReport) -> Report {
     let runs = told.running.into_iter().take(MAX_REQUESTS);
     let waiting = told.waiting.into_iter().take(MAX_REQUESTS);
-    let news = told.news.into_iter().take(MAX_REQUESTS);
+    let updates = told.news.into_iter().take(MAX_REQUESTS);
     let paces = told.paces.into_iter().take(MAX_PACES);
     let notices = told.notices.into_iter().take(MAX_NOTICES);
     Report {
@@ -86,28 +89,28 @@
         incarnation: read_incarnation(&told.incarnation),
         zone: told.zone,
         number: told.number,
-        whole: told.whole,
-        waiting: waiting.filter_map(read_wanted).collect(),
+        full: told.whole,
+        waiting: waiting.filter_map(read_request).collect(),
         running: runs
-            .filter_map(|run| Some((read_wanted(run.request?)?, run.endpoint)))
+            .filter_map(|run| Some((read_request(run.request?)?, run.endpoint)))
             .collect(),
-        news: news.filter_map(|n| read_news(&n)).collect(),
+        updates: updates.filter_map(|u| read_update(&u)).collect(),
         paces: paces.filter_map(read_pace).collect(),
-        notices: notices.map(read_noticed).collect(),
-        cut: told.cut,
+        notices: notices.map(read_notice).collect(),
+        truncated: told.cut,
     }
 }
 
 /// Writes a reply as the word of the instance `name`.
 #[must_use]
 pub fn write_reply(reply: &Reply, name: &str) -> message::PlacementReply {
-    let placed = |p: &Placed| message::Placement {
+    let assignment = |p: &Assignment| message::Placement {
         request_id: write_id(p.id),
         attempt: p.attempt,
         endpoint: p.endpoint.clone(),
         predicted_millis: millis(p.predicted),
     };
-    let refused = |r: &Refused| message::PlacementRefusal {
+    let refusal = |r: &Refusal| message::PlacementRefusal {
         request_id: write_id(r.id),
         attempt: r.attempt,
         reason: r.reason.as_str().to_owned(),
@@ -116,24 +119,24 @@
     message::PlacementReply {
         instance: name.to_owned(),
         number: reply.number,
-        placements: reply.placed.iter().map(placed).collect(),
-        refusals: reply.refused.iter().map(refused).collect(),
+        placements: reply.assignments.iter().map(assignment).collect(),
+        refusals: reply.refusals.iter().map(refusal).collect(),
     }
 }
 
 /// Reads a reply.
 #[must_use]
 pub fn read_reply(told: message::PlacementReply) -> Reply {
-    let placed = |p: message::Placement| {
-        Some(Placed {
+    let assignment = |p: message::Placement| {
+        Some(Assignment {
             id: read_id(&p.request_id)?,
             attempt: p.attempt,
             endpoint: p.endpoint,
             predicted: Duration::from_millis(p.predicted_millis),
         })
     };
-    let refused = |r: message::PlacementRefusal| {
-        Some(Refused {
+    let refusal = |r: message::PlacementRefusal| {
+        Some(Refusal {
             id: read_id(&r.request_id)?,
             attempt: r.attempt,
             reason: read_reason(&r.reason),
@@ -143,8 +146,8 @@
     Reply {
         instance: told.instance,
         number: told.number,
-        placed: told.placements.into_iter().filter_map(placed).collect(),
-        refused: told.refusals.into_iter().filter_map(refused).collect(),
+        assignments: told.placements.into_iter().filter_map(assignment).collect(),
+        refusals: told.refusals.into_iter().filter_map(refusal).collect(),
     }
 }
 
@@ -156,18 +159,18 @@
     Uuid::from_slice(bytes).ok()
 }
 
-fn write_wanted(wanted: &Wanted) -> message::PlacementRequest {
-    let new = &wanted.new;
+fn write_request(request: &PlacementRequest) -> message::PlacementRequest {
+    let new = &request.new_request;
     message::PlacementRequest {
         request_id: write_id(new.id),
-        attempt: wanted.attempt,
+        attempt: request.attempt,
         service: new.service.clone(),
         account: new.account.clone(),
         draw: new.draw,
         prompt_tokens: new.prompt_tokens,
         output_tokens: new.output_tokens,
         age_millis: millis(new.age),
-        left_millis: wanted.left.map(millis),
+        left_millis: request.remaining.map(millis),
         avoid: new.tried.clone(),
         content: new
             .content
@@ -176,10 +179,10 @@
     }
 }
 
-fn read_wanted(mut told: message::PlacementRequest) -> Option<Wanted> {
+fn read_request(mut told: message::PlacementRequest) -> Option<PlacementRequest> {
     told.avoid.sort_unstable();
     told.avoid.dedup();
-    let new = NewRequest {
+    let new_request = NewRequest {
         id: read_id(&told.request_id)?,
         service: told.service,
         account: told.account,
@@ -191,10 +194,10 @@
         content: ContentId::from_bytes(&told.content).map(unnamed),
         ..NewRequest::default()
     };
-    Some(Wanted {
-        new,
+    Some(PlacementRequest {
+        new_request,
         attempt: told.attempt,
-        left: told.left_millis.map(Duration::from_millis),
+        remaining: told.left_millis.map(Duration::from_millis),
     })
 }
 
@@ -204,78 +207,78 @@
     Arc::new(Content { id, path })
 }
 
-fn write_pace(paced: &Paced) -> message::PlacementPace {
+fn write_pace(pace: &EndpointPace) -> message::PlacementPace {
     message::PlacementPace {
-        endpoint: paced.endpoint.clone(),
-        hundredths: paced.pace.hundredths(),
-        age_millis: millis(paced.age),
+        endpoint: pace.endpoint.clone(),
+        hundredths: pace.pace.hundredths(),
+        age_millis: millis(pace.age),
     }
 }
 
-fn read_pace(told: message::PlacementPace) -> Option<Paced> {
-    Some(Paced {
+fn read_pace(told: message::PlacementPace) -> Option<EndpointPace> {
+    Some(EndpointPace {
         endpoint: told.endpoint,
         pace: Pace::from_hundredths(told.hundredths)?,
         age: Duration::from_millis(told.age_millis),
     })
 }
 
-fn write_noticed(noticed: &Noticed) -> message::PlacementNotice {
+fn write_notice(notice: &EndpointNotice) -> message::PlacementNotice {
     message::PlacementNotice {
-        endpoint: noticed.endpoint.clone(),
-        leaving: noticed.notice.leaving,
-        backoff_millis: noticed.notice.backoff.map_or(0, millis),
+        endpoint: notice.endpoint.clone(),
+        leaving: notice.notice.leaving,
+        backoff_millis: notice.notice.backoff.map_or(0, millis),
     }
 }
 
-fn read_noticed(told: message::PlacementNotice) -> Noticed {
+fn read_notice(told: message::PlacementNotice) -> EndpointNotice {
     let backoff = (told.backoff_millis > 0).then(|| Duration::from_millis(told.backoff_millis));
     let notice = Notice {
         leaving: told.leaving,
         backoff: backoff.map(|time| time.min(Notice::MAX_BACKOFF)),
     };
-    Noticed {
+    EndpointNotice {
         endpoint: told.endpoint,
         notice,
     }
 }
 
-fn write_news(news: &News) -> message::PlacementNews {
+fn write_update(update: &ProgressUpdate) -> message::PlacementNews {
     use message::PlacementCourse as Told;
-    let (course, prompt_tokens, output_tokens) = match news.course {
-        Course::Began => (Told::Began, 0, 0),
-        Course::Ended { prompt, output } => (Told::Ended, prompt, output),
-        Course::Broke => (Told::Broke, 0, 0),
-        Course::Refused => (Told::Refused, 0, 0),
-        Course::Unreachable => (Told::Unreachable, 0, 0),
-        Course::Dropped => (Told::Dropped, 0, 0),
+    let (course, prompt_tokens, output_tokens) = match update.progress {
+        Progress::FirstToken => (Told::Began, 0, 0),
+        Progress::Ended { prompt, output } => (Told::Ended, prompt, output),
+        Progress::Broke => (Told::Broke, 0, 0),
+        Progress::Refused => (Told::Refused, 0, 0),
+        Progress::Unreachable => (Told::Unreachable, 0, 0),
+        Progress::Dropped => (Told::Dropped, 0, 0),
     };
     message::PlacementNews {
-        request_id: write_id(news.id),
-        attempt: news.attempt,
+        request_id: write_id(update.id),
+        attempt: update.attempt,
         course: course.into(),
         prompt_tokens,
         output_tokens,
     }
 }
 
-fn read_news(told: &message::PlacementNews) -> Option<News> {
+fn read_update(told: &message::PlacementNews) -> Option<ProgressUpdate> {
     use message::PlacementCourse as Told;
-    let course = match told.course() {
+    let progress = match told.course() {
         Told::Unspecified => return None,
-        Told::Began => Course::Began,
-        Told::Ended => Course::Ended {
+        Told::Began => Progress::FirstToken,
+        Told::Ended => Progress::Ended {
             prompt: told.prompt_tokens,
             output: told.output_tokens,
         },
-        Told::Broke => Course::Broke,
-        Told::Refused => Course::Refused,
-        Told::Unreachable => Course::Unreachable,
-        Told::Dropped => Course::Dropped,
+        Told::Broke => Progress::Broke,
+        Told::Refused => Progress::Refused,
+        Told::Unreachable => Progress::Unreachable,
+        Told::Dropped => Progress::Dropped,
     };
-    Some(News {
+    Some(ProgressUpdate {
         id: read_id(&told.request_id)?,
         attempt: told.attempt,
-        course,
+        progress,
     })
 }
--- a/crates/firdock-node/src/placement/coordinator.rs
+++ b/crates/firdock-node/src/placement/coordinator.rs
@@ -18,7 +18,7 @@
 
 use crate::clock::millis;
 
-use super::report::{Placed, Refused, Reply, Report};
+use super::report::{Assignment, Refusal, Reply, Report};
 
 /// Silence after which a member is taken for gone, with all that it ran: five of its reports.
 const SILENCE: Duration = Duration::from_secs(1);
@@ -152,38 +152,38 @@
     }
 
     /// Takes a member's report; `address` is where its reply goes, `None` for this instance itself.
-    pub fn take(&mut self, now: Time, report: Report, address: Option<SocketAddr>) {
+    pub fn handle_report(&mut self, now: Time, report: Report, address: Option<SocketAddr>) {
         if let Some(config) = self.config.take() {
             self.step(now, config);
         }
-        self.meet(now, &report, address);
+        self.register_member(now, &report, address);
         let name = report.instance;
         // Before the news, which let what they free be placed anew.
-        for noticed in report.notices {
-            self.take_notice(now, &name, noticed);
+        for notice in report.notices {
+            self.apply_notice(now, &name, notice);
         }
         // Likewise, for they are learned from by the pace that was told with them.
-        for paced in report.paces {
-            self.take_pace(now, paced);
+        for pace in report.paces {
+            self.apply_pace(now, pace);
         }
-        for news in report.news {
-            self.take_news(now, &name, news);
+        for update in report.updates {
+            self.apply_update(now, &name, update);
         }
-        let mut told = HashSet::new();
-        for (wanted, endpoint) in report.running {
-            told.insert(wanted.new.id);
-            self.take_running(now, &name, wanted, endpoint);
+        let mut reported = HashSet::new();
+        for (request, endpoint) in report.running {
+            reported.insert(request.new_request.id);
+            self.adopt_running(now, &name, request, endpoint);
         }
-        for mut wanted in report.waiting {
-            told.insert(wanted.new.id);
-            wanted.new.zone.clone_from(&report.zone);
-            wanted.new.member.clone_from(&name);
-            self.take_waiting(now, &name, wanted);
+        for mut request in report.waiting {
+            reported.insert(request.new_request.id);
+            request.new_request.zone.clone_from(&report.zone);
+            request.new_request.member.clone_from(&name);
+            self.enqueue_waiting(now, &name, request);
         }
-        if report.whole && !report.cut {
-            self.drop_untold(now, &name, &told);
+        if report.full && !report.truncated {
+            self.drop_unreported(now, &name, &reported);
         }
-        if let Some(member) = self.members.get_mut(&name).filter(|_| report.whole) {
+        if let Some(member) = self.members.get_mut(&name).filter(|_| report.full) {
             member.reply().number = report.number;
         }
     }
@@ -263,14 +263,14 @@
             return;
         };
         owner.since = now;
-        let placed = Placed {
+        let assignment = Assignment {
             id: dispatch.id,
             attempt: owner.attempt,
             endpoint,
             predicted: predicted.unwrap_or_default(),
         };
         if let Some(member) = self.members.get_mut(&owner.member) {
-            member.reply().placed.push(placed);
+            member.reply().assignments.push(assignment);
         }
     }
 
@@ -278,14 +278,14 @@
         let Some(owner) = self.owners.remove(&id) else {
             return;
         };
-        let refused = Refused {
+        let refusal = Refusal {
             id,
             attempt: owner.attempt,
             reason: verdict.reason,
             retry_after: verdict.retry_after.unwrap_or_default(),
         };
         if let Some(member) = self.members.get_mut(&owner.member) {
-            member.reply().refused.push(refused);
+            member.reply().refusals.push(refusal);
         }
     }
 }
--- a/crates/firdock-node/src/placement/coordinator/take.rs
+++ b/crates/firdock-node/src/placement/coordinator/take.rs
@@ -11,11 +11,18 @@
 use firdock_policy::{Event, NewRequest, Time};
 
 use super::{Coordinator, Member, ON_ITS_WAY, Owner, predicted};
-use crate::placement::report::{Course, News, Noticed, Paced, Placed, Report, Wanted};
+use crate::placement::report::{
+    Assignment, EndpointNotice, EndpointPace, PlacementRequest, Progress, ProgressUpdate, Report,
+};
 
 impl Coordinator {
     /// Notes that a member was heard; what an earlier process of it ran is over.
-    pub(super) fn meet(&mut self, now: Time, report: &Report, address: Option<SocketAddr>) {
+    pub(super) fn register_member(
+        &mut self,
+        now: Time,
+        report: &Report,
+        address: Option<SocketAddr>,
+    ) {
         let known = self.members.get(&report.instance);
         if known.is_some_and(|m| m.incarnation != report.incarnation) {
             self.remove(now, &report.instance);
@@ -28,78 +35,78 @@
         member.heard = now;
     }
 
-    pub(super) fn take_news(&mut self, now: Time, name: &str, news: News) {
-        let owner = self.owners.get(&news.id);
-        let current = owner.is_some_and(|o| o.member == name && o.attempt == news.attempt);
-        let row = self.scheduler.tables().requests.get(news.id);
+    pub(super) fn apply_update(&mut self, now: Time, name: &str, update: ProgressUpdate) {
+        let owner = self.owners.get(&update.id);
+        let current = owner.is_some_and(|o| o.member == name && o.attempt == update.attempt);
+        let row = self.scheduler.tables().requests.get(update.id);
         let Some(row) = row.filter(|_| current) else {
             return;
         };
         let dispatch = row.dispatch;
-        let Some(told) = dispatch_news(news.course) else {
-            self.drop_request(now, news.id);
+        let Some(news) = dispatch_news(update.progress) else {
+            self.drop_request(now, update.id);
             return;
         };
         let event = EndpointEvent {
-            id: news.id,
+            id: update.id,
             dispatch,
-            news: told,
+            news,
         };
         self.step(now, Event::Endpoint(event));
-        self.forget_if_ended(news.id);
+        self.forget_if_ended(update.id);
     }
 
     /// Takes what an engine told a member of its pace.
-    pub(super) fn take_pace(&mut self, now: Time, paced: Paced) {
+    pub(super) fn apply_pace(&mut self, now: Time, pace: EndpointPace) {
         let told = PaceTold {
-            endpoint: paced.endpoint,
-            pace: paced.pace,
-            read: now.saturating_sub(paced.age),
+            endpoint: pace.endpoint,
+            pace: pace.pace,
+            read: now.saturating_sub(pace.age),
         };
         self.step(now, Event::Paced(told));
     }
 
     /// Takes what an engine said of itself to a member, which alone may not send there now.
-    pub(super) fn take_notice(&mut self, now: Time, name: &str, noticed: Noticed) {
+    pub(super) fn apply_notice(&mut self, now: Time, name: &str, notice: EndpointNotice) {
         let told = NoticeTold {
-            endpoint: noticed.endpoint,
+            endpoint: notice.endpoint,
             member: name.to_owned(),
-            notice: noticed.notice,
+            notice: notice.notice,
             read: now,
         };
         self.step(now, Event::Noticed(told));
     }
 
     /// Takes a request that runs and was placed by another coordinator, or by the member itself.
-    pub(super) fn take_running(
+    pub(super) fn adopt_running(
         &mut self,
         now: Time,
         name: &str,
-        wanted: Wanted,
+        request: PlacementRequest,
         endpoint: StartId,
     ) {
-        let id = wanted.new.id;
-        if self.is_current(&id, wanted.attempt) {
+        let id = request.new_request.id;
+        if self.is_current(&id, request.attempt) {
             return;
         }
         self.drop_request(now, id);
-        let attempt = wanted.attempt;
-        self.step(now, Event::Adopted(dated(now, wanted), endpoint));
+        let attempt = request.attempt;
+        self.step(now, Event::Adopted(dated(now, request), endpoint));
         if self.scheduler.tables().requests.get(id).is_some() {
             self.own(now, name, id, attempt);
         }
     }
 
-    pub(super) fn take_waiting(&mut self, now: Time, name: &str, wanted: Wanted) {
-        let id = wanted.new.id;
-        if self.is_current(&id, wanted.attempt) {
-            self.place_again(name, id, wanted.attempt);
+    pub(super) fn enqueue_waiting(&mut self, now: Time, name: &str, request: PlacementRequest) {
+        let id = request.new_request.id;
+        if self.is_current(&id, request.attempt) {
+            self.place_again(name, id, request.attempt);
             return;
         }
         self.drop_request(now, id);
         // Before it arrives, since it may be placed or refused at once.
-        self.own(now, name, id, wanted.attempt);
-        self.step(now, Event::Arrived(dated(now, wanted)));
+        self.own(now, name, id, request.attempt);
+        self.step(now, Event::Arrived(dated(now, request)));
         self.forget_if_ended(id);
     }
 
@@ -117,14 +124,14 @@
             return;
         };
         let endpoint = t.endpoints.get(at).start_id.clone();
-        let placed = Placed {
+        let assignment = Assignment {
             id,
             attempt,
             endpoint,
             predicted: predicted(row),
         };
         if let Some(member) = self.members.get_mut(name) {
-            member.reply().placed.push(placed);
+            member.reply().assignments.push(assignment);
         }
     }
 
@@ -138,11 +145,11 @@
     }
 
     /// Drops the requests of a member that its whole report does not tell of.
-    pub(super) fn drop_untold(&mut self, now: Time, name: &str, told: &HashSet<RequestId>) {
-        let untold = self.owners.iter().filter(|(id, o)| {
-            o.member == name && o.since + ON_ITS_WAY <= now && !told.contains(id)
+    pub(super) fn drop_unreported(&mut self, now: Time, name: &str, reported: &HashSet<RequestId>) {
+        let unreported = self.owners.iter().filter(|(id, o)| {
+            o.member == name && o.since + ON_ITS_WAY <= now && !reported.contains(id)
         });
-        let ids: Vec<RequestId> = untold.map(|(id, _)| *id).collect();
+        let ids: Vec<RequestId> = unreported.map(|(id, _)| *id).collect();
         for id in ids {
             self.drop_request(now, id);
         }
@@ -172,28 +179,28 @@
 }
 
 /// Gives what became of a request as news of its dispatch; `None` where it was dropped.
-fn dispatch_news(course: Course) -> Option<DispatchNews> {
-    Some(match course {
-        Course::Dropped => return None,
-        Course::Began => DispatchNews::Tokens {
+fn dispatch_news(progress: Progress) -> Option<DispatchNews> {
+    Some(match progress {
+        Progress::Dropped => return None,
+        Progress::FirstToken => DispatchNews::Tokens {
             delivered: 1,
             cached: 0,
         },
-        Course::Ended { prompt, output } => DispatchNews::Ended {
+        Progress::Ended { prompt, output } => DispatchNews::Ended {
             prompt,
             cached: 0,
             output,
         },
-        Course::Broke => DispatchNews::Broke { delivered: 0 },
-        Course::Refused => DispatchNews::Refused { unreachable: false },
-        Course::Unreachable => DispatchNews::Refused { unreachable: true },
+        Progress::Broke => DispatchNews::Broke { delivered: 0 },
+        Progress::Refused => DispatchNews::Refused { unreachable: false },
+        Progress::Unreachable => DispatchNews::Refused { unreachable: true },
     })
 }
 
 /// Gives a request with its deadline by this instance's clock.
-fn dated(now: Time, wanted: Wanted) -> NewRequest {
+fn dated(now: Time, request: PlacementRequest) -> NewRequest {
     NewRequest {
-        deadline: wanted.left.map(|left| now + left),
-        ..wanted.new
+        deadline: request.remaining.map(|left| now + left),
+        ..request.new_request
     }
 }
--- a/crates/firdock-node/src/placement/member.rs
+++ b/crates/firdock-node/src/placement/member.rs
@@ -14,8 +14,11 @@
 use firdock_policy::{Event, Time, Verdict};
 use slog::{Logger, info};
 
-use super::report::{Course, News, Noticed, Paced, Placed, Refused, Reply, Report, Wanted};
-use super::told::{course, engine_of, next_attempt, noticed, notices, running, waits, wanted};
+use super::report::{
+    Assignment, EndpointNotice, EndpointPace, PlacementRequest, Progress, ProgressUpdate, Refusal,
+    Reply, Report,
+};
+use super::told::{engine_of, next_attempt, noticed, notices, progress, running, waits, wanted};
 use crate::peer::PeerBook;
 
 /// Pause between two whole reports.
@@ -53,7 +56,7 @@
     number: u64,
     whole_at: Time,
     asked: Vec<RequestId>,
-    news: Vec<News>,
+    updates: Vec<ProgressUpdate>,
     /// What engines told of their pace since the last report.
     paces: BTreeMap<EndpointId, (Pace, Time)>,
     /// Starts of engines that said something of themselves since.
@@ -76,7 +79,7 @@
             number: 0,
             whole_at: Time::ZERO,
             asked: Vec::new(),
-            news: Vec::new(),
+            updates: Vec::new(),
             paces: BTreeMap::new(),
             noticed: BTreeSet::new(),
             log,
@@ -96,7 +99,7 @@
     }
 
     /// Notes that a request waits for a place.
-    pub fn ask(&mut self, id: RequestId) {
+    pub fn request_placement(&mut self, id: RequestId) {
         self.asked.push(id);
     }
 
@@ -104,7 +107,7 @@
     pub fn decline(&mut self, t: &Tables, grant: &Grant) {
         // A request that ended here is dropped by the next whole report.
         if let Some(row) = t.requests.get(grant.id) {
-            self.tell(grant.id, next_attempt(row), Course::Dropped);
+            self.tell(grant.id, next_attempt(row), Progress::Dropped);
         }
     }
 
@@ -117,8 +120,8 @@
         let Some(row) = row.filter(|r| engine_of(t, r).is_some()) else {
             return;
         };
-        if let Some(course) = course(row, event.news) {
-            self.tell(event.id, event.dispatch, course);
+        if let Some(progress) = progress(row, event.news) {
+            self.tell(event.id, event.dispatch, progress);
         }
     }
 
@@ -139,16 +142,16 @@
         }
     }
 
-    fn take_notices(&mut self, now: Time, t: &Tables) -> Vec<Noticed> {
+    fn take_notices(&mut self, now: Time, t: &Tables) -> Vec<EndpointNotice> {
         let starts = std::mem::take(&mut self.noticed).into_iter();
         let rows = starts.filter_map(|start| t.endpoints.find_start(&start));
         let engines = rows.map(|at| t.endpoints.get(at)).filter(|e| e.is_engine());
         engines.filter_map(|e| noticed(now, e)).collect()
     }
 
-    fn take_paces(&mut self, now: Time) -> Vec<Paced> {
+    fn take_paces(&mut self, now: Time) -> Vec<EndpointPace> {
         let paces = std::mem::take(&mut self.paces).into_iter();
-        let told = |(endpoint, (pace, read)): (EndpointId, (Pace, Time))| Paced {
+        let told = |(endpoint, (pace, read)): (EndpointId, (Pace, Time))| EndpointPace {
             endpoint,
             pace,
             age: now.saturating_sub(read),
@@ -167,22 +170,22 @@
             row.dispatch
         };
         if row.placing == Placing::Asked || engine_of(t, row).is_some() {
-            self.tell(id, attempt, Course::Dropped);
+            self.tell(id, attempt, Progress::Dropped);
         }
     }
 
-    fn tell(&mut self, id: RequestId, attempt: u32, course: Course) {
+    fn tell(&mut self, id: RequestId, attempt: u32, progress: Progress) {
         if self.lead.is_some() {
-            self.news.push(News {
+            self.updates.push(ProgressUpdate {
                 id,
                 attempt,
-                course,
+                progress,
             });
         }
     }
 
     /// Takes the coordinator's reply; gives the events that follow.
-    pub fn take(&mut self, reply: Reply) -> Vec<Event> {
+    pub fn handle_reply(&mut self, reply: Reply) -> Vec<Event> {
         let own = reply.instance.is_empty();
         let lead = self.lead.as_ref();
         if !own && lead.is_none_or(|lead| lead.name != reply.instance) {
@@ -195,13 +198,13 @@
             self.write_belief("answers", "silent");
             events.push(Event::Coordinated(true));
         }
-        events.extend(reply.placed.into_iter().map(granted));
-        events.extend(reply.refused.into_iter().map(not_granted));
+        events.extend(reply.assignments.into_iter().map(granted));
+        events.extend(reply.refusals.into_iter().map(not_granted));
         events
     }
 
     /// Looks whom to ask, and gives a coordinator up that does not answer.
-    pub fn check(&mut self, now: Time, draining: bool) -> Vec<Event> {
+    pub fn select_coordinator(&mut self, now: Time, draining: bool) -> Vec<Event> {
         self.shunned.retain(|_, until| *until > now);
         let mut events = Vec::new();
         if self.owed_since.is_some_and(|since| since + PATIENCE <= now) {
@@ -248,19 +251,20 @@
     }
 
     /// Gives a report of what is new, if there is any.
-    pub fn report_news(&mut self, now: Time, t: &Tables) -> Option<Report> {
-        if self.asked.is_empty() && self.news.is_empty() {
+    pub fn report_updates(&mut self, now: Time, t: &Tables) -> Option<Report> {
+        if self.asked.is_empty() && self.updates.is_empty() {
             return None;
         }
         let asked = std::mem::take(&mut self.asked);
-        let news = std::mem::take(&mut self.news);
+        let updates = std::mem::take(&mut self.updates);
         self.lead.as_ref()?;
         let rows = asked.iter().filter_map(|id| t.requests.get(*id));
         let held = rows.filter(|r| r.phase == Phase::Held);
-        let waiting: Vec<Wanted> = held.map(|r| wanted(now, t, r, next_attempt(r))).collect();
+        let waiting: Vec<PlacementRequest> =
+            held.map(|r| wanted(now, t, r, next_attempt(r))).collect();
         Some(Report {
             waiting,
-            news,
+            updates,
             paces: self.take_paces(now),
             notices: self.take_notices(now, t),
             ..self.empty_report()
@@ -268,7 +272,7 @@
     }
 
     /// Gives a report of everything, if one is due.
-    pub fn report_all(&mut self, now: Time, t: &Tables) -> Option<Report> {
+    pub fn report_full(&mut self, now: Time, t: &Tables) -> Option<Report> {
         self.lead.as_ref()?;
         if !self.is_whole_due(now, t) {
             return None;
@@ -282,10 +286,10 @@
         let waiting = held.map(|r| wanted(now, t, r, next_attempt(r))).collect();
         let running = t.requests.iter().filter_map(|r| running(now, t, r));
         Some(Report {
-            whole: true,
+            full: true,
             waiting,
             running: running.collect(),
-            news: std::mem::take(&mut self.news),
+            updates: std::mem::take(&mut self.updates),
             paces: self.take_paces(now),
             notices: notices(now, t),
             ..self.empty_report()
@@ -308,13 +312,13 @@
             incarnation: self.me.incarnation,
             zone: self.zone.clone(),
             number: self.number,
-            whole: false,
+            full: false,
             waiting: Vec::new(),
             running: Vec::new(),
-            news: Vec::new(),
+            updates: Vec::new(),
             paces: Vec::new(),
             notices: Vec::new(),
-            cut: false,
+            truncated: false,
         }
     }
 
@@ -325,19 +329,19 @@
     }
 }
 
-fn granted(placed: Placed) -> Event {
+fn granted(assignment: Assignment) -> Event {
     Event::Granted(Grant {
-        id: placed.id,
-        endpoint: placed.endpoint,
-        predicted: placed.predicted,
+        id: assignment.id,
+        endpoint: assignment.endpoint,
+        predicted: assignment.predicted,
     })
 }
 
-fn not_granted(refused: Refused) -> Event {
+fn not_granted(refusal: Refusal) -> Event {
     let verdict = Verdict {
         outcome: Outcome::NotRun,
-        reason: refused.reason,
-        retry_after: Some(refused.retry_after),
+        reason: refusal.reason,
+        retry_after: Some(refusal.retry_after),
     };
-    Event::NotGranted(refused.id, verdict)
+    Event::NotGranted(refusal.id, verdict)
 }
--- a/crates/firdock-node/src/placement/report.rs
+++ b/crates/firdock-node/src/placement/report.rs
@@ -10,20 +10,20 @@
 
 /// A request as far as its placement needs it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Wanted {
+pub struct PlacementRequest {
     /// The request; its deadline is given by `left`.
-    pub new: NewRequest,
+    pub new_request: NewRequest,
     /// Counts the places that it was given or waits for.
     pub attempt: u32,
     /// Time that its caller will still wait.
-    pub left: Option<Duration>,
+    pub remaining: Option<Duration>,
 }
 
 /// What became of a request that was given a place.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Course {
+pub enum Progress {
     /// The first token came.
-    Began,
+    FirstToken,
     /// The whole answer came, with these tokens of the prompt and of the answer.
     Ended {
         /// Tokens of the prompt.
@@ -43,18 +43,18 @@
 
 /// News of one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct News {
+pub struct ProgressUpdate {
     /// Request.
     pub id: RequestId,
     /// Which of its places.
     pub attempt: u32,
     /// What became of it.
-    pub course: Course,
+    pub progress: Progress,
 }
 
 /// How long work takes at an engine, as it told a member with an answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Paced {
+pub struct EndpointPace {
     /// Engine.
     pub endpoint: EndpointId,
     /// What it told.
@@ -65,7 +65,7 @@
 
 /// What an engine said of itself to a member.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Noticed {
+pub struct EndpointNotice {
     /// Start of the engine.
     pub endpoint: StartId,
     /// What of it still holds; a back-off by the time that is left.
@@ -84,24 +84,24 @@
     /// Number of its last whole report.
     pub number: u64,
     /// Whether it tells of every request of the member's.
-    pub whole: bool,
+    pub full: bool,
     /// Requests that wait for a place.
-    pub waiting: Vec<Wanted>,
+    pub waiting: Vec<PlacementRequest>,
     /// Requests that run, and where.
-    pub running: Vec<(Wanted, EndpointId)>,
+    pub running: Vec<(PlacementRequest, EndpointId)>,
     /// What became of requests since the last report.
-    pub news: Vec<News>,
+    pub updates: Vec<ProgressUpdate>,
     /// What engines told of their pace since the last report.
-    pub paces: Vec<Paced>,
+    pub paces: Vec<EndpointPace>,
     /// What engines said of themselves: what is new, or all that holds in a whole report.
-    pub notices: Vec<Noticed>,
+    pub notices: Vec<EndpointNotice>,
     /// Whether requests were left out, so that nothing follows for those that are not told of.
-    pub cut: bool,
+    pub truncated: bool,
 }
 
 /// A place for a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Placed {
+pub struct Assignment {
     /// Request.
     pub id: RequestId,
     /// Which of its places.
@@ -114,7 +114,7 @@
 
 /// Word that a request will not be placed in time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Refused {
+pub struct Refusal {
     /// Request.
     pub id: RequestId,
     /// Which of its places.
@@ -133,7 +133,7 @@
     /// Number of the member's last whole report that was taken.
     pub number: u64,
     /// Places.
-    pub placed: Vec<Placed>,
+    pub assignments: Vec<Assignment>,
     /// Refusals.
-    pub refused: Vec<Refused>,
+    pub refusals: Vec<Refusal>,
 }
--- a/crates/firdock-node/src/placement/told.rs
+++ b/crates/firdock-node/src/placement/told.rs
@@ -10,7 +10,7 @@
 use firdock_policy::table::endpoint::EndpointRow;
 use firdock_policy::{NewRequest, Time};
 
-use super::report::{Course, Noticed, Wanted};
+use super::report::{EndpointNotice, PlacementRequest, Progress};
 
 /// Gives the number of the place that a held request waits for.
 pub fn next_attempt(row: &RequestRow) -> u32 {
@@ -18,7 +18,7 @@
 }
 
 /// Gives what news of a dispatch mean for the request, if they are worth telling.
-pub fn course(row: &RequestRow, news: DispatchNews) -> Option<Course> {
+pub fn progress(row: &RequestRow, news: DispatchNews) -> Option<Progress> {
     Some(match news {
         DispatchNews::Started { .. }
         | DispatchNews::Failed
@@ -27,12 +27,12 @@
         | DispatchNews::Unresumable
         | DispatchNews::Breaking(_) => return None,
         DispatchNews::Tokens { .. } if row.first.is_some() => return None,
-        DispatchNews::Tokens { .. } => Course::Began,
-        DispatchNews::Ended { prompt, output, .. } => Course::Ended { prompt, output },
-        DispatchNews::Broke { .. } => Course::Broke,
-        DispatchNews::Refused { unreachable: false } => Course::Refused,
-        DispatchNews::Refused { unreachable: true } => Course::Unreachable,
-        DispatchNews::Lapsed | DispatchNews::Withheld => Course::Dropped,
+        DispatchNews::Tokens { .. } => Progress::FirstToken,
+        DispatchNews::Ended { prompt, output, .. } => Progress::Ended { prompt, output },
+        DispatchNews::Broke { .. } => Progress::Broke,
+        DispatchNews::Refused { unreachable: false } => Progress::Refused,
+        DispatchNews::Refused { unreachable: true } => Progress::Unreachable,
+        DispatchNews::Lapsed | DispatchNews::Withheld => Progress::Dropped,
     })
 }
 
@@ -50,7 +50,7 @@
 }
 
 /// Gives a request that runs on an engine, and where; `None` for all others.
-pub fn running(now: Time, t: &Tables, row: &RequestRow) -> Option<(Wanted, StartId)> {
+pub fn running(now: Time, t: &Tables, row: &RequestRow) -> Option<(PlacementRequest, StartId)> {
     let engine = engine_of(t, row)?;
     Some((wanted(now, t, row, row.dispatch), engine.start_id.clone()))
 }
@@ -58,10 +58,10 @@
 /// Gives a request as far as its placement needs it, its times by how long they are from now.
 ///
 /// What it asks for is told of one alone under which an endpoint ended, of which one try runs at a time.
-pub fn wanted(now: Time, t: &Tables, row: &RequestRow, attempt: u32) -> Wanted {
+pub fn wanted(now: Time, t: &Tables, row: &RequestRow, attempt: u32) -> PlacementRequest {
     let new = &row.new;
-    Wanted {
-        new: NewRequest {
+    PlacementRequest {
+        new_request: NewRequest {
             id: new.id,
             service: new.service.clone(),
             account: new.account.clone(),
@@ -77,24 +77,24 @@
             ..NewRequest::default()
         },
         attempt,
-        left: row.deadline.map(|by| by.saturating_sub(now)),
+        remaining: row.deadline.map(|by| by.saturating_sub(now)),
     }
 }
 
 /// Gives what engines said to this instance of themselves and what still holds.
-pub fn notices(now: Time, t: &Tables) -> Vec<Noticed> {
+pub fn notices(now: Time, t: &Tables) -> Vec<EndpointNotice> {
     let engines = t.endpoints.iter().filter(|(_, e)| e.is_engine());
     engines.filter_map(|(_, e)| noticed(now, e)).collect()
 }
 
 /// Gives what an engine said to this instance of itself, if any of it still holds.
-pub fn noticed(now: Time, e: &EndpointRow) -> Option<Noticed> {
+pub fn noticed(now: Time, e: &EndpointRow) -> Option<EndpointNotice> {
     let backoff = e.notices.backoff("", now);
     let notice = Notice {
         leaving: e.notices.leaving_since().is_some(),
         backoff: backoff.map(|b| b.until.saturating_sub(now)),
     };
-    (!notice.is_empty()).then(|| Noticed {
+    (!notice.is_empty()).then(|| EndpointNotice {
         endpoint: e.start_id.clone(),
         notice,
     })
--- a/crates/firdock-node/tests/node/placement.rs
+++ b/crates/firdock-node/tests/node/placement.rs
@@ -8,8 +8,8 @@
 use firdock_core::{Reason, RequestId};
 use firdock_node::peer::{PeerBook, PeerWord};
 use firdock_node::placement::{
-    Coordinator, Course, Membership, News, Noticed, Paced, Report, Wanted, read_reply, read_report,
-    write_reply, write_report,
+    Coordinator, EndpointNotice, EndpointPace, Membership, PlacementRequest, Progress,
+    ProgressUpdate, Report, read_reply, read_report, write_reply, write_report,
 };
 use firdock_node::telemetry::silent;
 use firdock_policy::event::Member;
@@ -82,11 +82,11 @@
     }
 }
 
-fn wanted(n: u64) -> Wanted {
-    Wanted {
-        new: new(n),
+fn wanted(n: u64) -> PlacementRequest {
+    PlacementRequest {
+        new_request: new(n),
         attempt: 1,
-        left: None,
+        remaining: None,
     }
 }
 
@@ -96,18 +96,18 @@
         incarnation: Uuid::from_u128(5),
         zone: "zone".to_owned(),
         number: 1,
-        whole: false,
+        full: false,
         waiting: Vec::new(),
         running: Vec::new(),
-        news: Vec::new(),
+        updates: Vec::new(),
         paces: Vec::new(),
         notices: Vec::new(),
-        cut: false,
+        truncated: false,
     }
 }
 
-fn paced(hundredths: u32, age: u64) -> Paced {
-    Paced {
+fn paced(hundredths: u32, age: u64) -> EndpointPace {
+    EndpointPace {
         endpoint: "engine".to_owned(),
         pace: Pace::from_hundredths(hundredths).expect("a pace within its bounds"),
         age: millis(age),
@@ -126,7 +126,7 @@
     let replies = coordinator.replies();
     replies
         .into_iter()
-        .flat_map(|(_, reply)| reply.placed)
+        .flat_map(|(_, reply)| reply.assignments)
         .map(|p| p.id)
         .collect()
 }
@@ -135,13 +135,13 @@
 fn a_coordinator_knows_the_pace_that_a_member_was_told_with_its_time() {
     let now = millis(1_000);
     let mut c = coordinator(now);
-    let told = |name: &str, paces: Vec<Paced>| Report {
+    let told = |name: &str, paces: Vec<EndpointPace>| Report {
         paces,
         ..report(name)
     };
-    c.take(now, told("a", vec![paced(300, 20)]), None);
+    c.handle_report(now, told("a", vec![paced(300, 20)]), None);
     // A word that took longer is older than what another member told before.
-    c.take(now, told("b", vec![paced(750, 90)]), None);
+    c.handle_report(now, told("b", vec![paced(750, 90)]), None);
     let row = c.endpoint("engine").expect("the engine is declared");
     assert_eq!(row.told.newest(), Some((3.0, millis(980))));
     c.check_invariants(now);
@@ -164,26 +164,26 @@
 fn a_place_comes_with_the_time_that_is_expected_there() {
     let now = millis(1_000);
     let mut c = coordinator(now);
-    c.take(now, asking("a", &[1]), None);
+    c.handle_report(now, asking("a", &[1]), None);
     let replies = c.replies();
     let (_, reply) = &replies[0];
-    assert!(reply.placed[0].predicted > Duration::ZERO);
+    assert!(reply.assignments[0].predicted > Duration::ZERO);
 }
 
 #[test]
 fn a_place_whose_word_was_lost_is_told_again() {
     let now = millis(1_000);
     let mut c = coordinator(now);
-    c.take(now, asking("a", &[1]), None);
+    c.handle_report(now, asking("a", &[1]), None);
     assert_eq!(placed(&mut c), vec![id(1)]);
     let whole = Report {
-        whole: true,
+        full: true,
         ..asking("a", &[1])
     };
-    c.take(now + millis(100), whole, None);
+    c.handle_report(now + millis(100), whole, None);
     assert_eq!(placed(&mut c), vec![id(1)]);
     // It took one place all the same.
-    c.take(now + millis(110), asking("b", &[2, 3]), None);
+    c.handle_report(now + millis(110), asking("b", &[2, 3]), None);
     assert_eq!(placed(&mut c), vec![id(2)]);
 }
 
@@ -191,16 +191,16 @@
 fn a_silent_members_places_are_free_again() {
     let now = millis(1_000);
     let mut c = coordinator(now);
-    c.take(now, asking("a", &[1, 2]), None);
-    c.take(now, asking("b", &[3]), None);
+    c.handle_report(now, asking("a", &[1, 2]), None);
+    c.handle_report(now, asking("b", &[3]), None);
     placed(&mut c);
     for n in 1..=12 {
         let later = now + millis(100 * n);
         let whole = Report {
-            whole: true,
+            full: true,
             ..asking("b", &[3])
         };
-        c.take(later, whole, None);
+        c.handle_report(later, whole, None);
         c.tick(later);
     }
     assert!(placed(&mut c).contains(&id(3)));
@@ -210,13 +210,13 @@
 fn a_restarted_member_runs_nothing_of_before() {
     let now = millis(1_000);
     let mut c = coordinator(now);
-    c.take(now, asking("a", &[1, 2]), None);
+    c.handle_report(now, asking("a", &[1, 2]), None);
     placed(&mut c);
     let restarted = Report {
         incarnation: Uuid::from_u128(6),
         ..asking("a", &[3])
     };
-    c.take(now + millis(10), restarted, None);
+    c.handle_report(now + millis(10), restarted, None);
     assert_eq!(placed(&mut c), vec![id(3)]);
 }
 
@@ -224,18 +224,18 @@
 fn what_a_whole_report_does_not_tell_of_is_over() {
     let now = millis(1_000);
     let mut c = coordinator(now);
-    c.take(now, asking("a", &[1, 2]), None);
-    c.take(now, asking("b", &[3]), None);
+    c.handle_report(now, asking("a", &[1, 2]), None);
+    c.handle_report(now, asking("b", &[3]), None);
     placed(&mut c);
     let whole = Report {
-        whole: true,
+        full: true,
         running: vec![(wanted(2), "engine".to_owned())],
         ..report("a")
     };
     // Too soon: the words may be on their way.
-    c.take(now + millis(100), whole.clone(), None);
+    c.handle_report(now + millis(100), whole.clone(), None);
     assert!(placed(&mut c).is_empty());
-    c.take(now + millis(500), whole, None);
+    c.handle_report(now + millis(500), whole, None);
     assert_eq!(placed(&mut c), vec![id(3)]);
 }
 
@@ -243,17 +243,17 @@
 fn nothing_is_over_because_a_report_has_no_room_for_it() {
     let ids: Vec<u64> = (0..400).collect();
     let whole = Report {
-        whole: true,
+        full: true,
         ..asking("a", &ids)
     };
     let told = read_report(write_report(&whole));
-    assert!(told.cut && told.waiting.len() < 400);
+    assert!(told.truncated && told.waiting.len() < 400);
     let now = millis(1_000);
     let mut c = coordinator(now);
-    c.take(now, asking("a", &[399]), None);
-    c.take(now, asking("b", &[1_001, 1_002]), None);
+    c.handle_report(now, asking("a", &[399]), None);
+    c.handle_report(now, asking("b", &[1_001, 1_002]), None);
     assert_eq!(placed(&mut c).len(), 2);
-    c.take(now + millis(500), told, None);
+    c.handle_report(now + millis(500), told, None);
     assert!(placed(&mut c).is_empty(), "request 399 still has its place");
 }
 
@@ -262,28 +262,28 @@
     let now = millis(1_000);
     let mut c = coordinator(now);
     let whole = Report {
-        whole: true,
+        full: true,
         running: vec![
             (wanted(1), "engine".to_owned()),
             (wanted(2), "engine".to_owned()),
         ],
         ..report("a")
     };
-    c.take(now, whole, None);
-    c.take(now, asking("b", &[3]), None);
+    c.handle_report(now, whole, None);
+    c.handle_report(now, asking("b", &[3]), None);
     assert!(placed(&mut c).is_empty(), "both places are taken");
     let ended = Report {
-        news: vec![News {
+        updates: vec![ProgressUpdate {
             id: id(1),
             attempt: 1,
-            course: Course::Ended {
+            progress: Progress::Ended {
                 prompt: 10,
                 output: 10,
             },
         }],
         ..report("a")
     };
-    c.take(now + millis(10), ended, None);
+    c.handle_report(now + millis(10), ended, None);
     assert_eq!(placed(&mut c), vec![id(3)]);
     c.check_invariants(now + millis(10));
 }
@@ -331,7 +331,7 @@
         self.scheduler.step(self.now, event, &mut actions);
         for action in &actions {
             if let Action::Ask { id } = action {
-                self.member.ask(*id);
+                self.member.request_placement(*id);
             }
         }
         actions
@@ -344,10 +344,10 @@
         while self.now < end {
             self.now += millis(25);
             self.hear();
-            for event in self.member.check(self.now, false) {
+            for event in self.member.select_coordinator(self.now, false) {
                 self.step(event);
             }
-            reports.extend(self.member.report_all(self.now, self.scheduler.tables()));
+            reports.extend(self.member.report_full(self.now, self.scheduler.tables()));
         }
         reports
     }
@@ -365,7 +365,7 @@
             instance: name.to_owned(),
             ..firdock_node::placement::Reply::default()
         };
-        for event in self.member.take(reply) {
+        for event in self.member.handle_reply(reply) {
             self.step(event);
         }
     }
@@ -375,7 +375,7 @@
 fn a_coordinator_counts_only_once_it_answers() {
     let mut b = Asking::new();
     let reports = b.wait(millis(25));
-    assert!(reports.len() == 1 && reports[0].whole);
+    assert!(reports.len() == 1 && reports[0].full);
     assert_eq!(b.port(), Some(1));
     assert!(!b.coordinated());
     b.answer("c");
@@ -406,32 +406,33 @@
     b.wait(millis(25));
     b.answer("a");
     b.step(Event::Arrived(new(1)));
-    let first = b.member.report_news(b.now, b.scheduler.tables());
+    let first = b.member.report_updates(b.now, b.scheduler.tables());
     assert_eq!(first.expect("an ask").waiting.len(), 1);
     let whole = b.wait(millis(250));
     assert!(whole.len() >= 2, "{}", whole.len());
     assert!(whole.iter().all(|r| r.waiting.len() == 1));
 }
 
-fn course() -> impl Strategy<Value = Course> {
+fn progress() -> impl Strategy<Value = Progress> {
     prop_oneof![
-        Just(Course::Began),
-        (any::<u32>(), any::<u32>()).prop_map(|(prompt, output)| Course::Ended { prompt, output }),
-        Just(Course::Broke),
-        Just(Course::Refused),
-        Just(Course::Unreachable),
-        Just(Course::Dropped),
+        Just(Progress::FirstToken),
+        (any::<u32>(), any::<u32>())
+            .prop_map(|(prompt, output)| Progress::Ended { prompt, output }),
+        Just(Progress::Broke),
+        Just(Progress::Refused),
+        Just(Progress::Unreachable),
+        Just(Progress::Dropped),
     ]
 }
 
 proptest! {
     #[test]
-    fn reports_arrive_as_they_were_sent(ids in prop::collection::vec(any::<u64>(), 0..20), course in course(), whole: bool) {
+    fn reports_arrive_as_they_were_sent(ids in prop::collection::vec(any::<u64>(), 0..20), progress in progress(), whole: bool) {
         let told = Report {
-            whole,
+            full: whole,
             waiting: ids.iter().map(|n| wanted(*n)).collect(),
             running: ids.iter().map(|n| (wanted(*n), "engine".to_owned())).collect(),
-            news: ids.iter().map(|n| News { id: id(*n), attempt: 3, course }).collect(),
+            updates: ids.iter().map(|n| ProgressUpdate { id: id(*n), attempt: 3, progress }).collect(),
             paces: ids.iter().map(|n| paced(68 + (n % 900) as u32, 40)).collect(),
             ..report("a")
         };
@@ -444,29 +445,29 @@
         let mut c = coordinator(now);
         for (n, attempt, what, whole) in steps {
             now += millis(37);
-            let wanted = Wanted { attempt, ..wanted(n) };
+            let wanted = PlacementRequest { attempt, ..wanted(n) };
             let name = if n % 2 == 0 { "a" } else { "b" };
-            let mut told = Report { whole, ..report(name) };
+            let mut told = Report { full: whole, ..report(name) };
             match what {
                 0 | 1 => told.waiting.push(wanted),
                 2 => told.running.push((wanted, "engine".to_owned())),
-                3 => told.news.push(News { id: id(n), attempt, course: Course::Began }),
-                4 => told.news.push(News { id: id(n), attempt, course: Course::Broke }),
-                _ => told.news.push(News { id: id(n), attempt, course: Course::Dropped }),
+                3 => told.updates.push(ProgressUpdate { id: id(n), attempt, progress: Progress::FirstToken }),
+                4 => told.updates.push(ProgressUpdate { id: id(n), attempt, progress: Progress::Broke }),
+                _ => told.updates.push(ProgressUpdate { id: id(n), attempt, progress: Progress::Dropped }),
             }
-            c.take(now, told, None);
+            c.handle_report(now, told, None);
             c.tick(now);
             c.check_invariants(now);
             for (_, reply) in c.replies() {
                 let back = read_reply(write_reply(&reply, "x"));
-                prop_assert_eq!(back.placed, reply.placed);
+                prop_assert_eq!(back.assignments, reply.assignments);
             }
         }
     }
 }
 
-fn noticed(endpoint: &str, leaving: bool, backoff: Option<u64>) -> Noticed {
-    Noticed {
+fn noticed(endpoint: &str, leaving: bool, backoff: Option<u64>) -> EndpointNotice {
+    EndpointNotice {
         endpoint: endpoint.to_owned(),
         notice: Notice {
             leaving,
@@ -485,27 +486,27 @@
         notices: vec![noticed("engine", false, Some(300))],
         ..asking("a", &[1, 2, 3])
     };
-    c.take(now, shunned, None);
+    c.handle_report(now, shunned, None);
     assert!(placed(&mut c).is_empty());
-    c.take(now, asking("b", &[4]), None);
+    c.handle_report(now, asking("b", &[4]), None);
     assert_eq!(placed(&mut c), [id(4)]);
-    c.take(now, asking("c", &[5, 6]), None);
+    c.handle_report(now, asking("c", &[5, 6]), None);
     assert_eq!(placed(&mut c), [id(5)], "the other place of two");
     c.tick(now + millis(200));
     assert!(placed(&mut c).is_empty());
-    let ended = |n: u64| News {
+    let ended = |n: u64| ProgressUpdate {
         id: id(n),
         attempt: 1,
-        course: Course::Ended {
+        progress: Progress::Ended {
             prompt: 10,
             output: 10,
         },
     };
     let free = |name: &str, n: u64| Report {
-        news: vec![ended(n)],
+        updates: vec![ended(n)],
         ..report(name)
     };
-    c.take(now + millis(310), free("b", 4), None);
+    c.handle_report(now + millis(310), free("b", 4), None);
     assert_eq!(placed(&mut c), [id(1)], "the first that waits");
 }
 
@@ -515,15 +516,15 @@
     let now = millis(1_000);
     let mut c = coordinator(now);
     let mut hasty = wanted(1);
-    hasty.left = Some(millis(500));
+    hasty.remaining = Some(millis(500));
     let asks = Report {
         waiting: vec![hasty, wanted(2)],
         notices: vec![noticed("engine", false, Some(1_000))],
         ..report("a")
     };
-    c.take(now, asks, None);
+    c.handle_report(now, asks, None);
     let replies = c.replies();
-    let refused: Vec<_> = replies.iter().flat_map(|(_, r)| &r.refused).collect();
+    let refused: Vec<_> = replies.iter().flat_map(|(_, r)| &r.refusals).collect();
     assert_eq!(refused.len(), 1);
     assert_eq!(
         (refused[0].id, refused[0].reason),
@@ -541,8 +542,8 @@
         notices: vec![noticed("engine", true, None)],
         ..report("a")
     };
-    c.take(now, told, None);
-    c.take(now, asking("b", &[1]), None);
+    c.handle_report(now, told, None);
+    c.handle_report(now, asking("b", &[1]), None);
     assert!(placed(&mut c).is_empty());
 }
 
