--- a/crates/firdock-node/src/placement.rs
+++ b/crates/firdock-node/src/placement.rs
@@ -10,7 +10,7 @@
 mod coordinator;
 mod member;
 mod report;
-mod told;
+mod snapshot;
 
 pub use codec::{read_reply, read_report, write_reply, write_report};
 pub use coordinator::Coordinator;
--- a/crates/firdock-node/src/placement/coordinator.rs
+++ b/crates/firdock-node/src/placement/coordinator.rs
@@ -1,6 +1,6 @@
 //! The coordinator's side: the scheduler of a whole group, whose dispatches are placements.
 
-mod take;
+mod apply_report;
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
--- a/crates/firdock-node/src/placement/member.rs
+++ b/crates/firdock-node/src/placement/member.rs
@@ -18,7 +18,9 @@
     Assignment, EndpointNotice, EndpointPace, PlacementRequest, Progress, ProgressUpdate, Refusal,
     Reply, Report,
 };
-use super::told::{engine_of, next_attempt, noticed, notices, progress, running, waits, wanted};
+use super::snapshot::{
+    engine_of, next_attempt, noticed, notices, progress, running, waits, wanted,
+};
 use crate::peer::PeerBook;
 
 /// Pause between two whole reports.
