--- a/crates/firdock-node/benches/events.rs
+++ b/crates/firdock-node/benches/events.rs
@@ -8,7 +8,7 @@
 use std::hint::black_box;
 
 use criterion::{BenchmarkId, Criterion, Throughput, criterion_group, criterion_main};
-use firdock_node::endpoint::EventCutter;
+use firdock_node::endpoint::EventSplitter;
 
 /// Events of a stream, each in a part of its own as an engine sends them.
 const EVENTS: u64 = 100;
@@ -23,7 +23,7 @@
         let id = BenchmarkId::from_parameter(length);
         group.bench_with_input(id, &events, |b, events| {
             b.iter(|| {
-                let mut cutter = EventCutter::default();
+                let mut cutter = EventSplitter::default();
                 for event in events {
                     black_box(cutter.push(event.as_bytes()).expect("short events"));
                 }
--- a/crates/firdock-node/src/driver.rs
+++ b/crates/firdock-node/src/driver.rs
@@ -23,8 +23,8 @@
 
 use crate::answers::Answers;
 use crate::clock::Clock;
-use crate::endpoint::Backends;
-use crate::endpoint::run::{RunLimits, Since};
+use crate::endpoint::Dispatcher;
+use crate::endpoint::run::{DispatchLimits, EndpointChange};
 use crate::exchange::{AnswerRoom, Exchange, Part};
 use crate::input::Input;
 use crate::peer::{self, Dialer, SelfNews};
@@ -46,7 +46,7 @@
 #[derive(Debug)]
 pub struct DriverParts<B> {
     /// Way to endpoints.
-    pub backends: B,
+    pub dispatcher: B,
     /// Way to peers.
     pub dialer: Dialer,
     /// Configuration in force.
@@ -58,7 +58,7 @@
     /// Metrics.
     pub metrics: Arc<Metrics>,
     /// Time limits of dispatches.
-    pub limits: RunLimits,
+    pub limits: DispatchLimits,
     /// Clock.
     pub clock: Clock,
     /// Logger.
@@ -102,7 +102,7 @@
     sent: Option<LastSent>,
     task: Option<AbortHandle>,
     /// Way to tell the present dispatch what has become of its endpoint.
-    since: Option<watch::Sender<Since>>,
+    since: Option<watch::Sender<EndpointChange>>,
 }
 
 impl Live {
@@ -116,7 +116,7 @@
     }
 }
 
-impl<B: Backends> Driver<B> {
+impl<B: Dispatcher> Driver<B> {
     /// Makes a driver.
     #[must_use]
     pub fn new(scheduler: Scheduler, parts: DriverParts<B>) -> Self {
@@ -363,10 +363,12 @@
                 dispatch,
             } => self.cancel(id, &endpoint, dispatch),
             Action::GiveUpDispatch { id, dispatch } => {
-                self.tell_dispatch(id, dispatch, Since::Restarted);
+                self.tell_dispatch(id, dispatch, EndpointChange::Restarted);
             }
             Action::Look { endpoint, start } => self.look(&endpoint, start),
-            Action::Withhold { id, dispatch } => self.tell_dispatch(id, dispatch, Since::Closed),
+            Action::Withhold { id, dispatch } => {
+                self.tell_dispatch(id, dispatch, EndpointChange::Closed)
+            }
             Action::Ask { id } => self.ask_placement(id),
             Action::Decline(grant) => self.decline_placement(&grant),
             Action::HandOver { id, peer, cause } => self.hand_over(id, peer, cause),
--- a/crates/firdock-node/src/driver/answer.rs
+++ b/crates/firdock-node/src/driver/answer.rs
@@ -6,10 +6,10 @@
 use firdock_policy::Verdict;
 
 use super::Driver;
-use crate::endpoint::Backends;
+use crate::endpoint::Dispatcher;
 use crate::exchange::{Part, Sent};
 
-impl<B: Backends> Driver<B> {
+impl<B: Dispatcher> Driver<B> {
     pub(super) fn answer(&self, id: RequestId, verdict: Verdict) {
         if let Some(live) = self.exchanges.get(&id) {
             let (now, t) = (self.parts.clock.now(), self.scheduler.tables());
--- a/crates/firdock-node/src/driver/look.rs
+++ b/crates/firdock-node/src/driver/look.rs
@@ -11,7 +11,7 @@
 use tokio::time::timeout;
 
 use super::Driver;
-use crate::endpoint::Backends;
+use crate::endpoint::Dispatcher;
 use crate::input::Input;
 
 /// Connects after which an address that closes each of them at once is given up.
@@ -19,7 +19,7 @@
 /// Time for which a connection has to stay open to count: a process that ends is gone in less.
 const STAYS_OPEN: Duration = Duration::from_millis(20);
 
-impl<B: Backends> Driver<B> {
+impl<B: Dispatcher> Driver<B> {
     /// Looks whether an endpoint's address takes connections, and tells the scheduler.
     pub(super) fn look(&self, endpoint: &EndpointId, start: StartId) {
         let Some(place) = self.parts.site.view().place(endpoint) else {
--- a/crates/firdock-node/src/driver/placement.rs
+++ b/crates/firdock-node/src/driver/placement.rs
@@ -7,10 +7,10 @@
 use firdock_policy::event::Grant;
 
 use super::Driver;
-use crate::endpoint::Backends;
+use crate::endpoint::Dispatcher;
 use crate::placement::PlacementInput;
 
-impl<B: Backends> Driver<B> {
+impl<B: Dispatcher> Driver<B> {
     /// Takes a report or a reply that came by datagram.
     pub(super) fn take_placement(&mut self, input: PlacementInput) {
         let now = self.parts.clock.now();
--- a/crates/firdock-node/src/driver/send.rs
+++ b/crates/firdock-node/src/driver/send.rs
@@ -9,15 +9,15 @@
 use tokio::sync::watch;
 
 use super::Driver;
-use crate::endpoint::run::{Run, Since};
-use crate::endpoint::{Backends, Target};
+use crate::endpoint::run::{DispatchRun, EndpointChange};
+use crate::endpoint::{Dispatcher, Target};
 use crate::exchange::Exchange;
 use crate::peer;
 use crate::site::Place;
 use crate::telemetry::Span;
 use crate::telemetry::decisions::LastSent;
 
-impl<B: Backends> Driver<B> {
+impl<B: Dispatcher> Driver<B> {
     pub(super) fn dispatch(&mut self, dispatch: Dispatch) {
         let Some(exchange) = self.exchange(dispatch.id) else {
             return;
@@ -35,21 +35,21 @@
         let (now, t) = (self.parts.clock.now(), self.scheduler.tables());
         self.decisions.dispatched(now, t, &dispatch, &exchange);
         exchange.delivered().end = None;
-        let (since, run_since) = watch::channel(Since::Unchanged);
+        let (since, run_since) = watch::channel(EndpointChange::Unchanged);
         if let Some(live) = self.exchanges.get_mut(&id) {
             live.sent = Some(LastSent::new(now, &dispatch));
             live.since = Some(since);
         }
         let run = self.make_run(exchange, dispatch, place, run_since);
-        let backends = self.parts.backends.clone();
+        let dispatcher = self.parts.dispatcher.clone();
         let (log, clock) = (self.parts.log.clone(), self.parts.clock);
         let task = self.parts.runtime.spawn(async move {
             let span = Span::start("endpoint", &run.exchange.trace, clock.now());
-            let run = Run {
+            let run = DispatchRun {
                 trace: span.context,
                 ..run
             };
-            let result = backends.run(place, run).await;
+            let result = dispatcher.run(place, run).await;
             span.end(&log, clock.now(), &id.to_string(), result);
         });
         self.set_task(id, task.abort_handle());
@@ -60,14 +60,14 @@
         exchange: Arc<Exchange>,
         dispatch: Dispatch,
         place: Place,
-        since: watch::Receiver<Since>,
-    ) -> Run {
+        since: watch::Receiver<EndpointChange>,
+    ) -> DispatchRun {
         let trace = exchange.trace;
         let endpoints = &self.scheduler.tables().endpoints;
         let start = endpoints
             .find(&dispatch.endpoint)
             .map_or_else(StartId::new, |at| endpoints.get(at).start_id.clone());
-        Run {
+        DispatchRun {
             start,
             target: Target {
                 name: dispatch.endpoint.clone(),
@@ -99,13 +99,13 @@
         let Some(place) = self.parts.site.view().place(endpoint) else {
             return;
         };
-        let backends = self.parts.backends.clone();
-        let cancelling = async move { backends.cancel(place, id, dispatch).await };
+        let dispatcher = self.parts.dispatcher.clone();
+        let cancelling = async move { dispatcher.cancel(place, id, dispatch).await };
         self.parts.runtime.spawn(cancelling);
     }
 
     /// Tells a dispatch what has become of its endpoint; it tells how far it came.
-    pub(super) fn tell_dispatch(&mut self, id: RequestId, dispatch: u32, since: Since) {
+    pub(super) fn tell_dispatch(&mut self, id: RequestId, dispatch: u32, since: EndpointChange) {
         let live = self.exchanges.get(&id);
         let live = live.filter(|l| l.sent.as_ref().is_some_and(|s| s.is(dispatch)));
         if let Some(told) = live.and_then(|l| l.since.as_ref()) {
--- a/crates/firdock-node/src/edge.rs
+++ b/crates/firdock-node/src/edge.rs
@@ -20,7 +20,7 @@
 use crate::clock::millis;
 use crate::door::{DoorState, Interface, Opening};
 use crate::driver::Driver;
-use crate::endpoint::Backends;
+use crate::endpoint::Dispatcher;
 use crate::endpoint::relay::Dialect;
 use crate::http::{ServerOptions, serve};
 use crate::input::{INPUTS_WAITING, Input};
@@ -141,7 +141,7 @@
 }
 
 /// Runs the driver; a panic there is a broken promise, so the process ends instead of going on.
-async fn run_or_abort<B: Backends>(
+async fn run_or_abort<B: Dispatcher>(
     driver: Driver<B>,
     inputs: mpsc::Receiver<Input>,
     stop: watch::Receiver<bool>,
--- a/crates/firdock-node/src/edge/parts.rs
+++ b/crates/firdock-node/src/edge/parts.rs
@@ -22,7 +22,7 @@
 use crate::door::{Door, DoorLimits, DoorState, Interface};
 use crate::driver::{Driver, DriverParts};
 use crate::endpoint::relay::{Dialect, Relay};
-use crate::endpoint::run::RunLimits;
+use crate::endpoint::run::DispatchLimits;
 use crate::exchange::AnswerRoom;
 use crate::http::{ServerOptions, serve};
 use crate::input::Input;
@@ -175,13 +175,13 @@
         let key = &self.settings.peers.shared_key;
         let hub = Arc::new(Hub::default());
         let parts = DriverParts {
-            backends: Relay::new(dialect, connect),
+            dispatcher: Relay::new(dialect, connect),
             dialer: Dialer::new(self.member.name.clone(), key, hub),
             site: Arc::clone(&self.site),
             answers: Answers::new(self.settings.keys.answer_bytes),
             room: self.room.clone(),
             metrics: Arc::clone(&self.metrics),
-            limits: RunLimits::new(e),
+            limits: DispatchLimits::new(e),
             clock: self.clock,
             log: self.log.new(o!("part" => "driver")),
             lines: Arc::clone(&self.lines),
--- a/crates/firdock-node/src/endpoint.rs
+++ b/crates/firdock-node/src/endpoint.rs
@@ -30,16 +30,18 @@
 use snafu::Snafu;
 
 pub use body::EndpointBody;
-pub use ending::{AnswerEnd, Ending, Framing, Left, Shape, Verdict, judge};
+pub use ending::{
+    AnswerEnd, BodyState, Completeness, Ending, Framing, TrailingData, assess_completeness,
+};
 pub use engine::HttpEngine;
-pub use events::EventCutter;
-pub use notice::{HeadNotice, start_of};
-pub use own::OwnBackends;
+pub use events::EventSplitter;
+pub use notice::{HeadNotice, value_prefix};
+pub use own::DirectDispatcher;
 pub use plain::HttpPlain;
-pub use report::watch_reports;
-pub use sse::{NoEventStream, SseDecoder, SseEvent};
+pub use report::poll_reports;
+pub use sse::{InvalidEventStream, SseDecoder, SseEvent};
 
-use self::run::Run;
+use self::run::DispatchRun;
 use crate::door::ModelCall;
 use crate::exchange::AnswerHead;
 use crate::http::CallError;
@@ -56,9 +58,9 @@
 pub const REPORT_PATH: &str = "/report";
 
 /// Carries dispatches out at endpoints.
-pub trait Backends: Clone + Send + Sync + 'static {
+pub trait Dispatcher: Clone + Send + Sync + 'static {
     /// Runs a dispatch to its end; gives a word on how it ended for the trace.
-    fn run(&self, place: Place, run: Run) -> impl Future<Output = &'static str> + Send;
+    fn run(&self, place: Place, run: DispatchRun) -> impl Future<Output = &'static str> + Send;
 
     /// Tells an endpoint to stop working on a request whose connection was closed.
     fn cancel(&self, place: Place, id: RequestId, dispatch: u32)
@@ -102,17 +104,17 @@
 
 /// What came of a call to an endpoint, with what the head of its answer said of the endpoint.
 #[derive(Debug)]
-pub struct Heard<T> {
+pub struct EndpointResponse<T> {
     /// What the head said; nothing where none came.
     pub head: HeadNotice,
     /// What came of the call.
     pub result: Result<T, StartError>,
 }
 
-impl<T> Heard<T> {
+impl<T> EndpointResponse<T> {
     /// Makes what came of a call that got no answer.
     #[must_use]
-    pub fn nothing(error: StartError) -> Self {
+    pub fn without_head(error: StartError) -> Self {
         Self {
             head: HeadNotice::default(),
             result: Err(error),
@@ -137,7 +139,7 @@
 
 /// Order to an engine to answer a model call.
 #[derive(Debug, Clone, Copy)]
-pub struct EngineOrder<'a> {
+pub struct EngineRequest<'a> {
     /// Request.
     pub id: RequestId,
     /// Number of the dispatch.
@@ -206,17 +208,17 @@
 
 /// An order to an engine outside any request; one with an older fence is refused.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FencedOrder {
+pub struct FencedCommand {
     /// Greater than in all earlier orders.
     pub fence: u64,
     /// What to do.
-    pub order: EngineRole,
+    pub order: EngineCommand,
 }
 
 /// What an engine can be told to be.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum EngineRole {
+pub enum EngineCommand {
     /// Load a model.
     LoadModel(String),
     /// Stop taking new work.
@@ -242,7 +244,7 @@
     ) -> impl Future<Output = Result<Option<TokenEvent>, StreamError>> + Send;
 
     /// Gives what has come of the answer, for the lines on its end.
-    fn course(&self) -> AnswerEnd;
+    fn answer_end(&self) -> AnswerEnd;
 }
 
 /// A model engine.
@@ -256,17 +258,17 @@
     fn start(
         &self,
         at: SocketAddr,
-        order: EngineOrder<'_>,
-    ) -> impl Future<Output = Heard<Self::Stream>> + Send;
+        order: EngineRequest<'_>,
+    ) -> impl Future<Output = EndpointResponse<Self::Stream>> + Send;
 
     /// Takes a running stream up again at an offset, after its connection broke; fails if the engine
     /// does not have the request any more.
     fn resume(
         &self,
         at: SocketAddr,
-        order: EngineOrder<'_>,
+        order: EngineRequest<'_>,
         from: u32,
-    ) -> impl Future<Output = Heard<Self::Stream>> + Send;
+    ) -> impl Future<Output = EndpointResponse<Self::Stream>> + Send;
 
     /// Cancels a request; an engine that does not know it does nothing.
     fn cancel(
@@ -307,13 +309,13 @@
     fn order(
         &self,
         at: SocketAddr,
-        order: &FencedOrder,
+        order: &FencedCommand,
     ) -> impl Future<Output = Result<(), StartError>> + Send;
 }
 
 /// A call to a plain server.
 #[derive(Debug, Clone, Copy)]
-pub struct PlainOrder<'a> {
+pub struct PlainRequest<'a> {
     /// Request.
     pub id: RequestId,
     /// Number of the dispatch.
@@ -338,9 +340,9 @@
     fn call(
         &self,
         at: SocketAddr,
-        order: PlainOrder<'_>,
+        order: PlainRequest<'_>,
         silence: Duration,
-    ) -> impl Future<Output = Heard<PlainAnswer>> + Send;
+    ) -> impl Future<Output = EndpointResponse<PlainAnswer>> + Send;
 }
 
 /// Head of a plain server's answer, with the body to come.
--- a/crates/firdock-node/src/endpoint/ending.rs
+++ b/crates/firdock-node/src/endpoint/ending.rs
@@ -112,7 +112,7 @@
 
 /// What is left of a stream of events after its last whole event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Left {
+pub enum TrailingData {
     /// Nothing, or lines that have ended and belong to no event.
     Nothing,
     /// A part of a comment.
@@ -123,7 +123,7 @@
 
 /// What the bytes of a body say of its end by themselves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Shape {
+pub enum BodyState {
     /// Nothing: any bytes are a body.
     Opaque,
     /// Events.
@@ -131,7 +131,7 @@
         /// Whether any came whole.
         begun: bool,
         /// What is left after the last one.
-        left: Left,
+        left: TrailingData,
     },
     /// The form has an end of its own, as JSON has, or a stream with an end mark.
     Delimited {
@@ -142,9 +142,9 @@
 
 /// Whether an answer is whole.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Completeness {
     /// It is.
-    Whole,
+    Complete,
     /// Nothing that came says that more was meant, and nothing that it was not.
     Unproven,
     /// It is not.
@@ -158,24 +158,24 @@
 /// fails may close it as well; the caller is told no more than that. Without framing, a part of a comment
 /// and a stream without any event count as cut too: nothing but the close says that they were meant so.
 #[must_use]
-pub fn judge(framing: Framing, ending: Ending, shape: Shape) -> Verdict {
+pub fn assess_completeness(framing: Framing, ending: Ending, shape: BodyState) -> Completeness {
     let closed = framing == Framing::Connection && ending == Ending::Closed;
     if ending != Ending::Framed && !closed {
-        return Verdict::Broken(ending.into());
+        return Completeness::Broken(ending.into());
     }
     let is_cut = match shape {
-        Shape::Opaque => false,
-        Shape::Delimited { ended } => !ended,
-        Shape::Events { begun, left } => {
-            left == Left::Event || (closed && (!begun || left == Left::Comment))
+        BodyState::Opaque => false,
+        BodyState::Delimited { ended } => !ended,
+        BodyState::Events { begun, left } => {
+            left == TrailingData::Event || (closed && (!begun || left == TrailingData::Comment))
         }
     };
-    let has_proof = !closed || matches!(shape, Shape::Delimited { .. });
+    let has_proof = !closed || matches!(shape, BodyState::Delimited { .. });
     match (is_cut, has_proof) {
-        (true, _) if closed => Verdict::Broken(BreakCause::Closed),
-        (true, _) => Verdict::Broken(BreakCause::Foreign),
-        (false, true) => Verdict::Whole,
-        (false, false) => Verdict::Unproven,
+        (true, _) if closed => Completeness::Broken(BreakCause::Closed),
+        (true, _) => Completeness::Broken(BreakCause::Foreign),
+        (false, true) => Completeness::Complete,
+        (false, false) => Completeness::Unproven,
     }
 }
 
--- a/crates/firdock-node/src/endpoint/engine.rs
+++ b/crates/firdock-node/src/endpoint/engine.rs
@@ -16,11 +16,11 @@
 use serde_json::{Value, json};
 use tokio::time::timeout;
 
-use super::ending::{AnswerEnd, Ending, Framing, Shape, Verdict, judge};
+use super::ending::{AnswerEnd, BodyState, Completeness, Ending, Framing, assess_completeness};
 use super::sse::{SseDecoder, SseEvent};
 use super::{
-    AnsweredSnafu, DISPATCH_HEADER, EndpointBody, EndpointReport, EngineClient, EngineOrder,
-    EngineUsage, FencedOrder, HeadNotice, Heard, KvCache, LEAVING_HEADER, LostSnafu,
+    AnsweredSnafu, DISPATCH_HEADER, EndpointBody, EndpointReport, EndpointResponse, EngineClient,
+    EngineRequest, EngineUsage, FencedCommand, HeadNotice, KvCache, LEAVING_HEADER, LostSnafu,
     NOT_STARTED_HEADER, REPORT_PATH, RefusedSnafu, ReportSource, StartError, StreamError,
     TokenEvent, TokenStream, break_cause,
 };
@@ -65,24 +65,24 @@
     async fn open_stream(
         &self,
         at: SocketAddr,
-        order: EngineOrder<'_>,
+        order: EngineRequest<'_>,
         request: Request<Full<Bytes>>,
         from: u32,
-    ) -> Heard<HttpTokenStream> {
+    ) -> EndpointResponse<HttpTokenStream> {
         let (connection, response) = match self.open(at, request).await {
             Ok(opened) => opened,
-            Err(error) => return Heard::nothing(error),
+            Err(error) => return EndpointResponse::without_head(error),
         };
         let head = HeadNotice::read(response.status(), response.headers(), &LEAVING_HEADER);
         let result = take(order, response).await.map(|body| HttpTokenStream {
             _connection: connection,
-            course: AnswerEnd::new(body.framing()),
+            answer_end: AnswerEnd::new(body.framing()),
             body,
             decoder: SseDecoder::new(),
             next: from,
             ended: false,
         });
-        Heard { head, result }
+        EndpointResponse { head, result }
     }
 
     /// Makes a small call of which only success counts.
@@ -116,7 +116,7 @@
 
 /// Takes an answer's head; gives the stream that follows.
 async fn take(
-    order: EngineOrder<'_>,
+    order: EngineRequest<'_>,
     response: Response<Incoming>,
 ) -> Result<EndpointBody, StartError> {
     if response.headers().contains_key(NOT_STARTED_HEADER) {
@@ -149,7 +149,7 @@
 }
 
 /// Tells whether an answer carries the id and the dispatch number that were sent.
-fn echoes(response: &Response<Incoming>, order: EngineOrder<'_>) -> bool {
+fn echoes(response: &Response<Incoming>, order: EngineRequest<'_>) -> bool {
     let text = |name: &str| response.headers().get(name).and_then(|v| v.to_str().ok());
     let id = text(REQUEST_ID_HEADER.as_str()) == Some(order.id.to_string().as_str());
     id && text(DISPATCH_HEADER) == Some(order.dispatch.to_string().as_str())
@@ -174,23 +174,23 @@
     };
     let whole = read.freeze();
     let shape = match framing {
-        Framing::Connection => Shape::Delimited {
+        Framing::Connection => BodyState::Delimited {
             ended: serde_json::from_slice::<IgnoredAny>(&whole).is_ok(),
         },
-        _ => Shape::Opaque,
+        _ => BodyState::Opaque,
     };
-    match judge(framing, ending, shape) {
-        Verdict::Whole => Ok(whole),
-        Verdict::Unproven => LostSnafu {
+    match assess_completeness(framing, ending, shape) {
+        Completeness::Complete => Ok(whole),
+        Completeness::Unproven => LostSnafu {
             cause: BreakCause::Closed,
         }
         .fail(),
-        Verdict::Broken(cause) => LostSnafu { cause }.fail(),
+        Completeness::Broken(cause) => LostSnafu { cause }.fail(),
     }
 }
 
 /// Makes the body that goes to the engine: the caller's, with what firdock adds.
-fn engine_body(order: EngineOrder<'_>) -> Bytes {
+fn engine_body(order: EngineRequest<'_>) -> Bytes {
     let mut body = order.call.body.clone();
     body["stream"] = json!(true);
     body["max_tokens"] = json!(order.call.max_tokens);
@@ -202,7 +202,7 @@
     Bytes::from(body.to_string())
 }
 
-fn marked(method: Method, path: &str, order: EngineOrder<'_>) -> hyper::http::request::Builder {
+fn marked(method: Method, path: &str, order: EngineRequest<'_>) -> hyper::http::request::Builder {
     Request::builder()
         .method(method)
         .uri(path)
@@ -215,7 +215,11 @@
 impl EngineClient for HttpEngine {
     type Stream = HttpTokenStream;
 
-    async fn start(&self, at: SocketAddr, order: EngineOrder<'_>) -> Heard<HttpTokenStream> {
+    async fn start(
+        &self,
+        at: SocketAddr,
+        order: EngineRequest<'_>,
+    ) -> EndpointResponse<HttpTokenStream> {
         let path = if order.call.chat {
             "/v1/chat/completions"
         } else {
@@ -223,7 +227,7 @@
         };
         let body = Full::new(engine_body(order));
         let Ok(request) = marked(Method::POST, path, order).body(body) else {
-            return Heard::nothing(StartError::Refused);
+            return EndpointResponse::without_head(StartError::Refused);
         };
         self.open_stream(at, order, request, order.resume_from)
             .await
@@ -232,12 +236,12 @@
     async fn resume(
         &self,
         at: SocketAddr,
-        order: EngineOrder<'_>,
+        order: EngineRequest<'_>,
         from: u32,
-    ) -> Heard<HttpTokenStream> {
+    ) -> EndpointResponse<HttpTokenStream> {
         let path = format!("/requests/{}/{}?from={from}", order.id, order.dispatch);
         let Ok(request) = marked(Method::GET, &path, order).body(Full::default()) else {
-            return Heard::nothing(StartError::Refused);
+            return EndpointResponse::without_head(StartError::Refused);
         };
         self.open_stream(at, order, request, from).await
     }
@@ -268,7 +272,7 @@
             .map(|_| ())
     }
 
-    async fn order(&self, at: SocketAddr, order: &FencedOrder) -> Result<(), StartError> {
+    async fn order(&self, at: SocketAddr, order: &FencedCommand) -> Result<(), StartError> {
         let body = serde_json::to_vec(order).unwrap_or_default();
         self.order_call(at, Method::POST, "/orders", Bytes::from(body))
             .await
@@ -292,7 +296,7 @@
 pub struct HttpTokenStream {
     _connection: Connection,
     body: EndpointBody,
-    course: AnswerEnd,
+    answer_end: AnswerEnd,
     decoder: SseDecoder,
     next: u32,
     ended: bool,
@@ -303,7 +307,7 @@
         loop {
             match self.decoder.next_event() {
                 Ok(Some(SseEvent::Data(data))) => {
-                    self.course.events += 1;
+                    self.answer_end.events += 1;
                     if let Some(step) = self.take(&data)? {
                         return Ok(step.event);
                     }
@@ -315,8 +319,8 @@
         }
     }
 
-    fn course(&self) -> AnswerEnd {
-        self.course
+    fn answer_end(&self) -> AnswerEnd {
+        self.answer_end
     }
 }
 
@@ -329,17 +333,17 @@
     async fn read_more(&mut self, silence: Duration) -> Result<(), StreamError> {
         match timeout(silence, self.body.next()).await {
             Err(_) => {
-                self.course.ending = Some(Ending::Silent);
+                self.answer_end.ending = Some(Ending::Silent);
                 Err(StreamError::Silent)
             }
             Ok(Ok(bytes)) => {
-                self.course.bytes += bytes.len() as u64;
+                self.answer_end.bytes += bytes.len() as u64;
                 self.decoder.push(&bytes);
                 Ok(())
             }
             // Its end mark has not come, so that no end of the body makes the answer whole.
             Ok(Err(ending)) => {
-                self.course.ending = Some(ending);
+                self.answer_end.ending = Some(ending);
                 Err(StreamError::Broken)
             }
         }
@@ -350,7 +354,7 @@
         if data == DONE {
             let whole = self.ended;
             return if whole {
-                self.course.ending = Some(Ending::Framed);
+                self.answer_end.ending = Some(Ending::Framed);
                 Ok(Some(Step { event: None }))
             } else {
                 Err(StreamError::Crossed)
--- a/crates/firdock-node/src/endpoint/events.rs
+++ b/crates/firdock-node/src/endpoint/events.rs
@@ -7,7 +7,7 @@
 use bytes::{Bytes, BytesMut};
 use snafu::Snafu;
 
-use super::ending::Left;
+use super::ending::TrailingData;
 
 /// Longest event that is waited for.
 const MAX_EVENT_BYTES: usize = 1 << 20;
@@ -21,7 +21,7 @@
 
 /// Whole events, as they came.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct WholeEvents {
+pub struct CompleteEvents {
     /// Their bytes, with comments and blank lines between them.
     pub bytes: Bytes,
     /// How many there are.
@@ -32,7 +32,7 @@
 
 /// Collects bytes of a stream until events are whole.
 #[derive(Debug, Default)]
-pub struct EventCutter {
+pub struct EventSplitter {
     buffer: BytesMut,
     /// Bytes of the buffer that were looked at.
     scanned: usize,
@@ -50,7 +50,7 @@
     events: u32,
 }
 
-impl EventCutter {
+impl EventSplitter {
     /// Takes bytes; gives what is whole now, `None` where nothing is to be passed on.
     ///
     /// Comments and blank lines before the first event wait for it, so that a stream that breaks before
@@ -59,7 +59,7 @@
     /// # Errors
     ///
     /// Fails if an event is longer than allowed.
-    pub fn push(&mut self, bytes: &[u8]) -> Result<Option<WholeEvents>, EventTooLong> {
+    pub fn push(&mut self, bytes: &[u8]) -> Result<Option<CompleteEvents>, EventTooLong> {
         self.buffer.extend_from_slice(bytes);
         let mut whole = Scanned::default();
         while let Some(at) = self.next_line_end() {
@@ -81,21 +81,21 @@
 
     /// Gives what is left at the end of the stream: bytes that were not passed on, and what they are.
     #[must_use]
-    pub fn finish(self) -> (Bytes, Left) {
+    pub fn finish(self) -> (Bytes, TrailingData) {
         let left = self.left();
         (self.buffer.freeze(), left)
     }
 
-    fn left(&self) -> Left {
+    fn left(&self) -> TrailingData {
         let line = self.unmarked(&self.buffer[self.line..]);
         if self.in_event {
-            Left::Event
+            TrailingData::Event
         } else if line.is_empty() {
-            Left::Nothing
+            TrailingData::Nothing
         } else if line.starts_with(b":") {
-            Left::Comment
+            TrailingData::Comment
         } else {
-            Left::Event
+            TrailingData::Event
         }
     }
 
@@ -156,10 +156,10 @@
         marked.filter(|_| !self.past_mark).unwrap_or(line)
     }
 
-    fn cut(&mut self, whole: Scanned) -> WholeEvents {
+    fn cut(&mut self, whole: Scanned) -> CompleteEvents {
         self.scanned -= whole.end;
         self.line -= whole.end;
-        WholeEvents {
+        CompleteEvents {
             bytes: self.buffer.split_to(whole.end).freeze(),
             count: whole.count,
             last_id: whole.last_id,
--- a/crates/firdock-node/src/endpoint/notice.rs
+++ b/crates/firdock-node/src/endpoint/notice.rs
@@ -26,7 +26,7 @@
     /// What was read.
     pub notice: Notice,
     /// The start of a value that could not be read; it is passed over.
-    pub unread: Option<String>,
+    pub malformed: Option<String>,
 }
 
 impl HeadNotice {
@@ -44,7 +44,7 @@
             match value.as_bytes().trim_ascii() {
                 LEAVES => read.notice.leaving = true,
                 STAYS => {}
-                _ => read.note_unread(value),
+                _ => read.record_malformed(value),
             }
         }
         if status == StatusCode::SERVICE_UNAVAILABLE {
@@ -57,7 +57,7 @@
         let values = headers.get_all(header::RETRY_AFTER);
         for value in values.iter().take(MAX_LINES) {
             let Some(time) = read_seconds(value.as_bytes().trim_ascii()) else {
-                self.note_unread(value);
+                self.record_malformed(value);
                 continue;
             };
             let backoff = time.min(Notice::MAX_BACKOFF);
@@ -68,14 +68,14 @@
         }
     }
 
-    fn note_unread(&mut self, value: &HeaderValue) {
-        self.unread = Some(start_of(value));
+    fn record_malformed(&mut self, value: &HeaderValue) {
+        self.malformed = Some(value_prefix(value));
     }
 }
 
 /// Gives the start of a header's value that cannot be read, as the log tells it.
 #[must_use]
-pub fn start_of(value: &HeaderValue) -> String {
+pub fn value_prefix(value: &HeaderValue) -> String {
     let bytes = value.as_bytes();
     let start = &bytes[..bytes.len().min(UNREAD_BYTES)];
     String::from_utf8_lossy(start).into_owned()
--- a/crates/firdock-node/src/endpoint/own.rs
+++ b/crates/firdock-node/src/endpoint/own.rs
@@ -3,20 +3,20 @@
 use firdock_core::RequestId;
 use firdock_core::resource::EndpointKind;
 
-use super::run::Run;
-use super::{Backends, EngineClient, PlainClient, run_engine, run_plain};
+use super::run::DispatchRun;
+use super::{Dispatcher, EngineClient, PlainClient, run_engine, run_plain};
 use crate::answers::Answers;
 use crate::site::Place;
 
 /// Adapters to the far ends, and the store of answers that resends get.
 #[derive(Debug, Clone)]
-pub struct OwnBackends<E, P> {
+pub struct DirectDispatcher<E, P> {
     engine: E,
     plain: P,
     answers: Answers,
 }
 
-impl<E, P> OwnBackends<E, P> {
+impl<E, P> DirectDispatcher<E, P> {
     /// Puts the adapters together.
     #[must_use]
     pub fn new(engine: E, plain: P, answers: Answers) -> Self {
@@ -28,8 +28,8 @@
     }
 }
 
-impl<E: EngineClient, P: PlainClient> Backends for OwnBackends<E, P> {
-    async fn run(&self, place: Place, run: Run) -> &'static str {
+impl<E: EngineClient, P: PlainClient> Dispatcher for DirectDispatcher<E, P> {
+    async fn run(&self, place: Place, run: DispatchRun) -> &'static str {
         match place.backend {
             EndpointKind::Engine => run_engine::run(self.engine.clone(), run).await,
             EndpointKind::Plain => {
--- a/crates/firdock-node/src/endpoint/plain.rs
+++ b/crates/firdock-node/src/endpoint/plain.rs
@@ -10,9 +10,9 @@
 use hyper::{Request, Response, header};
 
 use super::{
-    DISPATCH_HEADER, EndpointBody, Framing, HeadNotice, Heard, LEAVING_HEADER, LostSnafu,
-    NOT_STARTED_HEADER, PlainAnswer, PlainClient, PlainOrder, RefusedSnafu, StartError,
-    break_cause,
+    DISPATCH_HEADER, EndpointBody, EndpointResponse, Framing, HeadNotice, LEAVING_HEADER,
+    LostSnafu, NOT_STARTED_HEADER, PlainAnswer, PlainClient, PlainRequest, RefusedSnafu,
+    StartError, break_cause,
 };
 use crate::door::REQUEST_ID_HEADER;
 use crate::exchange::AnswerHead;
@@ -36,23 +36,23 @@
     async fn call(
         &self,
         at: SocketAddr,
-        order: PlainOrder<'_>,
+        order: PlainRequest<'_>,
         silence: Duration,
-    ) -> Heard<PlainAnswer> {
+    ) -> EndpointResponse<PlainAnswer> {
         let Some(request) = request(at, order) else {
-            return Heard::nothing(StartError::Refused);
+            return EndpointResponse::without_head(StartError::Refused);
         };
         let Ok(mut connection) = connect(at, self.connect_time).await else {
-            return Heard::nothing(StartError::Unreachable);
+            return EndpointResponse::without_head(StartError::Unreachable);
         };
         let response = match connection.call(request, silence).await {
             Ok(response) => response,
             Err(CallError::Connect { .. } | CallError::ConnectTime { .. }) => {
-                return Heard::nothing(StartError::Unreachable);
+                return EndpointResponse::without_head(StartError::Unreachable);
             }
             Err(e) => {
                 let cause = break_cause(&e);
-                return Heard::nothing(StartError::Lost { cause });
+                return EndpointResponse::without_head(StartError::Lost { cause });
             }
         };
         let head = HeadNotice::read(response.status(), response.headers(), &LEAVING_HEADER);
@@ -70,13 +70,13 @@
                 connection,
             }
         });
-        Heard { head, result }
+        EndpointResponse { head, result }
     }
 }
 
 /// Takes an answer's head: whether it answers the call at all.
 fn take(
-    order: PlainOrder<'_>,
+    order: PlainRequest<'_>,
     mut response: Response<Incoming>,
 ) -> Result<Response<Incoming>, StartError> {
     if response.headers().contains_key(NOT_STARTED_HEADER) {
@@ -94,7 +94,7 @@
     Ok(response)
 }
 
-fn request(at: SocketAddr, order: PlainOrder<'_>) -> Option<Request<Full<bytes::Bytes>>> {
+fn request(at: SocketAddr, order: PlainRequest<'_>) -> Option<Request<Full<bytes::Bytes>>> {
     let body = Full::new(order.body.clone());
     let builder = Request::builder().method(order.method).uri(order.target);
     let mut request = builder.body(body).ok()?;
--- a/crates/firdock-node/src/endpoint/relay.rs
+++ b/crates/firdock-node/src/endpoint/relay.rs
@@ -20,8 +20,8 @@
 
 use self::plain::{keep_failure, pass_plain};
 use self::stream::Stream;
-use super::run::{Run, Stop};
-use super::{Backends, EndpointBody, Framing, HeadNotice, Place, break_cause};
+use super::run::{DispatchError, DispatchRun};
+use super::{Dispatcher, EndpointBody, Framing, HeadNotice, Place, break_cause};
 use crate::exchange::{AnswerHead, Part, Payload};
 use crate::http::{CallError, connect, strip_hop_by_hop};
 use crate::telemetry::LineKind;
@@ -34,7 +34,7 @@
 
 /// What a request to an endpoint has to carry besides what the caller sent.
 #[derive(Debug, Clone, Copy)]
-pub struct RelayOrder<'a> {
+pub struct RelayRequest<'a> {
     /// The request as the caller sent it.
     pub payload: &'a Payload,
     /// Endpoint that must answer, and no other that has its address by now.
@@ -47,7 +47,7 @@
 
 /// What the head of an endpoint's answer says.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reply {
+pub enum ResponseKind {
     /// The request did not run, and the endpoint may take others.
     NotRun,
     /// The request did not run, for another endpoint has the address.
@@ -60,19 +60,19 @@
 
 /// What an endpoint says of its load has another form or is beyond any load.
 #[derive(Debug, Clone, Snafu, PartialEq, Eq)]
-#[snafu(display("no load: {told}"))]
-pub struct BadLoad {
+#[snafu(display("no load: {text}"))]
+pub struct InvalidLoad {
     /// The start of what it says.
-    pub told: String,
+    pub text: String,
 }
 
 /// How a platform's endpoints are spoken to.
 pub trait Dialect: Clone + Send + Sync + 'static {
     /// Puts on the request what the endpoint has to be told.
-    fn address(&self, headers: &mut HeaderMap, order: RelayOrder<'_>);
+    fn add_headers(&self, headers: &mut HeaderMap, order: RelayRequest<'_>);
 
     /// Reads the head of an answer.
-    fn read(&self, payload: &Payload, status: StatusCode, headers: &HeaderMap) -> Reply;
+    fn classify(&self, payload: &Payload, status: StatusCode, headers: &HeaderMap) -> ResponseKind;
 
     /// Reads what the head of an answer says of the endpoint itself, whatever the answer is.
     fn notice(&self, status: StatusCode, headers: &HeaderMap) -> HeadNotice;
@@ -82,7 +82,7 @@
     /// # Errors
     ///
     /// Fails where what it says is no load.
-    fn load(&self, headers: &HeaderMap) -> Result<Option<ServerLoad>, BadLoad>;
+    fn load(&self, headers: &HeaderMap) -> Result<Option<ServerLoad>, InvalidLoad>;
 }
 
 /// Endpoints that get requests as they are.
@@ -103,7 +103,7 @@
     }
 
     /// Makes the request for one dispatch.
-    fn request(&self, run: &Run) -> Option<Request<Full<Bytes>>> {
+    fn request(&self, run: &DispatchRun) -> Option<Request<Full<Bytes>>> {
         let payload = &run.exchange.payload;
         let body = Full::new(payload.body.clone());
         let builder = Request::builder()
@@ -112,26 +112,26 @@
         let mut request = builder.body(body).ok()?;
         let last_event = run.delivered().last_event.clone();
         let now = run.clock.now();
-        let order = RelayOrder {
+        let order = RelayRequest {
             payload,
             endpoint: &run.dispatch.endpoint,
             left: run.dispatch.deadline.map(|by| by.saturating_sub(now)),
             last_event: last_event.as_deref(),
         };
         request.headers_mut().clone_from(&payload.headers);
-        self.dialect.address(request.headers_mut(), order);
+        self.dialect.add_headers(request.headers_mut(), order);
         Some(request)
     }
 
     /// Tells the scheduler what an answer's head says of the endpoint's pace.
-    async fn take_load(&self, run: &Run, headers: &HeaderMap) {
+    async fn take_load(&self, run: &DispatchRun, headers: &HeaderMap) {
         match self.dialect.load(headers) {
             Ok(load) => {
                 if let Some(pace) = load.and_then(|load| load.pace) {
                     run.tell_pace(pace).await;
                 }
             }
-            Err(bad) => run.tell_unread(LineKind::BadLoad, bad.told).await,
+            Err(invalid) => run.tell_unread(LineKind::BadLoad, invalid.text).await,
         }
     }
 
@@ -139,23 +139,23 @@
     async fn take(
         &self,
         place: Place,
-        run: &Run,
+        run: &DispatchRun,
         mut response: Response<Incoming>,
     ) -> &'static str {
         let payload = &run.exchange.payload;
         let status = response.status();
-        let reply = self.dialect.read(payload, status, response.headers());
+        let reply = self.dialect.classify(payload, status, response.headers());
         // First of all, whatever becomes of the answer; of one by another endpoint, it is that one's.
         let head = match reply {
-            Reply::Misdirected => HeadNotice::default(),
+            ResponseKind::Misdirected => HeadNotice::default(),
             _ => self.dialect.notice(status, response.headers()),
         };
         run.tell_notice(&head).await;
         match reply {
-            Reply::NotRun => return run.not_sent(false).await,
-            Reply::Misdirected => return run.not_sent(true).await,
-            Reply::Foreign => return run.tell_broken(BreakCause::Foreign).await,
-            Reply::Answer => {}
+            ResponseKind::NotRun => return run.not_sent(false).await,
+            ResponseKind::Misdirected => return run.not_sent(true).await,
+            ResponseKind::Foreign => return run.tell_broken(BreakCause::Foreign).await,
+            ResponseKind::Answer => {}
         }
         self.take_load(run, response.headers()).await;
         let framing = Framing::read(&payload.method, status, response.headers());
@@ -187,8 +187,8 @@
     }
 }
 
-impl<D: Dialect> Backends for Relay<D> {
-    async fn run(&self, place: Place, run: Run) -> &'static str {
+impl<D: Dialect> Dispatcher for Relay<D> {
+    async fn run(&self, place: Place, run: DispatchRun) -> &'static str {
         let limit = run.dispatch.deadline.map_or(NO_DEADLINE, |by| {
             by.saturating_sub(run.clock.now()) + PAST_DEADLINE
         });
@@ -219,7 +219,7 @@
 }
 
 /// Tells the scheduler how the answer ended.
-async fn finish(run: &Run, passed: Result<(), Stop>, output: u32) -> &'static str {
+async fn finish(run: &DispatchRun, passed: Result<(), DispatchError>, output: u32) -> &'static str {
     match passed {
         Ok(()) => {
             run.exchange.reply.note_whole();
@@ -233,10 +233,10 @@
             let _ = run.pass(Part::End).await;
             "answered"
         }
-        Err(Stop::Caller) => {
+        Err(DispatchError::CallerGone) => {
             run.tell_caller_left().await;
             "caller-left"
         }
-        Err(Stop::Endpoint(cause)) => run.tell_broken(cause).await,
+        Err(DispatchError::EndpointFailed(cause)) => run.tell_broken(cause).await,
     }
 }
--- a/crates/firdock-node/src/endpoint/relay/plain.rs
+++ b/crates/firdock-node/src/endpoint/relay/plain.rs
@@ -8,8 +8,8 @@
 use tokio::time::timeout;
 
 use super::finish;
-use crate::endpoint::run::{Run, Stop};
-use crate::endpoint::{EndpointBody, Shape};
+use crate::endpoint::run::{DispatchError, DispatchRun};
+use crate::endpoint::{BodyState, EndpointBody};
 use crate::exchange::{AnswerHead, Part, WholeAnswer};
 
 /// Longest answer that is taken whole before any of it is passed on.
@@ -19,7 +19,11 @@
 const WHOLE_BYTES: usize = 64 << 10;
 
 /// Passes an answer on that is no stream.
-pub(super) async fn pass_plain(run: &Run, head: AnswerHead, body: EndpointBody) -> &'static str {
+pub(super) async fn pass_plain(
+    run: &DispatchRun,
+    head: AnswerHead,
+    body: EndpointBody,
+) -> &'static str {
     let passed = match read_whole(run, body).await {
         Ok(Whole::All(bytes)) => {
             run.exchange.reply.note_whole();
@@ -40,7 +44,7 @@
 
 /// Keeps an answer with which an endpoint failed, where it is short and comes whole at once; its caller
 /// gets it if no other endpoint does better.
-pub(super) async fn keep_failure(run: &Run, head: AnswerHead, body: EndpointBody) {
+pub(super) async fn keep_failure(run: &DispatchRun, head: AnswerHead, body: EndpointBody) {
     if head.unframed {
         // Whether it is whole would not be known.
         return;
@@ -60,13 +64,14 @@
     Part(Bytes, EndpointBody),
 }
 
-async fn read_whole(run: &Run, mut body: EndpointBody) -> Result<Whole, Stop> {
+async fn read_whole(run: &DispatchRun, mut body: EndpointBody) -> Result<Whole, DispatchError> {
     let mut read = BytesMut::new();
     loop {
         match run.read(&mut body).await {
             Ok(bytes) => read.extend_from_slice(&bytes),
             Err(ending) => {
-                run.settle(body.framing(), ending, Shape::Opaque).await?;
+                run.settle(body.framing(), ending, BodyState::Opaque)
+                    .await?;
                 return Ok(Whole::All(read.freeze()));
             }
         }
@@ -76,7 +81,11 @@
     }
 }
 
-async fn pass_start(run: &Run, head: AnswerHead, bytes: Bytes) -> Result<(), Stop> {
+async fn pass_start(
+    run: &DispatchRun,
+    head: AnswerHead,
+    bytes: Bytes,
+) -> Result<(), DispatchError> {
     run.tell(DispatchNews::Started { head_sent: true }).await;
     run.pass(Part::Head(head)).await?;
     if bytes.is_empty() {
@@ -85,11 +94,11 @@
     run.pass(Part::Data(bytes)).await
 }
 
-async fn pass_rest(run: &Run, mut body: EndpointBody) -> Result<(), Stop> {
+async fn pass_rest(run: &DispatchRun, mut body: EndpointBody) -> Result<(), DispatchError> {
     loop {
         match run.read(&mut body).await {
             Ok(bytes) => run.pass(Part::Data(bytes)).await?,
-            Err(ending) => return run.settle(body.framing(), ending, Shape::Opaque).await,
+            Err(ending) => return run.settle(body.framing(), ending, BodyState::Opaque).await,
         }
     }
 }
--- a/crates/firdock-node/src/endpoint/relay/stream.rs
+++ b/crates/firdock-node/src/endpoint/relay/stream.rs
@@ -4,14 +4,14 @@
 use hyper::header;
 
 use super::finish;
-use crate::endpoint::events::{EventCutter, WholeEvents};
-use crate::endpoint::run::{Run, Stop};
-use crate::endpoint::{EndpointBody, Shape};
+use crate::endpoint::events::{CompleteEvents, EventSplitter};
+use crate::endpoint::run::{DispatchError, DispatchRun};
+use crate::endpoint::{BodyState, EndpointBody};
 use crate::exchange::{AnswerHead, Part};
 
 /// A stream of events on its way to the caller.
 pub(super) struct Stream<'a> {
-    run: &'a Run,
+    run: &'a DispatchRun,
     /// Head of the answer, until it is passed on.
     head: Option<AnswerHead>,
     event_tokens: u32,
@@ -22,7 +22,7 @@
     /// Makes the stream of a run whose answer began with a head.
     ///
     /// Events that come from several endpoints have another length together than the first one told.
-    pub(super) fn new(run: &'a Run, mut head: AnswerHead, event_tokens: u32) -> Self {
+    pub(super) fn new(run: &'a DispatchRun, mut head: AnswerHead, event_tokens: u32) -> Self {
         if run.exchange.payload.terms.repeatable {
             head.headers.remove(header::CONTENT_LENGTH);
         }
@@ -43,8 +43,8 @@
         finish(self.run, passed, output).await
     }
 
-    async fn pass_events(&mut self, mut body: EndpointBody) -> Result<(), Stop> {
-        let mut cutter = EventCutter::default();
+    async fn pass_events(&mut self, mut body: EndpointBody) -> Result<(), DispatchError> {
+        let mut cutter = EventSplitter::default();
         let ending = loop {
             let bytes = match self.run.read(&mut body).await {
                 Ok(bytes) => bytes,
@@ -52,7 +52,7 @@
             };
             let whole = cutter
                 .push(&bytes)
-                .map_err(|_too_long| Stop::Endpoint(BreakCause::Foreign))?;
+                .map_err(|_too_long| DispatchError::EndpointFailed(BreakCause::Foreign))?;
             if let Some(events) = whole {
                 self.pass_whole(events).await?;
             }
@@ -63,7 +63,7 @@
         if let Some(end) = &mut self.run.delivered().end {
             end.leftover = rest.len();
         }
-        let shape = Shape::Events { begun, left };
+        let shape = BodyState::Events { begun, left };
         self.run.settle(body.framing(), ending, shape).await?;
         self.begin().await?;
         if rest.is_empty() {
@@ -72,7 +72,7 @@
         self.run.pass(Part::Data(rest)).await
     }
 
-    async fn pass_whole(&mut self, events: WholeEvents) -> Result<(), Stop> {
+    async fn pass_whole(&mut self, events: CompleteEvents) -> Result<(), DispatchError> {
         self.begin().await?;
         self.note(events.count, events.last_id);
         self.run.pass(Part::Data(events.bytes)).await?;
@@ -118,7 +118,7 @@
     }
 
     /// Passes the head on, once over all dispatches of the request.
-    async fn begin(&mut self) -> Result<(), Stop> {
+    async fn begin(&mut self) -> Result<(), DispatchError> {
         let Some(head) = self.head.take() else {
             return Ok(());
         };
--- a/crates/firdock-node/src/endpoint/report.rs
+++ b/crates/firdock-node/src/endpoint/report.rs
@@ -14,7 +14,7 @@
 const MAX_BLOCKS: usize = 4_096;
 
 /// Reads an endpoint's reports until the scheduler is gone.
-pub async fn watch_reports<R: ReportSource>(
+pub async fn poll_reports<R: ReportSource>(
     source: R,
     target: Target,
     pause: Duration,
--- a/crates/firdock-node/src/endpoint/run.rs
+++ b/crates/firdock-node/src/endpoint/run.rs
@@ -1,6 +1,6 @@
 //! What driving a dispatch needs, whatever kind of endpoint it goes to.
 //!
-//! A [`Run`] is the way to the caller and to the scheduler, so that no kind of endpoint has its own
+//! A [`DispatchRun`] is the way to the caller and to the scheduler, so that no kind of endpoint has its own
 //! rules for a caller who does not read or for a key whose confirmation lapsed.
 
 use std::sync::{Arc, MutexGuard};
@@ -18,7 +18,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::timeout;
 
-use super::ending::{AnswerEnd, Ending, Framing, Shape, Verdict, judge};
+use super::ending::{AnswerEnd, BodyState, Completeness, Ending, Framing, assess_completeness};
 use super::{EndpointBody, HeadNotice, Target};
 use crate::clock::Clock;
 use crate::exchange::{Delivered, Exchange, Part};
@@ -27,7 +27,7 @@
 
 /// Time limits of a dispatch.
 #[derive(Debug, Clone, Copy)]
-pub struct RunLimits {
+pub struct DispatchLimits {
     /// Longest time for a connect.
     pub connect: Duration,
     /// Longest silence of an endpoint.
@@ -36,7 +36,7 @@
     pub caller_stall: Duration,
 }
 
-impl RunLimits {
+impl DispatchLimits {
     /// Takes the limits from the endpoints' part of the settings.
     #[must_use]
     pub fn new(endpoints: &Endpoints) -> Self {
@@ -50,7 +50,7 @@
 
 /// What every driver of a dispatch needs.
 #[derive(Debug, Clone)]
-pub struct Run {
+pub struct DispatchRun {
     /// The request and the way back to its caller.
     pub exchange: Arc<Exchange>,
     /// The order.
@@ -60,7 +60,7 @@
     /// Start of the endpoint that is meant.
     pub start: StartId,
     /// Time limits.
-    pub limits: RunLimits,
+    pub limits: DispatchLimits,
     /// Way to the scheduler.
     pub inputs: mpsc::Sender<Input>,
     /// Clock, for the last look at the key's confirmation.
@@ -68,12 +68,12 @@
     /// Trace of this hop.
     pub trace: TraceContext,
     /// What has become of the endpoint since.
-    pub since: watch::Receiver<Since>,
+    pub since: watch::Receiver<EndpointChange>,
 }
 
 /// What has become of a dispatch's endpoint since it was chosen.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum Since {
+pub enum EndpointChange {
     /// Nothing that changes the choice.
     #[default]
     Unchanged,
@@ -85,14 +85,14 @@
 
 /// How a step of a dispatch ended it early.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Stop {
+pub enum DispatchError {
     /// The caller does not read or is gone.
-    Caller,
+    CallerGone,
     /// The endpoint was lost.
-    Endpoint(BreakCause),
+    EndpointFailed(BreakCause),
 }
 
-impl Run {
+impl DispatchRun {
     /// Tells the scheduler something about this dispatch.
     pub async fn tell(&self, news: DispatchNews) {
         let (id, dispatch) = (self.dispatch.id, self.dispatch.dispatch);
@@ -115,8 +115,9 @@
     /// A task of its own tells it: this one is ended at any moment when its caller leaves, and the word
     /// would be lost with it where the way to the scheduler is full.
     pub async fn tell_notice(&self, head: &HeadNotice) {
-        if let Some(unread) = &head.unread {
-            self.tell_unread(LineKind::BadNotice, unread.clone()).await;
+        if let Some(malformed) = &head.malformed {
+            self.tell_unread(LineKind::BadNotice, malformed.clone())
+                .await;
         }
         if head.notice.is_empty() {
             return;
@@ -145,11 +146,11 @@
     /// # Errors
     ///
     /// Fails with [`Stop::Caller`].
-    pub async fn pass(&self, part: Part) -> Result<(), Stop> {
+    pub async fn pass(&self, part: Part) -> Result<(), DispatchError> {
         let sending = timeout(self.limits.caller_stall, self.exchange.reply.send(part)).await;
         match sending {
             Ok(Ok(())) => Ok(()),
-            _ => Err(Stop::Caller),
+            _ => Err(DispatchError::CallerGone),
         }
     }
 
@@ -189,13 +190,13 @@
         }
         let since = *self.since.borrow();
         match since {
-            Since::Unchanged => None,
-            Since::Closed => {
+            EndpointChange::Unchanged => None,
+            EndpointChange::Closed => {
                 self.tell(DispatchNews::Withheld).await;
                 Some("withheld")
             }
             // The start that was meant is gone, and its successor has not got the request.
-            Since::Restarted => Some(self.not_sent(true).await),
+            EndpointChange::Restarted => Some(self.not_sent(true).await),
         }
     }
 
@@ -211,7 +212,7 @@
         tokio::select! {
             biased;
             got = wait => Ok(got),
-            Ok(_) = since.wait_for(|s| *s == Since::Restarted) => Err(Ending::Restarted),
+            Ok(_) = since.wait_for(|s| *s == EndpointChange::Restarted) => Err(Ending::Restarted),
         }
     }
 
@@ -247,20 +248,22 @@
         &self,
         framing: Framing,
         ending: Ending,
-        shape: Shape,
-    ) -> Result<(), Stop> {
+        shape: BodyState,
+    ) -> Result<(), DispatchError> {
         if let Some(end) = &mut self.delivered().end {
             end.ending = Some(ending);
         }
-        match judge(framing, ending, shape) {
+        match assess_completeness(framing, ending, shape) {
             // An earlier head promised an end that would claim more than is known.
-            Verdict::Unproven if self.delivered().framed => Err(Stop::Endpoint(BreakCause::Closed)),
-            Verdict::Unproven => {
+            Completeness::Unproven if self.delivered().framed => {
+                Err(DispatchError::EndpointFailed(BreakCause::Closed))
+            }
+            Completeness::Unproven => {
                 self.tell(DispatchNews::Unproven).await;
                 Ok(())
             }
-            Verdict::Whole => Ok(()),
-            Verdict::Broken(cause) => Err(Stop::Endpoint(cause)),
+            Completeness::Complete => Ok(()),
+            Completeness::Broken(cause) => Err(DispatchError::EndpointFailed(cause)),
         }
     }
 
--- a/crates/firdock-node/src/endpoint/run_engine.rs
+++ b/crates/firdock-node/src/endpoint/run_engine.rs
@@ -7,8 +7,8 @@
 use hyper::header::{self, HeaderValue};
 use hyper::{HeaderMap, StatusCode};
 
-use super::run::{Run, Stop};
-use super::{EngineClient, EngineOrder, EngineUsage, StartError, StreamError};
+use super::run::{DispatchError, DispatchRun};
+use super::{EngineClient, EngineRequest, EngineUsage, StartError, StreamError};
 use super::{TokenEvent, TokenStream};
 use crate::door::ModelCall;
 use crate::exchange::{AnswerHead, Part};
@@ -21,7 +21,7 @@
 const MAX_TEXT_BYTES: usize = 8 << 20;
 
 /// Runs a dispatch to a model engine; gives a word on how it ended for the trace.
-pub async fn run<E: EngineClient>(engine: E, run: Run) -> &'static str {
+pub async fn run<E: EngineClient>(engine: E, run: DispatchRun) -> &'static str {
     let Some(call) = run.exchange.payload.model.clone() else {
         return "no-model-call";
     };
@@ -29,7 +29,7 @@
         return word;
     }
     let text = run.delivered().text.clone();
-    let order = EngineOrder {
+    let order = EngineRequest {
         id: run.id(),
         dispatch: run.dispatch.dispatch,
         resume_from: run.dispatch.resume_from,
@@ -46,7 +46,7 @@
     }
 }
 
-async fn not_started(run: &Run, error: StartError) -> &'static str {
+async fn not_started(run: &DispatchRun, error: StartError) -> &'static str {
     match error {
         StartError::Unreachable => run.not_sent(true).await,
         StartError::Refused => run.not_sent(false).await,
@@ -56,7 +56,7 @@
 }
 
 /// Passes an engine's own error on as the caller's answer.
-async fn pass_error(run: &Run, status: u16, body: Bytes) -> &'static str {
+async fn pass_error(run: &DispatchRun, status: u16, body: Bytes) -> &'static str {
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
     let head = AnswerHead {
         status,
@@ -83,8 +83,8 @@
 /// Follows the stream to its end, taking it up again where its connection breaks.
 async fn follow<E: EngineClient>(
     engine: &E,
-    run: &Run,
-    order: EngineOrder<'_>,
+    run: &DispatchRun,
+    order: EngineRequest<'_>,
     mut stream: E::Stream,
 ) -> &'static str {
     let mut relay = Relay {
@@ -98,7 +98,7 @@
         let Ok(next) = run.while_alive(stream.next(run.limits.silence)).await else {
             return run.tell_broken(BreakCause::Restarted).await;
         };
-        run.delivered().end = Some(stream.course());
+        run.delivered().end = Some(stream.answer_end());
         match next {
             Ok(Some(event)) => {
                 if relay.pass(event).await.is_err() {
@@ -125,14 +125,14 @@
 
 /// Passes token events on in the form that the caller asked for.
 struct Relay<'a> {
-    run: &'a Run,
+    run: &'a DispatchRun,
     call: &'a ModelCall,
     usage: EngineUsage,
     begun: bool,
 }
 
 impl Relay<'_> {
-    async fn pass(&mut self, mut event: TokenEvent) -> Result<(), Stop> {
+    async fn pass(&mut self, mut event: TokenEvent) -> Result<(), DispatchError> {
         if let Some(usage) = event.usage {
             self.usage = usage;
         }
@@ -158,7 +158,7 @@
     }
 
     /// Tells the scheduler that the answer began.
-    async fn begin(&mut self) -> Result<(), Stop> {
+    async fn begin(&mut self) -> Result<(), DispatchError> {
         self.begun = true;
         let head_sent = self.call.stream;
         self.run.tell(DispatchNews::Started { head_sent }).await;
@@ -166,7 +166,7 @@
     }
 
     /// Passes the head of a streamed answer on, once over all dispatches.
-    async fn begin_stream(&self) -> Result<(), Stop> {
+    async fn begin_stream(&self) -> Result<(), DispatchError> {
         if std::mem::replace(&mut self.run.delivered().head_sent, true) {
             return Ok(());
         }
@@ -181,12 +181,12 @@
     }
 
     /// Adds the event to what has been passed on.
-    fn note(&self, event: &TokenEvent) -> Result<(), Stop> {
+    fn note(&self, event: &TokenEvent) -> Result<(), DispatchError> {
         let mut delivered = self.run.delivered();
         delivered.tokens = delivered.tokens.max(event.offset + event.tokens);
         delivered.text.push_str(&event.text);
         if delivered.text.len() > MAX_TEXT_BYTES {
-            Err(Stop::Caller)
+            Err(DispatchError::CallerGone)
         } else {
             Ok(())
         }
@@ -215,7 +215,7 @@
     }
 
     /// Passes on what closes the answer.
-    async fn pass_end(&self, output: u32) -> Result<(), Stop> {
+    async fn pass_end(&self, output: u32) -> Result<(), DispatchError> {
         if self.call.stream {
             self.begin_stream().await?;
             return self
--- a/crates/firdock-node/src/endpoint/run_plain.rs
+++ b/crates/firdock-node/src/endpoint/run_plain.rs
@@ -4,18 +4,18 @@
 use firdock_policy::event::{BreakCause, DispatchNews};
 use tokio::time::timeout;
 
-use super::run::{Run, Stop};
-use super::{Ending, EndpointBody, PlainAnswer, PlainClient, PlainOrder, Shape, StartError};
+use super::run::{DispatchError, DispatchRun};
+use super::{BodyState, Ending, EndpointBody, PlainAnswer, PlainClient, PlainRequest, StartError};
 use crate::answers::{Answers, KeptAnswer};
 use crate::exchange::Part;
 
 /// Runs a dispatch to a plain server; gives a word on how it ended for the trace.
-pub async fn run<P: PlainClient>(plain: P, run: Run, answers: Answers) -> &'static str {
+pub async fn run<P: PlainClient>(plain: P, run: DispatchRun, answers: Answers) -> &'static str {
     if let Some(word) = run.stopped_before_write().await {
         return word;
     }
     let payload = &run.exchange.payload;
-    let order = PlainOrder {
+    let order = PlainRequest {
         id: run.dispatch.id,
         dispatch: run.dispatch.dispatch,
         method: &payload.method,
@@ -37,7 +37,7 @@
     }
 }
 
-async fn relay(run: &Run, answer: PlainAnswer, answers: &Answers) -> &'static str {
+async fn relay(run: &DispatchRun, answer: PlainAnswer, answers: &Answers) -> &'static str {
     let PlainAnswer {
         head,
         body,
@@ -71,20 +71,20 @@
             let _ = run.pass(Part::End).await;
             "answered"
         }
-        Err(Stop::Caller) => {
+        Err(DispatchError::CallerGone) => {
             run.tell_caller_left().await;
             "caller-left"
         }
-        Err(Stop::Endpoint(cause)) => run.tell_broken(cause).await,
+        Err(DispatchError::EndpointFailed(cause)) => run.tell_broken(cause).await,
     }
 }
 
 /// Passes the body on to its end; an end that comes early is an error of the connection.
 async fn pass_body(
-    run: &Run,
+    run: &DispatchRun,
     mut body: EndpointBody,
     kept: &mut Option<KeptAnswer>,
-) -> Result<(), Stop> {
+) -> Result<(), DispatchError> {
     loop {
         let next = timeout(run.limits.silence, body.next()).await;
         match next.unwrap_or(Err(Ending::Silent)) {
@@ -93,7 +93,7 @@
                 keep(kept, &bytes);
                 run.pass(Part::Data(bytes)).await?;
             }
-            Err(ending) => return run.settle(body.framing(), ending, Shape::Opaque).await,
+            Err(ending) => return run.settle(body.framing(), ending, BodyState::Opaque).await,
         }
     }
 }
--- a/crates/firdock-node/src/endpoint/sse.rs
+++ b/crates/firdock-node/src/endpoint/sse.rs
@@ -18,7 +18,7 @@
 /// The bytes are no event stream.
 #[derive(Debug, Snafu, Clone, Copy, PartialEq, Eq)]
 #[snafu(display("no event stream, or an event of more than {MAX_EVENT_BYTES} bytes"))]
-pub struct NoEventStream;
+pub struct InvalidEventStream;
 
 /// Puts events together from bytes as they come.
 #[derive(Debug, Default)]
@@ -45,23 +45,23 @@
     /// # Errors
     ///
     /// Fails on text that is not UTF-8 and on events that are too long.
-    pub fn next_event(&mut self) -> Result<Option<SseEvent>, NoEventStream> {
+    pub fn next_event(&mut self) -> Result<Option<SseEvent>, InvalidEventStream> {
         while let Some(end) = self.buffer.iter().position(|b| *b == b'\n') {
             let line = self.buffer.split_to(end + 1);
             let line = line.strip_suffix(b"\n").unwrap_or(&line);
             let line = line.strip_suffix(b"\r").unwrap_or(line);
             let Ok(line) = std::str::from_utf8(line) else {
-                return NoEventStreamSnafu.fail();
+                return InvalidEventStreamSnafu.fail();
             };
             if let Some(event) = take_line(line, &mut self.data, &mut self.has_data) {
                 return Ok(Some(event));
             }
             if self.data.len() > MAX_EVENT_BYTES {
-                return NoEventStreamSnafu.fail();
+                return InvalidEventStreamSnafu.fail();
             }
         }
         if self.buffer.len() > MAX_EVENT_BYTES {
-            return NoEventStreamSnafu.fail();
+            return InvalidEventStreamSnafu.fail();
         }
         Ok(None)
     }
--- a/crates/firdock-node/src/instance/parts.rs
+++ b/crates/firdock-node/src/instance/parts.rs
@@ -22,8 +22,8 @@
 use crate::config::{DutySettings, FollowParts, Hub, follow, watch_list};
 use crate::door::{Door, DoorLimits, OwnInterface};
 use crate::driver::{Driver, DriverParts};
-use crate::endpoint::run::RunLimits;
-use crate::endpoint::{HttpEngine, HttpPlain, OwnBackends, Target, watch_reports};
+use crate::endpoint::run::DispatchLimits;
+use crate::endpoint::{DirectDispatcher, HttpEngine, HttpPlain, Target, poll_reports};
 use crate::exchange::AnswerRoom;
 use crate::input::Input;
 use crate::operator::{OperatorServer, Watchers, serve_operators};
@@ -105,18 +105,18 @@
         inputs: &mpsc::Sender<Input>,
         news: watch::Sender<SelfNews>,
         drained: watch::Sender<bool>,
-    ) -> Driver<OwnBackends<HttpEngine, HttpPlain>> {
+    ) -> Driver<DirectDispatcher<HttpEngine, HttpPlain>> {
         let settings = PolicySettings::new(&self.settings, self.member.incarnation);
         let e = &self.settings.endpoints;
         let plain = HttpPlain::new(Duration::from_millis(e.connect_millis));
         let parts = DriverParts {
-            backends: OwnBackends::new(self.engine, plain, self.answers.clone()),
+            dispatcher: DirectDispatcher::new(self.engine, plain, self.answers.clone()),
             dialer: self.dialer.clone(),
             site: Arc::clone(&self.site),
             answers: self.answers.clone(),
             room: self.room.clone(),
             metrics: Arc::clone(&self.metrics),
-            limits: RunLimits::new(e),
+            limits: DispatchLimits::new(e),
             clock: self.clock,
             log: self.log.new(o!("part" => "driver")),
             lines: Arc::clone(&self.lines),
@@ -229,7 +229,7 @@
                         name: name.clone(),
                         address: place.address,
                     };
-                    let watching = watch_reports(self.engine, target, pause, limit, inputs.clone());
+                    let watching = poll_reports(self.engine, target, pause, limit, inputs.clone());
                     (place.address, tokio::spawn(watching))
                 });
             }
--- a/crates/firdock-node/src/instance/start.rs
+++ b/crates/firdock-node/src/instance/start.rs
@@ -11,7 +11,7 @@
 use tokio::sync::{mpsc, watch};
 
 use crate::driver::Driver;
-use crate::endpoint::{HttpEngine, HttpPlain, OwnBackends};
+use crate::endpoint::{DirectDispatcher, HttpEngine, HttpPlain};
 use crate::http::listen;
 use crate::input::Input;
 
@@ -66,7 +66,7 @@
 ///
 /// A panic there is a broken promise, so the process ends instead of going on without it.
 pub(super) fn spawn_driver(
-    driver: Driver<OwnBackends<HttpEngine, HttpPlain>>,
+    driver: Driver<DirectDispatcher<HttpEngine, HttpPlain>>,
     waiting: mpsc::Receiver<Input>,
     stop: watch::Receiver<bool>,
 ) -> Result<thread::JoinHandle<()>, StartError> {
--- a/crates/firdock-node/tests/node/endings.rs
+++ b/crates/firdock-node/tests/node/endings.rs
@@ -5,8 +5,8 @@
 
 use bytes::Bytes;
 use firdock_node::endpoint::{
-    Ending, EngineClient as _, EventCutter, Framing, HttpEngine, KvCache, Left, ReportSource as _,
-    Shape, Verdict, judge,
+    BodyState, Completeness, Ending, EngineClient as _, EventSplitter, Framing, HttpEngine,
+    KvCache, ReportSource as _, TrailingData, assess_completeness,
 };
 use firdock_policy::event::BreakCause;
 use hyper::header::{self, HeaderValue};
@@ -32,29 +32,29 @@
     Framing::Connection,
 ];
 
-fn events(begun: bool, left: Left) -> Shape {
-    Shape::Events { begun, left }
+fn events(begun: bool, left: TrailingData) -> BodyState {
+    BodyState::Events { begun, left }
 }
 
 // Guards against ends by a lost connection that count as the end of an answer.
 #[test]
 fn only_its_framing_or_an_orderly_close_without_one_ends_an_answer() {
     let shapes = [
-        Shape::Opaque,
-        events(true, Left::Nothing),
-        Shape::Delimited { ended: true },
+        BodyState::Opaque,
+        events(true, TrailingData::Nothing),
+        BodyState::Delimited { ended: true },
     ];
     for framing in FRAMINGS {
         for ending in ENDINGS {
             let closed = framing == Framing::Connection && ending == Ending::Closed;
             for shape in shapes {
-                let told = judge(framing, ending, shape);
-                let is_broken = matches!(told, Verdict::Broken(_));
+                let told = assess_completeness(framing, ending, shape);
+                let is_broken = matches!(told, Completeness::Broken(_));
                 let ends = ending == Ending::Framed || closed;
                 assert_eq!(is_broken, !ends, "{framing:?} {ending:?} {shape:?}");
-                let proven = !closed || shape == Shape::Delimited { ended: true };
+                let proven = !closed || shape == BodyState::Delimited { ended: true };
                 assert_eq!(
-                    told == Verdict::Whole,
+                    told == Completeness::Complete,
                     ends && proven,
                     "{framing:?} {ending:?}"
                 );
@@ -66,31 +66,39 @@
 // Guards against streams that end inside an event, or before the first one, and count as whole.
 #[test]
 fn a_stream_that_ends_inside_an_event_is_broken_whatever_its_framing() {
-    let closed = |shape| judge(Framing::Connection, Ending::Closed, shape);
-    let framed = |shape| judge(Framing::Chunks, Ending::Framed, shape);
+    let closed = |shape| assess_completeness(Framing::Connection, Ending::Closed, shape);
+    let framed = |shape| assess_completeness(Framing::Chunks, Ending::Framed, shape);
     let cases = [
         (
-            events(true, Left::Event),
+            events(true, TrailingData::Event),
             Some(BreakCause::Closed),
             Some(BreakCause::Foreign),
         ),
-        (events(true, Left::Comment), Some(BreakCause::Closed), None),
-        (events(false, Left::Nothing), Some(BreakCause::Closed), None),
         (
-            events(false, Left::Event),
+            events(true, TrailingData::Comment),
+            Some(BreakCause::Closed),
+            None,
+        ),
+        (
+            events(false, TrailingData::Nothing),
+            Some(BreakCause::Closed),
+            None,
+        ),
+        (
+            events(false, TrailingData::Event),
             Some(BreakCause::Closed),
             Some(BreakCause::Foreign),
         ),
-        (events(true, Left::Nothing), None, None),
+        (events(true, TrailingData::Nothing), None, None),
         (
-            Shape::Delimited { ended: false },
+            BodyState::Delimited { ended: false },
             Some(BreakCause::Closed),
             Some(BreakCause::Foreign),
         ),
     ];
     for (shape, by_close, by_framing) in cases {
-        let by_close = by_close.map_or(Verdict::Unproven, Verdict::Broken);
-        let by_framing = by_framing.map_or(Verdict::Whole, Verdict::Broken);
+        let by_close = by_close.map_or(Completeness::Unproven, Completeness::Broken);
+        let by_framing = by_framing.map_or(Completeness::Complete, Completeness::Broken);
         assert_eq!(closed(shape), by_close, "{shape:?}");
         assert_eq!(framed(shape), by_framing, "{shape:?}");
     }
@@ -102,17 +110,17 @@
     passed: Vec<u8>,
     count: u32,
     id: Option<String>,
-    left: Left,
+    left: TrailingData,
 }
 
 /// Cuts a stream that comes in parts of these lengths.
 fn cut(bytes: &[u8], lengths: &[usize]) -> Cut {
-    let mut cutter = EventCutter::default();
+    let mut cutter = EventSplitter::default();
     let mut given = Cut {
         passed: Vec::new(),
         count: 0,
         id: None,
-        left: Left::Nothing,
+        left: TrailingData::Nothing,
     };
     let mut rest = bytes;
     let mut lengths = lengths.iter().cycle();
@@ -135,65 +143,89 @@
 // Guards against ends of events that are not seen, or seen where none are, by the published format.
 #[test]
 fn events_end_at_a_blank_line_whatever_ends_the_lines() {
-    let cases: [(&str, &str, u32, Option<&str>, Left); 17] = [
+    let cases: [(&str, &str, u32, Option<&str>, TrailingData); 17] = [
         (
             "id: 1\ndata: a\n\n",
             "id: 1\ndata: a\n\n",
             1,
             Some("1"),
-            Left::Nothing,
+            TrailingData::Nothing,
         ),
         (
             "id: 1\rdata: a\r\r",
             "id: 1\rdata: a\r\r",
             1,
             Some("1"),
-            Left::Nothing,
+            TrailingData::Nothing,
         ),
         (
             "id: 1\r\ndata: a\r\n\r\n",
             "id: 1\r\ndata: a\r\n\r\n",
             1,
             Some("1"),
-            Left::Nothing,
+            TrailingData::Nothing,
+        ),
+        (
+            "data: a\n\r\n",
+            "data: a\n\r\n",
+            1,
+            None,
+            TrailingData::Nothing,
+        ),
+        (
+            "data: a\r\n\n",
+            "data: a\r\n\n",
+            1,
+            None,
+            TrailingData::Nothing,
+        ),
+        ("data: a\n\r", "data: a\n\r", 1, None, TrailingData::Nothing),
+        ("data: a\r\n", "", 0, None, TrailingData::Event),
+        ("data: a\n", "", 0, None, TrailingData::Event),
+        ("data: a", "", 0, None, TrailingData::Event),
+        (
+            "data: a\n\ndata",
+            "data: a\n\n",
+            1,
+            None,
+            TrailingData::Event,
         ),
-        ("data: a\n\r\n", "data: a\n\r\n", 1, None, Left::Nothing),
-        ("data: a\r\n\n", "data: a\r\n\n", 1, None, Left::Nothing),
-        ("data: a\n\r", "data: a\n\r", 1, None, Left::Nothing),
-        ("data: a\r\n", "", 0, None, Left::Event),
-        ("data: a\n", "", 0, None, Left::Event),
-        ("data: a", "", 0, None, Left::Event),
-        ("data: a\n\ndata", "data: a\n\n", 1, None, Left::Event),
         (
             "data: a\n\n\n\r\n",
             "data: a\n\n\n\r\n",
             1,
             None,
-            Left::Nothing,
+            TrailingData::Nothing,
         ),
         (
             "data: a\n\n: bye\n",
             "data: a\n\n: bye\n",
             1,
             None,
-            Left::Nothing,
+            TrailingData::Nothing,
+        ),
+        (
+            "data: a\n\n: by",
+            "data: a\n\n",
+            1,
+            None,
+            TrailingData::Comment,
         ),
-        ("data: a\n\n: by", "data: a\n\n", 1, None, Left::Comment),
-        ("data: a\n: b\n", "", 0, None, Left::Event),
+        ("data: a\n: b\n", "", 0, None, TrailingData::Event),
         (
             "\u{feff}data: a\n\n",
             "\u{feff}data: a\n\n",
             1,
             None,
-            Left::Nothing,
+            TrailingData::Nothing,
         ),
-        ("\u{feff}", "", 0, None, Left::Nothing),
+        ("\u{feff}", "", 0, None, TrailingData::Nothing),
         (
             "id:2\ndata: a\n\nid\ndata: b\n\n",
             "id:2\ndata: a\n\nid\ndata: b\n\n",
             2,
             None,
-            Left::Nothing,
+            TrailingData::Nothing,
         ),
     ];
     for (stream, passed, count, id, left) in cases {
@@ -216,7 +248,7 @@
 // Guards against a caller that is told an answer has begun before its first event is whole.
 #[test]
 fn comments_before_the_first_event_wait_for_it_and_later_ones_do_not() {
-    let mut cutter = EventCutter::default();
+    let mut cutter = EventSplitter::default();
     assert_eq!(cutter.push(b": wait\n\n").expect("short"), None);
     let first = cutter
         .push(b"data: a\n\n")
@@ -236,7 +268,7 @@
 // Guards against an event that waits for what comes after it.
 #[test]
 fn an_event_is_whole_with_the_first_byte_that_ends_it() {
-    let mut cutter = EventCutter::default();
+    let mut cutter = EventSplitter::default();
     let first = cutter
         .push(b"data: a\r\n\r")
         .expect("short")
--- a/crates/firdock-node/tests/node/main.rs
+++ b/crates/firdock-node/tests/node/main.rs
@@ -129,7 +129,7 @@
     decoder.push(&vec![b'x'; 1 << 20]);
     assert!(matches!(
         decoder.next_event(),
-        Err(firdock_node::endpoint::NoEventStream)
+        Err(firdock_node::endpoint::InvalidEventStream)
     ));
 }
 
--- a/crates/firdock-node/tests/node/notice.rs
+++ b/crates/firdock-node/tests/node/notice.rs
@@ -22,7 +22,7 @@
 
 fn backoff(values: &[&[u8]]) -> (Option<Duration>, Option<String>) {
     let read = HeadNotice::read(BUSY, &headers(&RETRY_AFTER, values), &LEAVING);
-    (read.notice.backoff, read.unread)
+    (read.notice.backoff, read.malformed)
 }
 
 #[test]
@@ -101,7 +101,7 @@
             let status = StatusCode::from_u16(status).expect("a status");
             let read = HeadNotice::read(status, &headers(&LEAVING, values), &LEAVING);
             assert_eq!(read.notice.leaving, leaving, "{values:?}");
-            assert_eq!(read.unread.is_some(), unread, "{values:?}");
+            assert_eq!(read.malformed.is_some(), unread, "{values:?}");
         }
     }
 }
@@ -127,7 +127,7 @@
             prop_assert!(!time.is_zero() && time <= Notice::MAX_BACKOFF);
             prop_assert_eq!(status, BUSY);
         }
-        prop_assert!(read.unread.is_none_or(|told| told.chars().count() <= 64));
+        prop_assert!(read.malformed.is_none_or(|told| told.chars().count() <= 64));
     }
 
     /// A number of seconds is read as what it says.
--- a/crates/firdock-standin/src/engine/server/order.rs
+++ b/crates/firdock-standin/src/engine/server/order.rs
@@ -1,6 +1,6 @@
 //! Orders outside any request, and KV caches that are exported and imported.
 
-use firdock_node::endpoint::FencedOrder;
+use firdock_node::endpoint::FencedCommand;
 use hyper::body::Incoming;
 use hyper::{Request, Response};
 use uuid::Uuid;
@@ -37,8 +37,8 @@
 }
 
 pub(super) async fn order(request: Request<Incoming>, shared: &Shared) -> Response<Reply> {
-    use firdock_node::endpoint::EngineRole;
-    let Some(order) = web::read_json::<FencedOrder>(request.into_body()).await else {
+    use firdock_node::endpoint::EngineCommand;
+    let Some(order) = web::read_json::<FencedCommand>(request.into_body()).await else {
         return web::status(400, "no order that this stand-in knows");
     };
     let mut state = shared.lock();
@@ -47,9 +47,9 @@
     }
     state.fence = order.fence;
     match order.order {
-        EngineRole::Leave => state.refuse_work = true,
-        EngineRole::Stay => state.refuse_work = false,
-        EngineRole::LoadModel(_) => {}
+        EngineCommand::Leave => state.refuse_work = true,
+        EngineCommand::Stay => state.refuse_work = false,
+        EngineCommand::LoadModel(_) => {}
     }
     web::status(200, "done")
 }
