--- a/crates/firdock-node/src/endpoint.rs
+++ b/crates/firdock-node/src/endpoint.rs
@@ -4,11 +4,11 @@
 //! traits as generics (see `docs/design/endpoints.md`).
 
 mod body;
+mod direct;
 mod ending;
 mod engine;
 mod events;
 mod notice;
-mod own;
 mod plain;
 pub mod relay;
 mod report;
@@ -30,13 +30,13 @@
 use snafu::Snafu;
 
 pub use body::EndpointBody;
+pub use direct::DirectDispatcher;
 pub use ending::{
     AnswerEnd, BodyState, Completeness, Ending, Framing, TrailingData, assess_completeness,
 };
 pub use engine::HttpEngine;
 pub use events::EventSplitter;
 pub use notice::{HeadNotice, value_prefix};
-pub use own::DirectDispatcher;
 pub use plain::HttpPlain;
 pub use report::poll_reports;
 pub use sse::{InvalidEventStream, SseDecoder, SseEvent};
