--- a/crates/firdock-node/src/driver.rs
+++ b/crates/firdock-node/src/driver.rs
@@ -4,7 +4,7 @@
 //! short timer, so that an instant call never waits for a tick.
 
 mod answer;
-mod look;
+mod liveness;
 mod placement;
 mod send;
 
