--- a/crates/firdock-node/src/driver.rs
+++ b/crates/firdock-node/src/driver.rs
@@ -365,7 +365,7 @@
             Action::GiveUpDispatch { id, dispatch } => {
                 self.tell_dispatch(id, dispatch, EndpointChange::Restarted);
             }
-            Action::Look { endpoint, start } => self.look(&endpoint, start),
+            Action::Look { endpoint, start } => self.check_liveness(&endpoint, start),
             Action::Withhold { id, dispatch } => {
                 self.tell_dispatch(id, dispatch, EndpointChange::Closed)
             }
--- a/crates/firdock-node/src/driver/liveness.rs
+++ b/crates/firdock-node/src/driver/liveness.rs
@@ -21,7 +21,7 @@
 
 impl<B: Dispatcher> Driver<B> {
     /// Looks whether an endpoint's address takes connections, and tells the scheduler.
-    pub(super) fn look(&self, endpoint: &EndpointId, start: StartId) {
+    pub(super) fn check_liveness(&self, endpoint: &EndpointId, start: StartId) {
         let Some(place) = self.parts.site.view().place(endpoint) else {
             // The list has lost it, which is told by itself.
             let found = Found::Silent;
@@ -30,7 +30,7 @@
         };
         let (inputs, limit) = (self.parts.inputs.clone(), self.parts.limits.connect);
         self.parts.runtime.spawn(async move {
-            let found = look(place.address, limit).await;
+            let found = probe(place.address, limit).await;
             let event = Event::Looked(Look { start, found });
             let _ = inputs.send(Input::Event(event)).await;
         });
@@ -41,7 +41,7 @@
 ///
 /// A process that ends closes its sockets one after the other, so that it may still take a connection of
 /// which nothing comes any more: one that is closed again at once is no answer, and is tried anew.
-async fn look(address: SocketAddr, limit: Duration) -> Found {
+async fn probe(address: SocketAddr, limit: Duration) -> Found {
     for _ in 0..TRIES {
         match timeout(limit, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => {
