--- a/crates/firdock-node/src/driver/look.rs
+++ b/crates/firdock-node/src/driver/liveness.rs
@@ -11,7 +11,7 @@
 use tokio::time::timeout;
 
 use super::Driver;
-use crate::endpoint::Backends;
+use crate::endpoint::Dispatcher;
 use crate::input::Input;
 
 /// Connects after which an address that closes each of them at once is given up.
@@ -19,9 +19,9 @@
 /// Time for which a connection has to stay open to count: a process that ends is gone in less.
 const STAYS_OPEN: Duration = Duration::from_millis(20);
 
-impl<B: Backends> Driver<B> {
+impl<B: Dispatcher> Driver<B> {
     /// Looks whether an endpoint's address takes connections, and tells the scheduler.
-    pub(super) fn look(&self, endpoint: &EndpointId, start: StartId) {
+    pub(super) fn check_liveness(&self, endpoint: &EndpointId, start: StartId) {
         let Some(place) = self.parts.site.view().place(endpoint) else {
             // The list has lost it, which is told by itself.
             let found = Liveness::Silent;
@@ -30,7 +30,7 @@
         };
         let (inputs, limit) = (self.parts.inputs.clone(), self.parts.limits.connect);
         self.parts.runtime.spawn(async move {
-            let found = look(place.address, limit).await;
+            let found = probe(place.address, limit).await;
             let event = Event::LivenessChecked(LivenessResult { start, found });
             let _ = inputs.send(Input::Event(event)).await;
         });
@@ -41,7 +41,7 @@
 ///
 /// A process that ends closes its sockets one after the other, so that it may still take a connection of
 /// which nothing comes any more: one that is closed again at once is no answer, and is tried anew.
-async fn look(address: SocketAddr, limit: Duration) -> Liveness {
+async fn probe(address: SocketAddr, limit: Duration) -> Liveness {
     for _ in 0..TRIES {
         match timeout(limit, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => {
