--- a/crates/firdock-node/benches/calm.rs
+++ b/crates/firdock-node/benches/calm.rs
@@ -14,7 +14,7 @@
 use firdock_core::settings::Settings;
 use firdock_node::peer::SelfNews;
 use firdock_node::telemetry::{Beliefs, EndpointList, LineBudget, silent};
-use firdock_policy::event::{PeerNews, PoolDemand};
+use firdock_policy::event::{PeerUpdate, PoolDemand};
 use firdock_policy::{Event, Mechanisms, Policy as _, PolicySettings, Scheduler};
 use uuid::Uuid;
 
@@ -55,14 +55,14 @@
     let mut out = Vec::new();
     s.step(NOW, Event::PeersKnown(instances - 1), &mut out);
     for n in 1..instances {
-        let news = PeerNews {
+        let news = PeerUpdate {
             name: format!("front-{n:04}"),
             zone: zone(n),
             demand: vec![PoolDemand {
                 pool: "pool".to_owned(),
                 rate: 0.7,
             }],
-            ..PeerNews::default()
+            ..PeerUpdate::default()
         };
         s.step(NOW, Event::Peer(news), &mut out);
     }
@@ -122,14 +122,14 @@
 
 fn heartbeat(c: &mut Criterion) {
     by_size(c, "heartbeat", |s, n| {
-        let news = PeerNews {
+        let news = PeerUpdate {
             name: "front-0001".to_owned(),
             zone: "zone-1".to_owned(),
             demand: vec![PoolDemand {
                 pool: "pool".to_owned(),
                 rate: n as f64,
             }],
-            ..PeerNews::default()
+            ..PeerUpdate::default()
         };
         s.step(NOW, Event::Peer(news), &mut Vec::new());
     });
--- a/crates/firdock-node/src/driver.rs
+++ b/crates/firdock-node/src/driver.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 use firdock_core::RequestId;
-use firdock_policy::event::{DispatchNews, EndpointEvent, HandOverEvent};
+use firdock_policy::event::{DispatchUpdate, EndpointEvent, HandOverEvent};
 use firdock_policy::{Action, Event, Policy as _, Scheduler, Time};
 use slog::{Logger, warn};
 use tokio::runtime::Handle;
@@ -236,31 +236,31 @@
             return;
         };
         let now = self.parts.clock.now();
-        if let DispatchNews::Ended { .. } | DispatchNews::Broke { .. } = event.news {
+        if let DispatchUpdate::Ended { .. } | DispatchUpdate::Broke { .. } = event.news {
             let end = live.exchange.delivered().end;
             if let Some(end) = end {
                 self.parts.metrics.count_answer_end(end);
             }
         }
         let failed = match event.news {
-            DispatchNews::Ended { .. } => {
+            DispatchUpdate::Ended { .. } => {
                 self.parts.metrics.observe_answer(now, row);
                 self.decisions
                     .answered(now, self.scheduler.tables(), row, &live.exchange);
                 return;
             }
-            DispatchNews::Started { .. }
-            | DispatchNews::Tokens { .. }
-            | DispatchNews::Failed
-            | DispatchNews::FailureKept
-            | DispatchNews::Unproven
-            | DispatchNews::Unresumable
-            | DispatchNews::Breaking(_) => return,
-            DispatchNews::Refused { unreachable: true } => "unreachable",
-            DispatchNews::Refused { unreachable: false } => "refused",
-            DispatchNews::Lapsed => "lapsed",
-            DispatchNews::Withheld => "withheld",
-            DispatchNews::Broke { .. } => "broke",
+            DispatchUpdate::Started { .. }
+            | DispatchUpdate::Tokens { .. }
+            | DispatchUpdate::Failed
+            | DispatchUpdate::FailureKept
+            | DispatchUpdate::Unproven
+            | DispatchUpdate::Unresumable
+            | DispatchUpdate::Breaking(_) => return,
+            DispatchUpdate::Refused { unreachable: true } => "unreachable",
+            DispatchUpdate::Refused { unreachable: false } => "refused",
+            DispatchUpdate::Lapsed => "lapsed",
+            DispatchUpdate::Withheld => "withheld",
+            DispatchUpdate::Broke { .. } => "broke",
         };
         self.decisions
             .dispatch_failed(now, self.scheduler.tables(), row, failed, &live.exchange);
--- a/crates/firdock-node/src/driver/send.rs
+++ b/crates/firdock-node/src/driver/send.rs
@@ -5,7 +5,7 @@
 use firdock_core::{InstanceId, RequestId, StartId};
 use firdock_policy::Event;
 use firdock_policy::action::{Dispatch, HandOverCause};
-use firdock_policy::event::{DispatchNews, EndpointEvent, HandOverEvent, HandOverRefusal};
+use firdock_policy::event::{DispatchUpdate, EndpointEvent, HandOverEvent, HandOverRefusal};
 use tokio::sync::watch;
 
 use super::Driver;
@@ -85,7 +85,7 @@
 
     /// Gives a dispatch back whose endpoint has no address any more; nothing was sent.
     fn refuse(&self, dispatch: &Dispatch) {
-        let news = DispatchNews::Refused { unreachable: true };
+        let news = DispatchUpdate::Refused { unreachable: true };
         let event = EndpointEvent {
             id: dispatch.id,
             dispatch: dispatch.dispatch,
--- a/crates/firdock-node/src/endpoint/relay.rs
+++ b/crates/firdock-node/src/endpoint/relay.rs
@@ -11,7 +11,7 @@
 
 use bytes::Bytes;
 use firdock_core::{EndpointId, RequestId};
-use firdock_policy::event::{BreakCause, DispatchNews};
+use firdock_policy::event::{BreakCause, DispatchUpdate};
 use firdock_policy::load::ServerLoad;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -171,7 +171,7 @@
             unframed: framing == Framing::Connection,
         };
         if has_failed && !wants_none {
-            run.tell(DispatchNews::Failed).await;
+            run.tell(DispatchUpdate::Failed).await;
         }
         if has_failed && payload.terms.repeatable {
             if !wants_none {
@@ -223,7 +223,7 @@
     match passed {
         Ok(()) => {
             run.exchange.reply.note_whole();
-            let news = DispatchNews::Ended {
+            let news = DispatchUpdate::Ended {
                 prompt: run.exchange.payload.terms.prompt_tokens,
                 cached: 0,
                 output,
--- a/crates/firdock-node/src/endpoint/relay/plain.rs
+++ b/crates/firdock-node/src/endpoint/relay/plain.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use firdock_policy::event::DispatchNews;
+use firdock_policy::event::DispatchUpdate;
 
 use tokio::time::timeout;
 
@@ -49,7 +49,7 @@
         return;
     };
     run.delivered().failure = Some(WholeAnswer { head, body });
-    run.tell(DispatchNews::FailureKept).await;
+    run.tell(DispatchUpdate::FailureKept).await;
 }
 
 /// What was read of a body.
@@ -77,7 +77,7 @@
 }
 
 async fn pass_start(run: &Run, head: AnswerHead, bytes: Bytes) -> Result<(), Stop> {
-    run.tell(DispatchNews::Started { head_sent: true }).await;
+    run.tell(DispatchUpdate::Started { head_sent: true }).await;
     run.pass(Part::Head(head)).await?;
     if bytes.is_empty() {
         return Ok(());
--- a/crates/firdock-node/src/endpoint/relay/stream.rs
+++ b/crates/firdock-node/src/endpoint/relay/stream.rs
@@ -1,6 +1,6 @@
 //! Streams of events: passed on by whole events, and taken up after the last one that the caller has.
 
-use firdock_policy::event::{BreakCause, DispatchNews};
+use firdock_policy::event::{BreakCause, DispatchUpdate};
 use hyper::header;
 
 use super::finish;
@@ -37,7 +37,7 @@
     pub(super) async fn pass(mut self, body: EndpointBody) -> &'static str {
         let passed = self.pass_events(body).await;
         if passed.is_err() && self.is_unresumable() {
-            self.run.tell(DispatchNews::Unresumable).await;
+            self.run.tell(DispatchUpdate::Unresumable).await;
         }
         let output = self.run.delivered().tokens;
         finish(self.run, passed, output).await
@@ -81,7 +81,7 @@
             let delivered = self.run.delivered().tokens;
             let cached = 0;
             self.run
-                .tell(DispatchNews::Tokens { delivered, cached })
+                .tell(DispatchUpdate::Tokens { delivered, cached })
                 .await;
         }
         Ok(())
@@ -123,7 +123,7 @@
             return Ok(());
         };
         self.run
-            .tell(DispatchNews::Started { head_sent: true })
+            .tell(DispatchUpdate::Started { head_sent: true })
             .await;
         if !self.note_begun(&head) {
             return Ok(());
--- a/crates/firdock-node/src/endpoint/run.rs
+++ b/crates/firdock-node/src/endpoint/run.rs
@@ -12,9 +12,9 @@
 use firdock_policy::Event;
 use firdock_policy::action::Dispatch;
 use firdock_policy::buffers::CALLER_STALL;
-use firdock_policy::event::{BreakCause, DispatchNews, EndpointEvent};
-use firdock_policy::load::{Pace, PaceTold};
-use firdock_policy::notice::NoticeTold;
+use firdock_policy::event::{BreakCause, DispatchUpdate, EndpointEvent};
+use firdock_policy::load::{Pace, PaceReport};
+use firdock_policy::notice::NoticeReport;
 use tokio::sync::{mpsc, watch};
 use tokio::time::timeout;
 
@@ -94,7 +94,7 @@
 
 impl Run {
     /// Tells the scheduler something about this dispatch.
-    pub async fn tell(&self, news: DispatchNews) {
+    pub async fn tell(&self, news: DispatchUpdate) {
         let (id, dispatch) = (self.dispatch.id, self.dispatch.dispatch);
         let event = Event::Endpoint(EndpointEvent { id, dispatch, news });
         let _ = self.inputs.send(Input::Event(event)).await;
@@ -102,7 +102,7 @@
 
     /// Tells the scheduler how long work takes at the endpoint now.
     pub async fn tell_pace(&self, pace: Pace) {
-        let told = PaceTold {
+        let told = PaceReport {
             endpoint: self.target.name.clone(),
             pace,
             read: self.clock.now(),
@@ -121,7 +121,7 @@
         if head.notice.is_empty() {
             return;
         }
-        let told = NoticeTold {
+        let told = NoticeReport {
             endpoint: self.start.clone(),
             member: InstanceId::new(),
             notice: head.notice,
@@ -163,14 +163,14 @@
     /// on it for the trace.
     pub async fn tell_broken(&self, cause: BreakCause) -> &'static str {
         let delivered = self.delivered().tokens;
-        self.tell(DispatchNews::Breaking(cause)).await;
-        self.tell(DispatchNews::Broke { delivered }).await;
+        self.tell(DispatchUpdate::Breaking(cause)).await;
+        self.tell(DispatchUpdate::Broke { delivered }).await;
         cause.as_str()
     }
 
     /// Tells the scheduler that the request did not run; gives a word on why for the trace.
     pub async fn not_sent(&self, unreachable: bool) -> &'static str {
-        self.tell(DispatchNews::Refused { unreachable }).await;
+        self.tell(DispatchUpdate::Refused { unreachable }).await;
         if unreachable {
             "unreachable"
         } else {
@@ -191,7 +191,7 @@
         match since {
             Since::Unchanged => None,
             Since::Closed => {
-                self.tell(DispatchNews::Withheld).await;
+                self.tell(DispatchUpdate::Withheld).await;
                 Some("withheld")
             }
             // The start that was meant is gone, and its successor has not got the request.
@@ -256,7 +256,7 @@
             // An earlier head promised an end that would claim more than is known.
             Verdict::Unproven if self.delivered().framed => Err(Stop::Endpoint(BreakCause::Closed)),
             Verdict::Unproven => {
-                self.tell(DispatchNews::Unproven).await;
+                self.tell(DispatchUpdate::Unproven).await;
                 Ok(())
             }
             Verdict::Whole => Ok(()),
@@ -273,7 +273,7 @@
             .confirm_by
             .is_some_and(|until| until <= self.clock.now());
         if lapsed {
-            self.tell(DispatchNews::Lapsed).await;
+            self.tell(DispatchUpdate::Lapsed).await;
         }
         lapsed
     }
--- a/crates/firdock-node/src/endpoint/run_engine.rs
+++ b/crates/firdock-node/src/endpoint/run_engine.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use firdock_policy::event::{BreakCause, DispatchNews};
+use firdock_policy::event::{BreakCause, DispatchUpdate};
 use hyper::header::{self, HeaderValue};
 use hyper::{HeaderMap, StatusCode};
 
@@ -63,14 +63,14 @@
         headers: content_type("application/json"),
         unframed: false,
     };
-    run.tell(DispatchNews::Started { head_sent: true }).await;
+    run.tell(DispatchUpdate::Started { head_sent: true }).await;
     for part in [Part::Head(head), Part::Data(body)] {
         if run.pass(part).await.is_err() {
             run.tell_caller_left().await;
             return "caller-left";
         }
     }
-    run.tell(DispatchNews::Ended {
+    run.tell(DispatchUpdate::Ended {
         prompt: 0,
         cached: 0,
         output: 0,
@@ -151,7 +151,7 @@
             let delivered = self.run.delivered().tokens;
             let cached = self.usage.cached;
             self.run
-                .tell(DispatchNews::Tokens { delivered, cached })
+                .tell(DispatchUpdate::Tokens { delivered, cached })
                 .await;
         }
         Ok(())
@@ -161,7 +161,7 @@
     async fn begin(&mut self) -> Result<(), Stop> {
         self.begun = true;
         let head_sent = self.call.stream;
-        self.run.tell(DispatchNews::Started { head_sent }).await;
+        self.run.tell(DispatchUpdate::Started { head_sent }).await;
         Ok(())
     }
 
@@ -204,7 +204,7 @@
         }
         let (prompt, cached) = (self.usage.prompt, self.usage.cached);
         self.run
-            .tell(DispatchNews::Ended {
+            .tell(DispatchUpdate::Ended {
                 prompt,
                 cached,
                 output,
--- a/crates/firdock-node/src/endpoint/run_plain.rs
+++ b/crates/firdock-node/src/endpoint/run_plain.rs
@@ -1,7 +1,7 @@
 //! Driving of one dispatch to a plain server, from the write to the end of the answer.
 
 use bytes::Bytes;
-use firdock_policy::event::{BreakCause, DispatchNews};
+use firdock_policy::event::{BreakCause, DispatchUpdate};
 use tokio::time::timeout;
 
 use super::run::{Run, Stop};
@@ -50,7 +50,7 @@
         .key
         .as_ref()
         .map(|_| KeptAnswer::new(head.clone()));
-    run.tell(DispatchNews::Started { head_sent: true }).await;
+    run.tell(DispatchUpdate::Started { head_sent: true }).await;
     let passed = match run.pass(Part::Head(head)).await {
         Ok(()) => pass_body(run, body, &mut kept).await,
         Err(stop) => Err(stop),
@@ -62,7 +62,7 @@
             if let Some(kept) = kept {
                 answers.keep(run.dispatch.id, kept);
             }
-            run.tell(DispatchNews::Ended {
+            run.tell(DispatchUpdate::Ended {
                 prompt: 0,
                 cached: 0,
                 output: 0,
--- a/crates/firdock-node/src/peer/beacon/take.rs
+++ b/crates/firdock-node/src/peer/beacon/take.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use firdock_policy::event::{GroupDemand, GroupEvidence, GroupWork, PeerNews, UseCounts};
+use firdock_policy::event::{GroupDemand, GroupEvidence, GroupWork, PeerUpdate, UseCounts};
 use firdock_policy::{Event, Time};
 use firdock_wire::PROTOCOL;
 use firdock_wire::message::{
@@ -231,7 +231,7 @@
 
     /// Takes what a peer read; it is asked for what it has newer, and for its clock where its word
     /// counts.
-    async fn take_reads(&self, news: &PeerNews, told: Reads, from: SocketAddr) {
+    async fn take_reads(&self, news: &PeerUpdate, told: Reads, from: SocketAddr) {
         let now = self.clock.now();
         let teller = Teller {
             name: news.name.clone(),
--- a/crates/firdock-node/src/peer/heartbeat.rs
+++ b/crates/firdock-node/src/peer/heartbeat.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use firdock_core::{InstanceId, Offset, ZoneId};
-use firdock_policy::event::{AccountUse, AccountWork, PeerNews, PoolDemand};
-use firdock_policy::rollout::{Stage, ToldRollouts};
-use firdock_policy::suspect::ToldSuspect;
+use firdock_policy::event::{AccountUse, AccountWork, PeerUpdate, PoolDemand};
+use firdock_policy::rollout::{RolloutReport, Stage};
+use firdock_policy::suspect::SuspectReport;
 use firdock_policy::table::Tables;
 use firdock_policy::table::suspects::Revision;
 use firdock_policy::{Time, pool_demand, told_rollouts, used_limits};
@@ -50,15 +50,15 @@
     /// What this instance let pass of the limits in use.
     pub(super) used: Vec<AccountUse>,
     /// What it knows of roll-outs.
-    pub(super) rollouts: ToldRollouts,
+    pub(super) rollouts: RolloutReport,
     /// What endpoints did lately for accounts, by what this instance placed for its group.
     pub(super) work: Vec<AccountWork>,
     /// Requests under which endpoints ended, as far as they are told with each heartbeat.
-    suspects: Vec<ToldSuspect>,
+    suspects: Vec<SuspectReport>,
     /// Those that others saw, which leads tell on.
-    heard_suspects: Vec<ToldSuspect>,
+    heard_suspects: Vec<SuspectReport>,
     /// All of those that count, for who was not heard before.
-    all_suspects: Vec<ToldSuspect>,
+    all_suspects: Vec<SuspectReport>,
     /// When all of this was taken.
     taken: Time,
     /// How often they changed, by which changes are told at once.
@@ -219,8 +219,8 @@
 
 /// Makes a peer's news from its message, cut to what is bounded.
 #[must_use]
-pub fn peer_news(name: &str, beat: Heartbeat) -> PeerNews {
-    PeerNews {
+pub fn peer_news(name: &str, beat: Heartbeat) -> PeerUpdate {
+    PeerUpdate {
         name: name.to_owned(),
         zone: beat.zone,
         held: beat.held.into_iter().take(MAX_RANKS).collect(),
@@ -228,7 +228,7 @@
         draining: beat.draining,
         leaving: beat.leaving.into_iter().take(MAX_LEAVING).collect(),
         suspects: read_suspects(beat.suspects),
-        ..PeerNews::default()
+        ..PeerUpdate::default()
     }
 }
 
--- a/crates/firdock-node/src/peer/rollouts.rs
+++ b/crates/firdock-node/src/peer/rollouts.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use firdock_policy::rollout::{Evidence, RolloutWord, Stage, Tally};
+use firdock_policy::rollout::{Evidence, RolloutStatus, Stage, Tally};
 use firdock_wire::message;
 
 use crate::clock::millis;
@@ -15,7 +15,7 @@
 const MAX_BANDS: usize = 64;
 
 /// Writes how far roll-outs are.
-pub fn write_words(words: &[RolloutWord]) -> Vec<message::RolloutWord> {
+pub fn write_words(words: &[RolloutStatus]) -> Vec<message::RolloutWord> {
     let told = words.iter().take(MAX_ROLLOUTS);
     told.map(|w| message::RolloutWord {
         pool: w.pool.clone(),
@@ -28,10 +28,10 @@
 }
 
 /// Reads how far roll-outs are; words of stages that this version does not know are left out.
-pub fn read_words(words: Vec<message::RolloutWord>) -> Vec<RolloutWord> {
+pub fn read_words(words: Vec<message::RolloutWord>) -> Vec<RolloutStatus> {
     let told = words.into_iter().take(MAX_ROLLOUTS);
     told.filter_map(|w| {
-        Some(RolloutWord {
+        Some(RolloutStatus {
             stage: read_stage(w.stage)?,
             pool: w.pool,
             order: w.order,
--- a/crates/firdock-node/src/peer/suspects.rs
+++ b/crates/firdock-node/src/peer/suspects.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use firdock_core::{Content, ContentId};
-use firdock_policy::suspect::{ToldEnd, ToldSuspect};
+use firdock_policy::suspect::{SuspectReport, ToldEnd};
 use firdock_wire::message;
 use prost::Message as _;
 
@@ -19,7 +19,7 @@
 const MAX_ENDS: usize = 16;
 
 /// Writes suspects whose ages were taken so long ago, as many as have room.
-pub fn write_suspects(told: &[ToldSuspect], age: Duration) -> Vec<message::Suspect> {
+pub fn write_suspects(told: &[SuspectReport], age: Duration) -> Vec<message::Suspect> {
     let mut room = MAX_BYTES;
     let told = told.iter().take(MAX_SUSPECTS);
     let written = told.map(|s| write_suspect(s, age));
@@ -32,7 +32,7 @@
         .collect()
 }
 
-fn write_suspect(told: &ToldSuspect, age: Duration) -> message::Suspect {
+fn write_suspect(told: &SuspectReport, age: Duration) -> message::Suspect {
     message::Suspect {
         content: told.content.id.as_bytes().to_vec(),
         path: told.content.path.to_string(),
@@ -43,12 +43,12 @@
 }
 
 /// Reads suspects; those without an identity are left out.
-pub fn read_suspects(told: Vec<message::Suspect>) -> Vec<ToldSuspect> {
+pub fn read_suspects(told: Vec<message::Suspect>) -> Vec<SuspectReport> {
     let told = told.into_iter().take(MAX_SUSPECTS);
     told.filter_map(|s| {
         let id = ContentId::from_bytes(&s.content)?;
         let path = s.path.into();
-        Some(ToldSuspect {
+        Some(SuspectReport {
             content: Arc::new(Content { id, path }),
             account: s.account,
             service: s.service,
--- a/crates/firdock-node/src/placement.rs
+++ b/crates/firdock-node/src/placement.rs
@@ -22,8 +22,8 @@
 
 use firdock_core::RequestId;
 use firdock_policy::event::{AccountWork, EndpointEvent, Grant};
-use firdock_policy::load::PaceTold;
-use firdock_policy::notice::NoticeTold;
+use firdock_policy::load::PaceReport;
+use firdock_policy::notice::NoticeReport;
 use firdock_policy::table::Tables;
 use firdock_policy::{Event, Scheduler, Time, told_work};
 use firdock_wire::message::datagram;
@@ -138,12 +138,12 @@
     }
 
     /// Notes what an endpoint told of its pace.
-    pub fn note_pace(&mut self, t: &Tables, told: &PaceTold) {
+    pub fn note_pace(&mut self, t: &Tables, told: &PaceReport) {
         self.member.note_pace(t, told);
     }
 
     /// Notes what an endpoint said of itself.
-    pub fn note_notice(&mut self, told: &NoticeTold) {
+    pub fn note_notice(&mut self, told: &NoticeReport) {
         self.member.note_notice(told);
     }
 
--- a/crates/firdock-node/src/placement/coordinator/take.rs
+++ b/crates/firdock-node/src/placement/coordinator/take.rs
@@ -4,9 +4,9 @@
 use std::net::SocketAddr;
 
 use firdock_core::{RequestId, StartId};
-use firdock_policy::event::{DispatchNews, EndpointEvent};
-use firdock_policy::load::PaceTold;
-use firdock_policy::notice::NoticeTold;
+use firdock_policy::event::{DispatchUpdate, EndpointEvent};
+use firdock_policy::load::PaceReport;
+use firdock_policy::notice::NoticeReport;
 use firdock_policy::request::Phase;
 use firdock_policy::{Event, NewRequest, Time};
 
@@ -51,7 +51,7 @@
 
     /// Takes what an engine told a member of its pace.
     pub(super) fn take_pace(&mut self, now: Time, paced: Paced) {
-        let told = PaceTold {
+        let told = PaceReport {
             endpoint: paced.endpoint,
             pace: paced.pace,
             read: now.saturating_sub(paced.age),
@@ -61,7 +61,7 @@
 
     /// Takes what an engine said of itself to a member, which alone may not send there now.
     pub(super) fn take_notice(&mut self, now: Time, name: &str, noticed: Noticed) {
-        let told = NoticeTold {
+        let told = NoticeReport {
             endpoint: noticed.endpoint,
             member: name.to_owned(),
             notice: noticed.notice,
@@ -172,21 +172,21 @@
 }
 
 /// Gives what became of a request as news of its dispatch; `None` where it was dropped.
-fn dispatch_news(course: Course) -> Option<DispatchNews> {
+fn dispatch_news(course: Course) -> Option<DispatchUpdate> {
     Some(match course {
         Course::Dropped => return None,
-        Course::Began => DispatchNews::Tokens {
+        Course::Began => DispatchUpdate::Tokens {
             delivered: 1,
             cached: 0,
         },
-        Course::Ended { prompt, output } => DispatchNews::Ended {
+        Course::Ended { prompt, output } => DispatchUpdate::Ended {
             prompt,
             cached: 0,
             output,
         },
-        Course::Broke => DispatchNews::Broke { delivered: 0 },
-        Course::Refused => DispatchNews::Refused { unreachable: false },
-        Course::Unreachable => DispatchNews::Refused { unreachable: true },
+        Course::Broke => DispatchUpdate::Broke { delivered: 0 },
+        Course::Refused => DispatchUpdate::Refused { unreachable: false },
+        Course::Unreachable => DispatchUpdate::Refused { unreachable: true },
     })
 }
 
--- a/crates/firdock-node/src/placement/member.rs
+++ b/crates/firdock-node/src/placement/member.rs
@@ -7,8 +7,8 @@
 
 use firdock_core::{EndpointId, InstanceId, Outcome, RequestId, StartId, ZoneId};
 use firdock_policy::event::{EndpointEvent, Grant, Member};
-use firdock_policy::load::{Pace, PaceTold};
-use firdock_policy::notice::NoticeTold;
+use firdock_policy::load::{Pace, PaceReport};
+use firdock_policy::notice::NoticeReport;
 use firdock_policy::request::{Phase, Placing};
 use firdock_policy::table::Tables;
 use firdock_policy::{Event, Time, Verdict};
@@ -123,7 +123,7 @@
     }
 
     /// Notes what an engine told of its pace; it goes with the next report, which is never long off.
-    pub fn note_pace(&mut self, t: &Tables, told: &PaceTold) {
+    pub fn note_pace(&mut self, t: &Tables, told: &PaceReport) {
         let at = t.endpoints.find(&told.endpoint);
         let engine = at.is_some_and(|at| t.endpoints.get(at).is_engine());
         if engine && self.lead.is_some() {
@@ -133,7 +133,7 @@
     }
 
     /// Notes that an engine said something of itself; it goes with the next report, as its pace does.
-    pub fn note_notice(&mut self, told: &NoticeTold) {
+    pub fn note_notice(&mut self, told: &NoticeReport) {
         if self.lead.is_some() {
             self.noticed.insert(told.endpoint.clone());
         }
--- a/crates/firdock-node/src/placement/told.rs
+++ b/crates/firdock-node/src/placement/told.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use firdock_core::StartId;
-use firdock_policy::event::DispatchNews;
+use firdock_policy::event::DispatchUpdate;
 use firdock_policy::notice::Notice;
 use firdock_policy::request::{Phase, Placing, RequestRow};
 use firdock_policy::table::Tables;
@@ -18,21 +18,21 @@
 }
 
 /// Gives what news of a dispatch mean for the request, if they are worth telling.
-pub fn course(row: &RequestRow, news: DispatchNews) -> Option<Course> {
+pub fn course(row: &RequestRow, news: DispatchUpdate) -> Option<Course> {
     Some(match news {
-        DispatchNews::Started { .. }
-        | DispatchNews::Failed
-        | DispatchNews::FailureKept
-        | DispatchNews::Unproven
-        | DispatchNews::Unresumable
-        | DispatchNews::Breaking(_) => return None,
-        DispatchNews::Tokens { .. } if row.first.is_some() => return None,
-        DispatchNews::Tokens { .. } => Course::Began,
-        DispatchNews::Ended { prompt, output, .. } => Course::Ended { prompt, output },
-        DispatchNews::Broke { .. } => Course::Broke,
-        DispatchNews::Refused { unreachable: false } => Course::Refused,
-        DispatchNews::Refused { unreachable: true } => Course::Unreachable,
-        DispatchNews::Lapsed | DispatchNews::Withheld => Course::Dropped,
+        DispatchUpdate::Started { .. }
+        | DispatchUpdate::Failed
+        | DispatchUpdate::FailureKept
+        | DispatchUpdate::Unproven
+        | DispatchUpdate::Unresumable
+        | DispatchUpdate::Breaking(_) => return None,
+        DispatchUpdate::Tokens { .. } if row.first.is_some() => return None,
+        DispatchUpdate::Tokens { .. } => Course::Began,
+        DispatchUpdate::Ended { prompt, output, .. } => Course::Ended { prompt, output },
+        DispatchUpdate::Broke { .. } => Course::Broke,
+        DispatchUpdate::Refused { unreachable: false } => Course::Refused,
+        DispatchUpdate::Refused { unreachable: true } => Course::Unreachable,
+        DispatchUpdate::Lapsed | DispatchUpdate::Withheld => Course::Dropped,
     })
 }
 
--- a/crates/firdock-node/src/source.rs
+++ b/crates/firdock-node/src/source.rs
@@ -11,7 +11,7 @@
 use firdock_core::resource::Catalog;
 use firdock_core::{ContentId, PoolId};
 use firdock_policy::rollout::RolloutRecord;
-use firdock_policy::suspect::ToldSuspect;
+use firdock_policy::suspect::SuspectReport;
 use firdock_policy::{Event, Time};
 use slog::{Logger, info};
 use tokio::sync::{mpsc, watch};
@@ -51,7 +51,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct WantedRecords {
     by_pool: BTreeMap<PoolId, RolloutRecord>,
-    quarantined: BTreeMap<ContentId, (Time, ToldSuspect)>,
+    quarantined: BTreeMap<ContentId, (Time, SuspectReport)>,
     released: BTreeSet<ContentId>,
 }
 
@@ -62,7 +62,7 @@
     }
 
     /// Adds a request in quarantine, as it was told at a time, in place of an earlier word on it.
-    pub fn quarantine(&mut self, now: Time, told: ToldSuspect) {
+    pub fn quarantine(&mut self, now: Time, told: SuspectReport) {
         self.released.remove(&told.content.id);
         self.quarantined.insert(told.content.id, (now, told));
     }
@@ -79,7 +79,7 @@
     }
 
     /// Goes over the requests in quarantine, with when they were told.
-    pub fn quarantined(&self) -> impl Iterator<Item = &(Time, ToldSuspect)> {
+    pub fn quarantined(&self) -> impl Iterator<Item = &(Time, SuspectReport)> {
         self.quarantined.values()
     }
 
@@ -240,7 +240,7 @@
     /// # Errors
     ///
     /// Fails if the instance was stopped.
-    pub async fn quarantined(&self, told: Vec<ToldSuspect>) -> Result<(), Stopped> {
+    pub async fn quarantined(&self, told: Vec<SuspectReport>) -> Result<(), Stopped> {
         self.send(Event::Suspected(told)).await
     }
 
--- a/crates/firdock-node/src/telemetry/decisions.rs
+++ b/crates/firdock-node/src/telemetry/decisions.rs
@@ -8,7 +8,7 @@
 use firdock_core::{EndpointId, Reason};
 use firdock_policy::action::Dispatch;
 use firdock_policy::event::{BreakCause, Look};
-use firdock_policy::notice::NoticeTold;
+use firdock_policy::notice::NoticeReport;
 use firdock_policy::request::{Phase, RequestRow};
 use firdock_policy::table::Tables;
 use firdock_policy::table::endpoint::EndpointRow;
@@ -116,7 +116,7 @@
     }
 
     /// Writes what an endpoint said of itself with an answer to this instance.
-    pub fn noticed(&self, now: Time, told: &NoticeTold) {
+    pub fn noticed(&self, now: Time, told: &NoticeReport) {
         if self.budget.allow(&self.log, now, LineKind::Notice) {
             info!(self.log, "endpoint notice";
                 "endpoint" => &told.endpoint,
--- a/crates/firdock-node/src/telemetry/suspects.rs
+++ b/crates/firdock-node/src/telemetry/suspects.rs
@@ -5,7 +5,7 @@
 
 use firdock_core::{AccountId, ContentId, ServiceId, StartId};
 use firdock_policy::Time;
-use firdock_policy::suspect::ToldSuspect;
+use firdock_policy::suspect::SuspectReport;
 use firdock_policy::table::Tables;
 use firdock_policy::table::suspects::{Revision, Suspect};
 use serde::{Deserialize, Serialize};
@@ -116,7 +116,7 @@
     }
 
     /// Writes that a request came into quarantine here, and which ends put it there.
-    pub fn quarantined(&self, now: Time, told: &ToldSuspect) {
+    pub fn quarantined(&self, now: Time, told: &SuspectReport) {
         if !self.budget.allow(&self.log, now, LineKind::Quarantine) {
             return;
         }
--- a/crates/firdock-node/tests/node/suspects.rs
+++ b/crates/firdock-node/tests/node/suspects.rs
@@ -6,21 +6,21 @@
 use firdock_core::Content;
 use firdock_core::settings::Settings;
 use firdock_node::peer::SelfNews;
-use firdock_policy::suspect::{ToldEnd, ToldSuspect};
+use firdock_policy::suspect::{SuspectReport, ToldEnd};
 use firdock_policy::{Event, Policy as _, PolicySettings, Scheduler};
 use prost::Message as _;
 use uuid::Uuid;
 
 const NOW: Duration = Duration::from_mins(1);
 
-fn told(n: usize, ends: usize) -> ToldSuspect {
+fn told(n: usize, ends: usize) -> SuspectReport {
     let end = |e: usize| ToldEnd {
         start: format!("an-endpoint-with-a-long-name-{n}-{e}@1796279291159"),
         sent_ago: Duration::from_millis(200),
         ended_ago: Duration::from_millis(100),
         void: false,
     };
-    ToldSuspect {
+    SuspectReport {
         content: Arc::new(Content::new("account", "POST", "/path", &n.to_be_bytes())),
         account: format!("an account with a long name {}", n % 7),
         service: "a service with a long name".to_owned(),
@@ -28,7 +28,7 @@
     }
 }
 
-fn news(suspects: Vec<ToldSuspect>) -> SelfNews {
+fn news(suspects: Vec<SuspectReport>) -> SelfNews {
     let settings = PolicySettings::new(&Settings::default(), Uuid::nil());
     let mut scheduler = Scheduler::new(settings);
     scheduler.step(NOW, Event::Suspected(suspects), &mut Vec::new());
--- a/crates/firdock-policy/benches/decision.rs
+++ b/crates/firdock-policy/benches/decision.rs
@@ -12,7 +12,7 @@
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use firdock_core::resource::{Account, Catalog, Endpoint, Resource, Service, Tier};
 use firdock_core::settings::Settings;
-use firdock_policy::event::{DispatchNews, EndpointEvent};
+use firdock_policy::event::{DispatchUpdate, EndpointEvent};
 use firdock_policy::{Event, NewRequest, Origin, Policy as _, PolicySettings, Scheduler};
 use uuid::Uuid;
 
@@ -84,12 +84,12 @@
     let id = new.id;
     s.step(now(n), Event::Arrived(new), &mut out);
     for news in [
-        DispatchNews::Started { head_sent: true },
-        DispatchNews::Tokens {
+        DispatchUpdate::Started { head_sent: true },
+        DispatchUpdate::Tokens {
             delivered: 1,
             cached: 0,
         },
-        DispatchNews::Ended {
+        DispatchUpdate::Ended {
             prompt: 1_000,
             cached: 0,
             output: 100,
@@ -168,7 +168,7 @@
                 s.step(now(n), Event::Arrived(request(n, 500)), &mut out);
                 let running = s.tables().requests.iter().find(|r| r.dispatch > 0);
                 let id = running.map(|r| r.new.id).unwrap_or_default();
-                let news = DispatchNews::Ended {
+                let news = DispatchUpdate::Ended {
                     prompt: 1_000,
                     cached: 0,
                     output: 100,
--- a/crates/firdock-policy/src/action.rs
+++ b/crates/firdock-policy/src/action.rs
@@ -6,7 +6,7 @@
 use crate::event::{Grant, KeyTransfer};
 use crate::request::Verdict;
 use crate::rollout::RolloutRecord;
-use crate::suspect::ToldSuspect;
+use crate::suspect::SuspectReport;
 use crate::time::Time;
 
 /// One thing to do, in the order given.
@@ -116,7 +116,7 @@
         transfer: KeyTransfer,
     },
     /// Keep in the platform's store that nothing of a request is sent any more.
-    Quarantine(ToldSuspect),
+    Quarantine(SuspectReport),
     /// Keep the state of a roll-out in the platform's store.
     Record(RolloutRecord),
     /// All work is done; the instance may exit.
--- a/crates/firdock-policy/src/event.rs
+++ b/crates/firdock-policy/src/event.rs
@@ -10,14 +10,14 @@
 use serde::{Deserialize, Serialize};
 use uuid::Uuid;
 
-use crate::load::PaceTold;
-use crate::notice::NoticeTold;
+use crate::load::PaceReport;
+use crate::notice::NoticeReport;
 use crate::request::{NewRequest, Verdict};
-use crate::rollout::{Evidence, RolloutRecord, RolloutWord};
-use crate::suspect::ToldSuspect;
+use crate::rollout::{Evidence, RolloutRecord, RolloutStatus};
+use crate::suspect::SuspectReport;
 use crate::time::{LogTime, Time};
 
-pub use endpoint::{BreakCause, DispatchNews, EndpointEvent, Found, LoadReport, Look};
+pub use endpoint::{BreakCause, DispatchUpdate, EndpointEvent, Found, LoadReport, Look};
 pub use totals::{
     AccountUse, AccountWork, GroupDemand, GroupEvidence, GroupWork, PeerUse, PoolDemand, UseCounts,
     UseTotals,
@@ -36,9 +36,9 @@
     /// It was looked whether an endpoint is still there.
     Looked(Look),
     /// An endpoint told how long work takes there now.
-    Paced(PaceTold),
+    Paced(PaceReport),
     /// An endpoint said with an answer that it leaves, or wants nothing for a while.
-    Noticed(NoticeTold),
+    Noticed(NoticeReport),
     /// An endpoint reported its load and cache.
     Report(LoadReport),
     /// An endpoint's report could not be had.
@@ -55,11 +55,11 @@
     Listed(Vec<ListedInstance>),
     /// Someone else than a peer tells of requests under which endpoints ended: the platform's store, or an
     /// instance's own tables to those with which it coordinates.
-    Suspected(Vec<ToldSuspect>),
+    Suspected(Vec<SuspectReport>),
     /// An operator lets a request go again, for what ended up to a time.
     Released(ContentId, Time),
     /// A peer's heartbeat came.
-    Peer(PeerNews),
+    Peer(PeerUpdate),
     /// A lead told its counts of what all instances let pass of account limits, this one among them.
     SiteUsed(UseCounts),
     /// The link to a peer broke.
@@ -85,7 +85,7 @@
     /// A peer told something about a hand-over.
     HandOver(HandOverEvent),
     /// A peer told how far a roll-out is.
-    Rollout(RolloutWord),
+    Rollout(RolloutStatus),
     /// The lead of another group told what its group saw of roll-outs.
     GroupEvidence(GroupEvidence),
     /// The platform's store has this of a roll-out.
@@ -153,7 +153,7 @@
 
 /// What a peer tells of itself.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct PeerNews {
+pub struct PeerUpdate {
     /// Peer.
     pub name: InstanceId,
     /// Its availability zone.
@@ -177,10 +177,10 @@
     pub seen: Vec<Evidence>,
     /// Requests under which endpoints ended, those of which something is new or whose turn it is.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub suspects: Vec<ToldSuspect>,
+    pub suspects: Vec<SuspectReport>,
 }
 
-impl PeerNews {
+impl PeerUpdate {
     /// Gives what the peer let pass of account limits.
     #[must_use]
     pub fn own_use(&self) -> PeerUse {
--- a/crates/firdock-policy/src/event/endpoint.rs
+++ b/crates/firdock-policy/src/event/endpoint.rs
@@ -14,13 +14,13 @@
     /// Number of the dispatch, so that late news of an earlier one is told apart.
     pub dispatch: u32,
     /// The news.
-    pub news: DispatchNews,
+    pub news: DispatchUpdate,
 }
 
 /// The course of a dispatch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum DispatchNews {
+pub enum DispatchUpdate {
     /// The connect failed or the endpoint itself refused: the request did not run there.
     Refused {
         /// Whether the endpoint could not even be reached.
--- a/crates/firdock-policy/src/load.rs
+++ b/crates/firdock-policy/src/load.rs
@@ -66,7 +66,7 @@
 
 /// The pace that a server told, with the time at which it was read.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PaceTold {
+pub struct PaceReport {
     /// Server.
     pub endpoint: EndpointId,
     /// Pace.
--- a/crates/firdock-policy/src/notice.rs
+++ b/crates/firdock-policy/src/notice.rs
@@ -33,7 +33,7 @@
 
 /// A notice, with the start of the endpoint that gave it and the time at which it was read.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NoticeTold {
+pub struct NoticeReport {
     /// Start of the endpoint: what an earlier one said is over with it.
     pub endpoint: StartId,
     /// Instance that it answered; empty for the own one.
--- a/crates/firdock-policy/src/rollout.rs
+++ b/crates/firdock-policy/src/rollout.rs
@@ -54,7 +54,7 @@
 
 /// What instances tell each other of a roll-out.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct RolloutWord {
+pub struct RolloutStatus {
     /// Pool.
     pub pool: PoolId,
     /// Which order of the pool: its position in the platform's log.
@@ -87,9 +87,9 @@
 
 /// What an instance tells of roll-outs in a heartbeat.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct ToldRollouts {
+pub struct RolloutReport {
     /// How far they are.
-    pub words: Vec<RolloutWord>,
+    pub words: Vec<RolloutStatus>,
     /// What it saw of those that go on.
     pub own: Vec<Evidence>,
     /// What its group saw.
--- a/crates/firdock-policy/src/suspect.rs
+++ b/crates/firdock-policy/src/suspect.rs
@@ -26,7 +26,7 @@
 
 /// A request under which endpoints ended, as one instance tells another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldSuspect {
+pub struct SuspectReport {
     /// What it asks for.
     pub content: Arc<Content>,
     /// Account that sends it.
--- a/crates/firdock-policy/src/system/handover.rs
+++ b/crates/firdock-policy/src/system/handover.rs
@@ -4,7 +4,7 @@
 
 use super::{end, key, limit, rollout, shed, suspect};
 use crate::action::{Action, HandOverCause};
-use crate::event::{HandOverEvent, HandOverRefusal, Member, PeerNews};
+use crate::event::{HandOverEvent, HandOverRefusal, Member, PeerUpdate};
 use crate::request::{Passed, Phase, RequestRow, Verdict};
 use crate::table::Tables;
 use crate::table::peer::PeerRow;
@@ -18,7 +18,7 @@
 const SILENT_PEER: std::time::Duration = std::time::Duration::from_mins(1);
 
 /// Takes a peer's heartbeat.
-pub fn peer_news(t: &mut Tables, now: Time, mut news: PeerNews, out: &mut Vec<Action>) {
+pub fn peer_news(t: &mut Tables, now: Time, mut news: PeerUpdate, out: &mut Vec<Action>) {
     suspect::hear(t, now, std::mem::take(&mut news.suspects), out);
     for name in &news.leaving {
         if let Some(at) = t.endpoints.find_start(name) {
--- a/crates/firdock-policy/src/system/limit.rs
+++ b/crates/firdock-policy/src/system/limit.rs
@@ -5,7 +5,7 @@
 use firdock_core::{Outcome, Reason, rendezvous};
 use uuid::Uuid;
 
-use crate::event::{AccountUse, PeerNews, UseCounts, UseTotals};
+use crate::event::{AccountUse, PeerUpdate, UseCounts, UseTotals};
 use crate::request::{NewRequest, RequestRow, Verdict};
 use crate::table::account::Accounts;
 use crate::table::limit::{Bucket, TOLD_AFTER_USE};
@@ -75,7 +75,7 @@
 /// What a peer used before this instance first heard of it is not known to be recent, so it does not
 /// count. Nor does what it used of an account before it first told of that, unless it began with
 /// this instance or later. A word that was overtaken has smaller totals, and is made up for by the next.
-pub fn take_peer(t: &mut Tables, now: Time, news: &PeerNews) {
+pub fn take_peer(t: &mut Tables, now: Time, news: &PeerUpdate) {
     let peer = t.peers.find(&news.name).map(|at| t.peers.get(at));
     let Some(peer) = peer.filter(|p| p.heard > Time::ZERO) else {
         return;
--- a/crates/firdock-policy/src/system/news.rs
+++ b/crates/firdock-policy/src/system/news.rs
@@ -4,7 +4,7 @@
 
 use super::{end, fair, health, key, look, paced, rollout, suspect};
 use crate::action::Action;
-use crate::event::{BreakCause, DispatchNews, EndpointEvent};
+use crate::event::{BreakCause, DispatchUpdate, EndpointEvent};
 use crate::request::{Failure, Passed, Phase, Placing, Proof, RequestRow, Verdict};
 use crate::stats::WasteCause;
 use crate::table::Tables;
@@ -18,24 +18,24 @@
         return;
     };
     match e.news {
-        DispatchNews::Refused { unreachable } => refused(t, now, e.id, at, unreachable, out),
-        DispatchNews::Lapsed => lapsed(t, now, e.id, out),
-        DispatchNews::Withheld => withheld(t, now, e.id),
-        DispatchNews::Started { head_sent } => started(t, e.id, at, head_sent),
-        DispatchNews::Tokens { delivered, cached } => tokens(t, now, e.id, at, delivered, cached),
-        DispatchNews::Ended {
+        DispatchUpdate::Refused { unreachable } => refused(t, now, e.id, at, unreachable, out),
+        DispatchUpdate::Lapsed => lapsed(t, now, e.id, out),
+        DispatchUpdate::Withheld => withheld(t, now, e.id),
+        DispatchUpdate::Started { head_sent } => started(t, e.id, at, head_sent),
+        DispatchUpdate::Tokens { delivered, cached } => tokens(t, now, e.id, at, delivered, cached),
+        DispatchUpdate::Ended {
             prompt,
             cached,
             output,
         } => {
             ended(t, now, e.id, at, prompt, cached, output);
         }
-        DispatchNews::Failed => rollout::failed(t, e.id),
-        DispatchNews::FailureKept => failure_kept(t, e.id),
-        DispatchNews::Unproven => unproven(t, e.id),
-        DispatchNews::Unresumable => unresumable(t, e.id),
-        DispatchNews::Breaking(cause) => breaking(t, now, e.id, at, cause, out),
-        DispatchNews::Broke { delivered } => broke(t, now, e.id, at, delivered, out),
+        DispatchUpdate::Failed => rollout::failed(t, e.id),
+        DispatchUpdate::FailureKept => failure_kept(t, e.id),
+        DispatchUpdate::Unproven => unproven(t, e.id),
+        DispatchUpdate::Unresumable => unresumable(t, e.id),
+        DispatchUpdate::Breaking(cause) => breaking(t, now, e.id, at, cause, out),
+        DispatchUpdate::Broke { delivered } => broke(t, now, e.id, at, delivered, out),
     }
 }
 
--- a/crates/firdock-policy/src/system/notice.rs
+++ b/crates/firdock-policy/src/system/notice.rs
@@ -1,7 +1,7 @@
 //! Notices of endpoints: kept with the start that gave them, counted, and in force up to the write.
 
 use crate::action::Action;
-use crate::notice::{Notice, NoticeTold};
+use crate::notice::{Notice, NoticeReport};
 use crate::request::Phase;
 use crate::system::handover::LEAVING_WORD;
 use crate::table::Tables;
@@ -9,7 +9,7 @@
 /// Takes what an endpoint said of itself; the word of a start that is over is passed over.
 ///
 /// What it said to another instance counts as that one's word.
-pub fn take(t: &mut Tables, told: &NoticeTold, out: &mut Vec<Action>) {
+pub fn take(t: &mut Tables, told: &NoticeReport, out: &mut Vec<Action>) {
     let Some(at) = t.endpoints.find_start(&told.endpoint) else {
         return;
     };
@@ -25,7 +25,7 @@
             leaving: false,
             ..told.notice
         };
-        e.notices.take(&NoticeTold {
+        e.notices.take(&NoticeReport {
             notice,
             ..told.clone()
         });
--- a/crates/firdock-policy/src/system/paced.rs
+++ b/crates/firdock-policy/src/system/paced.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::cost;
-use crate::load::PaceTold;
+use crate::load::PaceReport;
 use crate::table::Tables;
 use crate::table::endpoint::EndpointRow;
 use crate::table::pool_pace::PoolPace;
@@ -15,7 +15,7 @@
 const MAX_FIGURE_AGE: Duration = Duration::from_millis(1_500);
 
 /// Takes the pace that a server told; one that is not known is passed over.
-pub fn take(t: &mut Tables, told: &PaceTold) {
+pub fn take(t: &mut Tables, told: &PaceReport) {
     let Some(at) = t.endpoints.find(&told.endpoint) else {
         return;
     };
--- a/crates/firdock-policy/src/system/rollout/decide.rs
+++ b/crates/firdock-policy/src/system/rollout/decide.rs
@@ -8,7 +8,7 @@
 use crate::action::Action;
 use crate::rollout::allowance::Progress;
 use crate::rollout::verdict::{self, Finding};
-use crate::rollout::{RolloutRecord, RolloutWord, Stage, allowance};
+use crate::rollout::{RolloutRecord, RolloutStatus, Stage, allowance};
 use crate::system::limit;
 use crate::table::Tables;
 use crate::table::endpoint::EndpointRow;
@@ -30,7 +30,7 @@
 }
 
 /// Takes a peer's word on a roll-out.
-pub fn hear(t: &mut Tables, now: Time, word: &RolloutWord) {
+pub fn hear(t: &mut Tables, now: Time, word: &RolloutStatus) {
     let decides = t.rollouts.decides;
     let Some(row) = t.rollouts.find_mut(&word.pool, word.order) else {
         return;
--- a/crates/firdock-policy/src/system/rollout/evidence.rs
+++ b/crates/firdock-policy/src/system/rollout/evidence.rs
@@ -7,7 +7,7 @@
 use super::versions::is_new;
 use crate::event::GroupEvidence;
 use crate::request::{Failure, RequestRow};
-use crate::rollout::{Evidence, Tally, ToldRollouts};
+use crate::rollout::{Evidence, RolloutReport, Tally};
 use crate::table::Tables;
 use crate::time::Time;
 
@@ -118,8 +118,8 @@
 /// Gives what peers are told of roll-outs: how far they are for as long as the orders stand, what was
 /// seen of them until they end.
 #[must_use]
-pub fn told(t: &Tables, now: Time) -> ToldRollouts {
-    let mut told = ToldRollouts::default();
+pub fn told(t: &Tables, now: Time) -> RolloutReport {
+    let mut told = RolloutReport::default();
     for row in t.rollouts.rows.values() {
         told.words.push(row.word(now));
         if !row.stage.is_recorded() {
--- a/crates/firdock-policy/src/system/suspect.rs
+++ b/crates/firdock-policy/src/system/suspect.rs
@@ -10,7 +10,7 @@
 use crate::action::Action;
 use crate::event::BreakCause;
 use crate::request::{Phase, RequestRow, Verdict};
-use crate::suspect::{BlamedRun, ToldSuspect};
+use crate::suspect::{BlamedRun, SuspectReport};
 use crate::table::Tables;
 use crate::table::endpoint::EndpointRow;
 use crate::time::Time;
@@ -169,7 +169,7 @@
 }
 
 /// Takes what other instances tell.
-pub fn hear(t: &mut Tables, now: Time, told: Vec<ToldSuspect>, out: &mut Vec<Action>) {
+pub fn hear(t: &mut Tables, now: Time, told: Vec<SuspectReport>, out: &mut Vec<Action>) {
     for one in told {
         let id = one.content.id;
         if t.suspects.hear(now, one) {
--- a/crates/firdock-policy/src/table.rs
+++ b/crates/firdock-policy/src/table.rs
@@ -103,7 +103,7 @@
     /// Demand of other groups, as their leads tell.
     pub groups: group::Groups,
     /// Work that other groups did for accounts, as their leads tell.
-    pub told_work: share::ToldWork,
+    pub told_work: share::ReportedWork,
     /// What accounts may have where room is short.
     pub levels: share::Levels,
     /// How many instances the leads of all groups heard last.
@@ -198,7 +198,7 @@
             known_peers: None,
             backoffs_until: Time::ZERO,
             groups: group::Groups::default(),
-            told_work: share::ToldWork::default(),
+            told_work: share::ReportedWork::default(),
             levels: share::Levels::default(),
             reach: None,
             fresh_at: None,
--- a/crates/firdock-policy/src/table/endpoint.rs
+++ b/crates/firdock-policy/src/table/endpoint.rs
@@ -8,7 +8,7 @@
 pub use super::closed::{Closed, LeavingSource};
 use super::line::Line;
 use super::notices::Notices;
-use super::pace_told::ToldPace;
+use super::pace_told::ReportedPace;
 use super::prefix_cache::PrefixCache;
 use super::rows::Rows;
 use crate::time::Time;
@@ -144,7 +144,7 @@
     /// What it said of itself with its answers.
     pub notices: Notices,
     /// What it told of its pace.
-    pub told: ToldPace,
+    pub told: ReportedPace,
     /// Last report.
     pub report: Option<Reported>,
     /// Believed prefix cache.
@@ -192,7 +192,7 @@
             first_line: Line::new(FIRST_SECS, FIRST_SPAN, FIRST_SPAN / rate.max(LEAST_RATE)),
             streams: 0,
             notices: Notices::default(),
-            told: ToldPace::default(),
+            told: ReportedPace::default(),
             report: None,
             cache: PrefixCache::default(),
             held_since: None,
--- a/crates/firdock-policy/src/table/notices.rs
+++ b/crates/firdock-policy/src/table/notices.rs
@@ -4,7 +4,7 @@
 
 use firdock_core::InstanceId;
 
-use crate::notice::{Notice, NoticeTold};
+use crate::notice::{Notice, NoticeReport};
 use crate::time::Time;
 
 /// A time in which an endpoint wants nothing from one instance.
@@ -31,7 +31,7 @@
     /// A back-off lasts until the latest end that was asked for: answers pass each other on their ways,
     /// and nothing is sent during one, so that the answer that is read last is not known to be the
     /// endpoint's last word.
-    pub fn take(&mut self, told: &NoticeTold) -> Notice {
+    pub fn take(&mut self, told: &NoticeReport) -> Notice {
         let new = Notice {
             leaving: told.notice.leaving && self.leaving_since.is_none(),
             backoff: told.notice.backoff.filter(|_| self.extends(told)),
@@ -52,7 +52,7 @@
     }
 
     /// Tells whether a notice asks for a later end than the instance knows.
-    fn extends(&self, told: &NoticeTold) -> bool {
+    fn extends(&self, told: &NoticeReport) -> bool {
         let Some(time) = told.notice.backoff.filter(|time| !time.is_zero()) else {
             return false;
         };
--- a/crates/firdock-policy/src/table/pace_told.rs
+++ b/crates/firdock-policy/src/table/pace_told.rs
@@ -21,7 +21,7 @@
 
 /// What one server told of its pace.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct ToldPace {
+pub struct ReportedPace {
     newest: Option<(f64, Time)>,
     /// Least figures of this window and the last one.
     least: (f64, f64),
@@ -31,7 +31,7 @@
     samples: u32,
 }
 
-impl ToldPace {
+impl ReportedPace {
     /// Takes a figure that was read at a time; one that is older than the newest is left out.
     ///
     /// Gives the figure and the time before it; `None` also where this one is left out.
--- a/crates/firdock-policy/src/table/peer.rs
+++ b/crates/firdock-policy/src/table/peer.rs
@@ -6,7 +6,7 @@
 use uuid::Uuid;
 
 use super::rows::Rows;
-use crate::event::{PeerNews, UseTotals};
+use crate::event::{PeerUpdate, UseTotals};
 use crate::time::Time;
 
 /// Table of peers.
@@ -75,7 +75,7 @@
 
     /// Takes the news over; what it let pass is kept where `follows` says so: where instances are many,
     /// leads tell the sums of all, and a row for each instance and account would grow with both.
-    pub fn update(&mut self, now: Time, news: PeerNews, follows: bool) {
+    pub fn update(&mut self, now: Time, news: PeerUpdate, follows: bool) {
         self.zone = news.zone;
         self.heard = now;
         self.held = news.held;
--- a/crates/firdock-policy/src/table/rollout.rs
+++ b/crates/firdock-policy/src/table/rollout.rs
@@ -8,7 +8,7 @@
 use uuid::Uuid;
 
 use crate::rollout::allowance::Progress;
-use crate::rollout::{Evidence, RolloutWord, Stage};
+use crate::rollout::{Evidence, RolloutStatus, Stage};
 use crate::table::peer::MAX_PEERS;
 use crate::time::Time;
 
@@ -137,8 +137,8 @@
 
     /// Gives what peers are told.
     #[must_use]
-    pub fn word(&self, now: Time) -> RolloutWord {
-        RolloutWord {
+    pub fn word(&self, now: Time) -> RolloutStatus {
+        RolloutStatus {
             pool: self.declared.pool.clone(),
             order: self.declared.order,
             stage: self.stage,
--- a/crates/firdock-policy/src/table/share.rs
+++ b/crates/firdock-policy/src/table/share.rs
@@ -110,11 +110,11 @@
 
 /// What the leads of other groups told of the work that their groups' endpoints did.
 #[derive(Debug, Default)]
-pub struct ToldWork {
+pub struct ReportedWork {
     zones: BTreeMap<ZoneId, (Time, GroupRows)>,
 }
 
-impl ToldWork {
+impl ReportedWork {
     /// Takes a lead's word over, in place of its last one.
     pub fn take(&mut self, now: Time, zone: ZoneId, work: Vec<AccountWork>) {
         if self.zones.len() >= MAX_ZONES && !self.zones.contains_key(&zone) {
--- a/crates/firdock-policy/src/table/suspects.rs
+++ b/crates/firdock-policy/src/table/suspects.rs
@@ -10,7 +10,7 @@
 
 use firdock_core::{AccountId, Content, ContentId, ServiceId, StartId};
 
-use crate::suspect::{BlamedRun, ToldEnd, ToldSuspect};
+use crate::suspect::{BlamedRun, SuspectReport, ToldEnd};
 use crate::time::Time;
 
 /// Ends that put a request into quarantine. One or two may be chance: a server that ends for another
@@ -143,14 +143,14 @@
 
     /// Gives what other instances are told of it.
     #[must_use]
-    pub fn told(&self, now: Time) -> ToldSuspect {
+    pub fn told(&self, now: Time) -> SuspectReport {
         let told = |e: &End| ToldEnd {
             start: e.start.clone(),
             sent_ago: now.saturating_sub(e.sent),
             ended_ago: now.saturating_sub(e.at),
             void: e.void,
         };
-        ToldSuspect {
+        SuspectReport {
             content: Arc::clone(&self.content),
             account: self.account.clone(),
             service: self.service.clone(),
@@ -233,7 +233,7 @@
     }
 
     /// Takes what another instance tells of a suspect; tells whether any of it is new.
-    pub fn hear(&mut self, now: Time, told: ToldSuspect) -> bool {
+    pub fn hear(&mut self, now: Time, told: SuspectReport) -> bool {
         let ends = told.ends.into_iter().take(MOST_ENDS).map(|e| End {
             start: e.start,
             sent: now.saturating_sub(e.sent_ago.max(e.ended_ago)),
@@ -303,7 +303,7 @@
 
     /// Gives what is told of suspects with a heartbeat: what this instance saw lately, and others by turns.
     #[must_use]
-    pub fn told(&self, now: Time, turn: usize) -> Vec<ToldSuspect> {
+    pub fn told(&self, now: Time, turn: usize) -> Vec<SuspectReport> {
         let is_new = |s: &&Suspect| s.seen.is_some_and(|seen| seen + NEW_FOR > now);
         let (new, others): (Vec<&Suspect>, Vec<&Suspect>) = self.rows.values().partition(is_new);
         let start = turn * BY_TURNS % others.len().max(1);
@@ -315,7 +315,7 @@
 
     /// Gives what is new and was heard from others: the leads of groups tell it on.
     #[must_use]
-    pub fn heard_told(&self, now: Time) -> Vec<ToldSuspect> {
+    pub fn heard_told(&self, now: Time) -> Vec<SuspectReport> {
         let is_new = |s: &&Suspect| s.changed + NEW_FOR > now && s.seen != Some(s.changed);
         let heard = foremost(self.rows.values().filter(is_new).collect());
         heard.into_iter().map(|s| s.told(now)).collect()
@@ -323,7 +323,7 @@
 
     /// Gives what an instance is told that was not heard before: all that counts, quarantine first.
     #[must_use]
-    pub fn all_told(&self, now: Time, most: usize) -> Vec<ToldSuspect> {
+    pub fn all_told(&self, now: Time, most: usize) -> Vec<SuspectReport> {
         let mut rows: Vec<&Suspect> = self.rows.values().filter(|s| !s.is_cleared()).collect();
         rows.sort_by_key(|s| s.quarantined_since().is_none());
         rows.into_iter().take(most).map(|s| s.told(now)).collect()
--- a/crates/firdock-policy/tests/policy/coordinate.rs
+++ b/crates/firdock-policy/tests/policy/coordinate.rs
@@ -3,13 +3,13 @@
 
 use firdock_core::resource::{Endpoint, Resource, Service, Tier};
 use firdock_core::{Outcome, Reason};
-use firdock_policy::event::{DispatchNews, Grant, GroupDemand, PeerNews, PoolDemand};
+use firdock_policy::event::{DispatchUpdate, Grant, GroupDemand, PeerUpdate, PoolDemand};
 use firdock_policy::{Action, Event, NewRequest, PolicySettings, Verdict};
 
 use crate::edge::{Edge, edge_settings, request, resources, verdict};
 use crate::scene::{dispatched, id, millis};
 
-const BROKE: DispatchNews = DispatchNews::Broke { delivered: 0 };
+const BROKE: DispatchUpdate = DispatchUpdate::Broke { delivered: 0 };
 
 /// An edge instance whose coordinator answers.
 fn member() -> Edge {
@@ -98,10 +98,10 @@
 #[test]
 fn a_place_on_an_engine_that_leaves_is_given_back_and_another_asked_for() {
     let mut edge = member();
-    edge.step(Event::Peer(PeerNews {
+    edge.step(Event::Peer(PeerUpdate {
         name: "b".to_owned(),
         leaving: vec!["e1".to_owned()],
-        ..PeerNews::default()
+        ..PeerUpdate::default()
     }));
     edge.arrive(request(1, "once", "free"));
     let actions = edge.step(Event::Granted(grant(1, "e1")));
@@ -202,7 +202,7 @@
         4,
         "two engines of two places; no limit counts here"
     );
-    let ended = DispatchNews::Ended {
+    let ended = DispatchUpdate::Ended {
         prompt: 90,
         cached: 0,
         output: 10,
@@ -291,14 +291,14 @@
     let mut edge = Edge::new(settings, zoned());
     edge.step(Event::PeersKnown(40));
     for (zone, rate) in [("east", east), ("west", west)] {
-        edge.step(Event::Peer(PeerNews {
+        edge.step(Event::Peer(PeerUpdate {
             name: format!("{zone}-1"),
             zone: zone.to_owned(),
             demand: vec![PoolDemand {
                 pool: "pool".to_owned(),
                 rate,
             }],
-            ..PeerNews::default()
+            ..PeerUpdate::default()
         }));
     }
     edge.after(millis(300));
--- a/crates/firdock-policy/tests/policy/edge.rs
+++ b/crates/firdock-policy/tests/policy/edge.rs
@@ -10,7 +10,7 @@
     Tier,
 };
 use firdock_core::{Outcome, Reason};
-use firdock_policy::event::{DispatchNews, EndpointEvent, PeerNews};
+use firdock_policy::event::{DispatchUpdate, EndpointEvent, PeerUpdate};
 use firdock_policy::{
     Action, Event, Mechanisms, NewRequest, Policy as _, PolicySettings, Scheduler, Time,
 };
@@ -134,7 +134,7 @@
         self.step(Event::Timer)
     }
 
-    pub fn tell(&mut self, n: u64, dispatch: u32, news: DispatchNews) -> Vec<Action> {
+    pub fn tell(&mut self, n: u64, dispatch: u32, news: DispatchUpdate) -> Vec<Action> {
         self.step(Event::Endpoint(EndpointEvent {
             id: id(n),
             dispatch,
@@ -143,7 +143,7 @@
     }
 
     pub fn end(&mut self, n: u64) {
-        let news = DispatchNews::Ended {
+        let news = DispatchUpdate::Ended {
             prompt: 0,
             cached: 0,
             output: 0,
@@ -159,8 +159,8 @@
     })
 }
 
-const BROKE: DispatchNews = DispatchNews::Broke { delivered: 0 };
-pub const REFUSED: DispatchNews = DispatchNews::Refused { unreachable: false };
+const BROKE: DispatchUpdate = DispatchUpdate::Broke { delivered: 0 };
+pub const REFUSED: DispatchUpdate = DispatchUpdate::Refused { unreachable: false };
 
 #[test]
 fn requests_of_a_split_service_go_to_the_pool_that_was_drawn() {
@@ -234,13 +234,13 @@
     let mut edge = Edge::new(edge_settings("a"), resources());
     let first = dispatched(&edge.arrive(request(1, "once", "free")));
     edge.now += millis(10_000);
-    let stale = edge.tell(1, 1, DispatchNews::Lapsed);
+    let stale = edge.tell(1, 1, DispatchUpdate::Lapsed);
     assert_eq!(verdict(&stale), Some((Outcome::NotRun, Reason::StateStale)));
     edge.step(Event::Fresh(edge.now));
     let mut edge = Edge::new(edge_settings("a"), resources());
     edge.arrive(request(1, "once", "free"));
     edge.step(Event::Fresh(edge.now + millis(1)));
-    let again = dispatched(&edge.tell(1, 1, DispatchNews::Lapsed));
+    let again = dispatched(&edge.tell(1, 1, DispatchUpdate::Lapsed));
     assert_eq!((first.len(), again.len()), (1, 1));
 }
 
@@ -355,9 +355,9 @@
     for me in &names {
         let mut edge = Edge::new(edge_settings(me), resources());
         for other in names.iter().filter(|n| *n != me) {
-            edge.step(Event::Peer(PeerNews {
+            edge.step(Event::Peer(PeerUpdate {
                 name: other.clone(),
-                ..PeerNews::default()
+                ..PeerUpdate::default()
             }));
         }
         edge.after(millis(300));
@@ -381,9 +381,9 @@
     }
     let mut edge = Edge::new(edge_settings("a"), all);
     for n in 0..40 {
-        edge.step(Event::Peer(PeerNews {
+        edge.step(Event::Peer(PeerUpdate {
             name: format!("instance-{n}"),
-            ..PeerNews::default()
+            ..PeerUpdate::default()
         }));
     }
     edge.after(millis(300));
@@ -415,10 +415,10 @@
         let mut edge = Edge::new(settings, all.clone());
         edge.step(Event::PeersKnown(INSTANCES - 1));
         for other in (0..INSTANCES).filter(|other| *other != n) {
-            edge.step(Event::Peer(PeerNews {
+            edge.step(Event::Peer(PeerUpdate {
                 name: format!("i{other}"),
                 zone: zone(other),
-                ..PeerNews::default()
+                ..PeerUpdate::default()
             }));
         }
         edge.after(millis(300));
--- a/crates/firdock-policy/tests/policy/failures.rs
+++ b/crates/firdock-policy/tests/policy/failures.rs
@@ -1,18 +1,18 @@
 //! Endpoints that answer that they failed: what a caller gets once no other endpoint does better.
 
-use firdock_policy::event::{BreakCause, DispatchNews};
+use firdock_policy::event::{BreakCause, DispatchUpdate};
 use firdock_policy::{Action, Event};
 
 use crate::edge::{Edge, edge_settings, request, resources};
 use crate::scene::{id, millis};
 
-const BROKE: DispatchNews = DispatchNews::Broke { delivered: 0 };
+const BROKE: DispatchUpdate = DispatchUpdate::Broke { delivered: 0 };
 
 /// The endpoint of a dispatch fails; its answer can be passed on.
 fn fails(edge: &mut Edge, dispatch: u32) -> Vec<Action> {
-    edge.tell(1, dispatch, DispatchNews::Failed);
-    edge.tell(1, dispatch, DispatchNews::FailureKept);
-    edge.tell(1, dispatch, DispatchNews::Breaking(BreakCause::Failed));
+    edge.tell(1, dispatch, DispatchUpdate::Failed);
+    edge.tell(1, dispatch, DispatchUpdate::FailureKept);
+    edge.tell(1, dispatch, DispatchUpdate::Breaking(BreakCause::Failed));
     edge.tell(1, dispatch, BROKE)
 }
 
@@ -43,7 +43,7 @@
 fn a_failure_before_a_try_that_was_lost_is_not_passed_on() {
     let mut edge = arrived();
     fails(&mut edge, 1);
-    edge.tell(1, 2, DispatchNews::Breaking(BreakCause::Closed));
+    edge.tell(1, 2, DispatchUpdate::Breaking(BreakCause::Closed));
     let actions = edge.tell(1, 2, BROKE);
     assert!(!is_passed(&actions), "{actions:?}");
 }
--- a/crates/firdock-policy/tests/policy/golden.rs
+++ b/crates/firdock-policy/tests/policy/golden.rs
@@ -6,8 +6,8 @@
 use std::path::PathBuf;
 
 use firdock_policy::event::{
-    DispatchNews, EndpointEvent, HandOverEvent, HandOverRefusal, ListedInstance, LoadReport,
-    LogReading, Member, MemberView, PeerNews,
+    DispatchUpdate, EndpointEvent, HandOverEvent, HandOverRefusal, ListedInstance, LoadReport,
+    LogReading, Member, MemberView, PeerUpdate,
 };
 use firdock_policy::{Event, Policy as _, PolicySettings, Scheduler, Time};
 use serde_json::json;
@@ -55,7 +55,7 @@
         self.step(Event::Arrived(request(n, service, account)))
     }
 
-    fn tell(&mut self, n: u64, dispatch: u32, news: DispatchNews) -> &mut Self {
+    fn tell(&mut self, n: u64, dispatch: u32, news: DispatchUpdate) -> &mut Self {
         self.now += millis(1);
         self.step(Event::Endpoint(EndpointEvent {
             id: id(n),
@@ -65,13 +65,13 @@
     }
 
     fn peer(&mut self, name: &str, held: &[u32]) -> &mut Self {
-        self.step(Event::Peer(PeerNews {
+        self.step(Event::Peer(PeerUpdate {
             name: name.to_owned(),
             zone: "zone".to_owned(),
             held: held.to_vec(),
             demand: Vec::new(),
             draining: false,
-            ..PeerNews::default()
+            ..PeerUpdate::default()
         }))
     }
 
@@ -110,12 +110,12 @@
     }
 }
 
-const ENDED: DispatchNews = DispatchNews::Ended {
+const ENDED: DispatchUpdate = DispatchUpdate::Ended {
     prompt: 400,
     cached: 0,
     output: 20,
 };
-const STARTED: DispatchNews = DispatchNews::Started { head_sent: true };
+const STARTED: DispatchUpdate = DispatchUpdate::Started { head_sent: true };
 
 fn me() -> Member {
     settings("a").member
@@ -149,22 +149,22 @@
     s.tell(1, 1, STARTED).tell(
         1,
         1,
-        DispatchNews::Tokens {
+        DispatchUpdate::Tokens {
             delivered: 1,
             cached: 0,
         },
     );
-    s.tell(1, 1, DispatchNews::Broke { delivered: 9 });
+    s.tell(1, 1, DispatchUpdate::Broke { delivered: 9 });
     s.tell(
         1,
         1,
-        DispatchNews::Ended {
+        DispatchUpdate::Ended {
             prompt: 1,
             cached: 0,
             output: 9,
         },
     );
-    s.tell(2, 1, DispatchNews::Refused { unreachable: true });
+    s.tell(2, 1, DispatchUpdate::Refused { unreachable: true });
     s.after(600);
     s.step(Event::Report(LoadReport {
         endpoint: "engine-1".to_owned(),
@@ -181,14 +181,14 @@
     s.tell(
         1,
         2,
-        DispatchNews::Tokens {
+        DispatchUpdate::Tokens {
             delivered: 10,
             cached: 128,
         },
     )
     .tell(1, 2, ENDED);
     s.arrive(4, "orders", "shop")
-        .tell(4, 1, DispatchNews::Broke { delivered: 0 });
+        .tell(4, 1, DispatchUpdate::Broke { delivered: 0 });
     s.step(Event::CallerLeft(id(3)));
     s.compare("failing_engines");
 }
--- a/crates/firdock-policy/tests/policy/limits.rs
+++ b/crates/firdock-policy/tests/policy/limits.rs
@@ -4,7 +4,7 @@
 
 use firdock_core::{Outcome, Reason};
 use firdock_policy::event::{
-    AccountUse, HandOverEvent, HandOverRefusal, Member, MemberView, PeerNews, PeerUse, UseCounts,
+    AccountUse, HandOverEvent, HandOverRefusal, Member, MemberView, PeerUpdate, PeerUse, UseCounts,
     UseTotals,
 };
 use firdock_policy::sums::UseSums;
@@ -87,11 +87,11 @@
 }
 
 fn peer(used: f64, incarnation: u128) -> Event {
-    Event::Peer(PeerNews {
+    Event::Peer(PeerUpdate {
         name: "b".to_owned(),
         incarnation: Uuid::from_u128(incarnation),
         used: limited(used),
-        ..PeerNews::default()
+        ..PeerUpdate::default()
     })
 }
 
@@ -185,9 +185,9 @@
     let mut edge = Edge::new(edge_settings("a"), resources());
     edge.step(Event::PeersKnown(99));
     for n in 0..99 {
-        edge.step(Event::Peer(PeerNews {
+        edge.step(Event::Peer(PeerUpdate {
             name: format!("peer-{n}"),
-            ..PeerNews::default()
+            ..PeerUpdate::default()
         }));
     }
     edge.step(Event::Reach(100));
@@ -211,18 +211,18 @@
 #[test]
 fn what_an_older_peer_let_pass_before_it_told_of_an_account_is_not_recent() {
     let start = |secs: u64| Uuid::new_v7(uuid::Timestamp::from_unix(uuid::NoContext, secs, 0));
-    let told = |incarnation: Uuid, used: f64| PeerNews {
+    let told = |incarnation: Uuid, used: f64| PeerUpdate {
         name: "b".to_owned(),
         incarnation,
         used: limited(used),
-        ..PeerNews::default()
+        ..PeerUpdate::default()
     };
     for (secs, passes) in [(1_000, true), (2_000, false)] {
         let mut settings = edge_settings("a");
         settings.member.incarnation = start(2_000);
         let mut edge = Edge::new(settings, resources());
         let peer = start(secs);
-        let first = PeerNews {
+        let first = PeerUpdate {
             used: Vec::new(),
             ..told(peer, 0.0)
         };
--- a/crates/firdock-policy/tests/policy/notices.rs
+++ b/crates/firdock-policy/tests/policy/notices.rs
@@ -12,18 +12,18 @@
 
 use firdock_core::resource::{Catalog, Endpoint, Resource};
 use firdock_core::{Outcome, Reason};
-use firdock_policy::event::{DispatchNews, Grant, ListedInstance, LoadReport};
-use firdock_policy::notice::{Notice, NoticeTold};
+use firdock_policy::event::{DispatchUpdate, Grant, ListedInstance, LoadReport};
+use firdock_policy::notice::{Notice, NoticeReport};
 use firdock_policy::table::endpoint::{EndpointRow, Health};
 use firdock_policy::{Action, Event, Time};
 
 use crate::edge::{Edge, REFUSED, edge_settings, request, resources, verdict};
 use crate::scene::{dispatched, id, millis};
 
-const BROKE: DispatchNews = DispatchNews::Broke { delivered: 0 };
+const BROKE: DispatchUpdate = DispatchUpdate::Broke { delivered: 0 };
 
 fn told(endpoint: &str, notice: Notice, read: Time) -> Event {
-    Event::Noticed(NoticeTold {
+    Event::Noticed(NoticeReport {
         endpoint: endpoint.to_owned(),
         member: String::new(),
         notice,
@@ -79,7 +79,7 @@
     while !actions.is_empty() {
         for (of, endpoint) in dispatched(&std::mem::take(&mut actions)) {
             reached.push(endpoint);
-            let news = DispatchNews::Ended {
+            let news = DispatchUpdate::Ended {
                 prompt: 0,
                 cached: 0,
                 output: 0,
@@ -314,7 +314,7 @@
         let over: Vec<_> = running.extract_if(.., |(at, ..)| *at <= edge.now).collect();
         for (_, n, dispatch) in over {
             served += 1;
-            let news = DispatchNews::Ended {
+            let news = DispatchUpdate::Ended {
                 prompt: 0,
                 cached: 0,
                 output: 0,
--- a/crates/firdock-policy/tests/policy/overload.rs
+++ b/crates/firdock-policy/tests/policy/overload.rs
@@ -2,7 +2,7 @@
 
 use firdock_core::resource::{Endpoint, Resource};
 use firdock_policy::NewRequest;
-use firdock_policy::event::DispatchNews;
+use firdock_policy::event::DispatchUpdate;
 
 use crate::edge::{Edge, edge_settings, request, resources};
 use crate::scene::dispatched;
@@ -38,7 +38,7 @@
         edge.tell(
             n,
             1,
-            DispatchNews::Ended {
+            DispatchUpdate::Ended {
                 prompt: 90,
                 cached: 0,
                 output: tokens,
--- a/crates/firdock-policy/tests/policy/paced.rs
+++ b/crates/firdock-policy/tests/policy/paced.rs
@@ -2,9 +2,9 @@
 //! as the others, and 15 of 100 two and a half times their own time, for half a second at a time.
 
 use firdock_core::resource::{Endpoint, EndpointKind, PoolWeight, Resource, Service};
-use firdock_policy::event::DispatchNews;
-use firdock_policy::load::{Pace, PaceTold};
-use firdock_policy::table::pace_told::ToldPace;
+use firdock_policy::event::DispatchUpdate;
+use firdock_policy::load::{Pace, PaceReport};
+use firdock_policy::table::pace_told::ReportedPace;
 use firdock_policy::table::pool_pace::PoolPace;
 use firdock_policy::{Event, NewRequest, Time};
 
@@ -22,7 +22,7 @@
 
 fn told(edge: &mut Edge, endpoint: &str, hundredths: u32) {
     let read = edge.now;
-    edge.step(Event::Paced(PaceTold {
+    edge.step(Event::Paced(PaceReport {
         endpoint: endpoint.to_owned(),
         pace: pace(hundredths),
         read,
@@ -91,13 +91,13 @@
     }
 }
 
-const TOKENS: DispatchNews = DispatchNews::Tokens {
+const TOKENS: DispatchUpdate = DispatchUpdate::Tokens {
     delivered: 7,
     cached: 0,
 };
 
-fn ended(prompt: u32, output: u32) -> DispatchNews {
-    DispatchNews::Ended {
+fn ended(prompt: u32, output: u32) -> DispatchUpdate {
+    DispatchUpdate::Ended {
         prompt,
         cached: 0,
         output,
@@ -128,7 +128,7 @@
 
 #[test]
 fn an_older_figure_that_comes_late_is_left_out() {
-    let mut seen = ToldPace::default();
+    let mut seen = ReportedPace::default();
     seen.take(pace(68), millis(1_000));
     seen.take(pace(300), millis(900));
     assert_eq!(seen.newest().map(|(_, at)| at), Some(millis(1_000)));
@@ -139,7 +139,7 @@
 /// little of an answer.
 #[test]
 fn a_slow_moment_counts_for_what_comes_now_and_fades() {
-    let (mut seen, mut pool) = (ToldPace::default(), PoolPace::default());
+    let (mut seen, mut pool) = (ReportedPace::default(), PoolPace::default());
     for n in 0..2_000_u64 {
         let at = millis(1_000 + 100 * n);
         let slow = (n / 5) % 7 == 0;
--- a/crates/firdock-policy/tests/policy/restart.rs
+++ b/crates/firdock-policy/tests/policy/restart.rs
@@ -8,15 +8,15 @@
 
 use firdock_core::resource::Resource;
 use firdock_core::{Outcome, Reason};
-use firdock_policy::event::{DispatchNews, Grant, PeerNews};
+use firdock_policy::event::{DispatchUpdate, Grant, PeerUpdate};
 use firdock_policy::table::endpoint::{EndpointRow, Health};
 use firdock_policy::{Action, Event, PolicySettings, Scheduler};
 
 use crate::scene::{Driven, catalog, dispatched, id, millis, request, resources, settings};
 
-const BROKE: DispatchNews = DispatchNews::Broke { delivered: 0 };
-const REFUSED: DispatchNews = DispatchNews::Refused { unreachable: false };
-const ENDED: DispatchNews = DispatchNews::Ended {
+const BROKE: DispatchUpdate = DispatchUpdate::Broke { delivered: 0 };
+const REFUSED: DispatchUpdate = DispatchUpdate::Refused { unreachable: false };
+const ENDED: DispatchUpdate = DispatchUpdate::Ended {
     prompt: 0,
     cached: 0,
     output: 0,
@@ -70,10 +70,10 @@
     let mut d = instance(settings("a"));
     let first = dispatched(&d.arrive(request(1, "draft", "shop")));
     let name = first[0].1.clone();
-    d.tell(1, 1, DispatchNews::Started { head_sent: true });
+    d.tell(1, 1, DispatchUpdate::Started { head_sent: true });
     let actions = restart(&mut d, &name, millis(2_000));
     assert_eq!(given_up(&actions), [(1, 1)]);
-    let again = d.tell(1, 1, DispatchNews::Broke { delivered: 12 });
+    let again = d.tell(1, 1, DispatchUpdate::Broke { delivered: 12 });
     let Some(Action::Dispatch(again)) = again.first() else {
         panic!("{again:?}")
     };
@@ -93,10 +93,10 @@
     } else {
         "plain-0"
     };
-    d.step(Event::Peer(PeerNews {
+    d.step(Event::Peer(PeerUpdate {
         name: "b".to_owned(),
         leaving: vec![format!("{other}@1000")],
-        ..PeerNews::default()
+        ..PeerUpdate::default()
     }));
     restart(&mut d, &name, millis(2_000));
     let again = dispatched(&d.tell(1, 1, BROKE));
@@ -171,10 +171,10 @@
         .clone();
     d.now += millis(900);
     d.tell(1, 1, ENDED);
-    d.step(Event::Peer(PeerNews {
+    d.step(Event::Peer(PeerUpdate {
         name: "b".to_owned(),
         leaving: vec![format!("{name}@1000")],
-        ..PeerNews::default()
+        ..PeerUpdate::default()
     }));
     let known = row(&d, &name);
     assert!(known.leaving(d.now) && known.firsts > 0);
@@ -189,10 +189,10 @@
     let mut d = instance(settings("a"));
     restart(&mut d, "plain-0", millis(2_000));
     let mut tell = |start: &str| {
-        d.step(Event::Peer(PeerNews {
+        d.step(Event::Peer(PeerUpdate {
             name: "b".to_owned(),
             leaving: vec![start.to_owned()],
-            ..PeerNews::default()
+            ..PeerUpdate::default()
         }));
         row(&d, "plain-0").leaving(d.now)
     };
--- a/crates/firdock-policy/tests/policy/rollout.rs
+++ b/crates/firdock-policy/tests/policy/rollout.rs
@@ -8,8 +8,8 @@
 
 use firdock_core::resource::{Catalog, Endpoint, Resource, Rollout};
 use firdock_core::settings::Rollouts;
-use firdock_policy::event::{DispatchNews, GroupEvidence, PeerNews};
-use firdock_policy::rollout::{Evidence, RolloutRecord, RolloutWord, Stage};
+use firdock_policy::event::{DispatchUpdate, GroupEvidence, PeerUpdate};
+use firdock_policy::rollout::{Evidence, RolloutRecord, RolloutStatus, Stage};
 use firdock_policy::{Action, Event, PolicySettings};
 use proptest::prelude::*;
 
@@ -130,7 +130,7 @@
                 continue;
             };
             if engine.starts_with("new") && bad(n, service) {
-                self.edge.tell(n, 1, DispatchNews::Failed);
+                self.edge.tell(n, 1, DispatchUpdate::Failed);
             }
             self.edge.end(n);
         }
@@ -155,7 +155,7 @@
 }
 
 fn word(stage: Stage, age: Duration) -> Event {
-    Event::Rollout(RolloutWord {
+    Event::Rollout(RolloutStatus {
         pool: "pool".to_owned(),
         order: 7,
         stage,
@@ -260,7 +260,7 @@
             };
             let t = site.edge.scheduler.tables();
             if canary.is_some() && t.endpoints.find(&engine) == canary && n.is_multiple_of(2) {
-                site.edge.tell(n, 1, DispatchNews::Failed);
+                site.edge.tell(n, 1, DispatchUpdate::Failed);
             }
             site.edge.end(n);
         }
@@ -308,10 +308,10 @@
     site.edge.step(Event::GroupEvidence(far));
     site.edge.after(millis(100));
     assert_eq!(site.stage(), Stage::Watching);
-    site.edge.step(Event::Peer(PeerNews {
+    site.edge.step(Event::Peer(PeerUpdate {
         name: "b".to_owned(),
         seen: vec![seen],
-        ..PeerNews::default()
+        ..PeerUpdate::default()
     }));
     site.edge.after(millis(100));
     assert_eq!(site.stage(), Stage::Halted);
--- a/crates/firdock-policy/tests/policy/rules.rs
+++ b/crates/firdock-policy/tests/policy/rules.rs
@@ -4,7 +4,7 @@
 
 use firdock_core::resource::EndpointKind;
 use firdock_core::{Outcome, Reason};
-use firdock_policy::event::{DispatchNews, ListedInstance, Member, PeerNews};
+use firdock_policy::event::{DispatchUpdate, ListedInstance, Member, PeerUpdate};
 use firdock_policy::{Action, Event, Origin};
 use uuid::Uuid;
 
@@ -13,9 +13,9 @@
     with_key,
 };
 
-const REFUSED: DispatchNews = DispatchNews::Refused { unreachable: false };
-const BROKE: DispatchNews = DispatchNews::Broke { delivered: 0 };
-const ENDED: DispatchNews = DispatchNews::Ended {
+const REFUSED: DispatchUpdate = DispatchUpdate::Refused { unreachable: false };
+const BROKE: DispatchUpdate = DispatchUpdate::Broke { delivered: 0 };
+const ENDED: DispatchUpdate = DispatchUpdate::Ended {
     prompt: 0,
     cached: 0,
     output: 0,
@@ -59,16 +59,16 @@
 fn a_broken_stream_is_resumed_on_another_engine_where_it_stopped() {
     let mut d = Driven::new(settings("a"));
     let first = dispatched(&d.arrive(request(1, "draft", "shop")));
-    d.tell(1, 1, DispatchNews::Started { head_sent: true });
+    d.tell(1, 1, DispatchUpdate::Started { head_sent: true });
     d.tell(
         1,
         1,
-        DispatchNews::Tokens {
+        DispatchUpdate::Tokens {
             delivered: 1,
             cached: 0,
         },
     );
-    let actions = d.tell(1, 1, DispatchNews::Broke { delivered: 12 });
+    let actions = d.tell(1, 1, DispatchUpdate::Broke { delivered: 12 });
     let Some(Action::Dispatch(again)) = actions.first() else {
         panic!("{actions:?}")
     };
@@ -138,13 +138,13 @@
     for n in 4..=9 {
         d.arrive(request(n, "guide", "shop"));
     }
-    d.step(Event::Peer(PeerNews {
+    d.step(Event::Peer(PeerUpdate {
         name: "b".to_owned(),
         zone: "z".to_owned(),
         held: vec![0, 0, 3],
         demand: Vec::new(),
         draining: false,
-        ..PeerNews::default()
+        ..PeerUpdate::default()
     }));
     let actions = d.arrive(request(10, "guide", "shop"));
     assert!(
--- a/crates/firdock-policy/tests/policy/scene.rs
+++ b/crates/firdock-policy/tests/policy/scene.rs
@@ -7,7 +7,7 @@
     Account, Catalog, Endpoint, EndpointKind, Resource, Service, ServiceKind, Tier,
 };
 use firdock_core::settings::Settings;
-use firdock_policy::event::{DispatchNews, EndpointEvent, LogReading, Member, MemberView};
+use firdock_policy::event::{DispatchUpdate, EndpointEvent, LogReading, Member, MemberView};
 use firdock_policy::{
     Action, Event, KeyClaim, NewRequest, Origin, Policy as _, PolicySettings, Scheduler, Time,
 };
@@ -179,7 +179,7 @@
         self.step(Event::Arrived(new))
     }
 
-    pub fn tell(&mut self, n: u64, dispatch: u32, news: DispatchNews) -> Vec<Action> {
+    pub fn tell(&mut self, n: u64, dispatch: u32, news: DispatchUpdate) -> Vec<Action> {
         self.step(Event::Endpoint(EndpointEvent {
             id: id(n),
             dispatch,
--- a/crates/firdock-policy/tests/policy/shares/load.rs
+++ b/crates/firdock-policy/tests/policy/shares/load.rs
@@ -6,7 +6,7 @@
 use firdock_core::Reason;
 use firdock_core::RequestId;
 use firdock_core::resource::{Account, Endpoint, Resource, Service, Tier};
-use firdock_policy::event::{AccountWork, DispatchNews, EndpointEvent, GroupWork};
+use firdock_policy::event::{AccountWork, DispatchUpdate, EndpointEvent, GroupWork};
 use firdock_policy::{AccountShares, Action, Event, NewRequest, Time, told_work};
 
 use crate::edge::{Edge, edge_settings, request, resources};
@@ -225,7 +225,7 @@
 
     fn end_what_is_done(&mut self) {
         while let Some((_, id, dispatch)) = self.running.pop_front_if(|r| r.0 <= self.edge.now) {
-            let news = DispatchNews::Ended {
+            let news = DispatchUpdate::Ended {
                 prompt: 90,
                 cached: 0,
                 output: 10,
--- a/crates/firdock-policy/tests/policy/suspects.rs
+++ b/crates/firdock-policy/tests/policy/suspects.rs
@@ -14,14 +14,14 @@
 
 use firdock_core::resource::{Catalog, Endpoint, Resource};
 use firdock_core::{Content, Outcome};
-use firdock_policy::event::{BreakCause, DispatchNews, Found, Look};
+use firdock_policy::event::{BreakCause, DispatchUpdate, Found, Look};
 use firdock_policy::{Action, Event, NewRequest, Time};
 
 use crate::edge::{Edge, edge_settings, request, resources};
 use crate::scene::{dispatched, id, millis};
 
-const BROKE: DispatchNews = DispatchNews::Broke { delivered: 0 };
-const ENDED: DispatchNews = DispatchNews::Ended {
+const BROKE: DispatchUpdate = DispatchUpdate::Broke { delivered: 0 };
+const ENDED: DispatchUpdate = DispatchUpdate::Ended {
     prompt: 0,
     cached: 0,
     output: 0,
@@ -61,7 +61,7 @@
 
 /// The connection of a run ends early.
 fn breaks(edge: &mut Edge, n: u64, dispatch: u32) -> Vec<Action> {
-    let mut actions = edge.tell(n, dispatch, DispatchNews::Breaking(BreakCause::Closed));
+    let mut actions = edge.tell(n, dispatch, DispatchUpdate::Breaking(BreakCause::Closed));
     actions.extend(edge.tell(n, dispatch, BROKE));
     actions
 }
@@ -96,7 +96,7 @@
                 return Some((dispatch.dispatch, dispatch.endpoint));
             }
             let n = dispatch.id.as_u64_pair().1;
-            let refused = DispatchNews::Refused { unreachable: true };
+            let refused = DispatchUpdate::Refused { unreachable: true };
             actions = self.edge.tell(n, dispatch.dispatch, refused);
         }
     }
@@ -176,7 +176,7 @@
         dispatch,
     };
     assert!(actions.contains(&withheld), "{actions:?}");
-    let actions = pool.edge.tell(4, dispatch, DispatchNews::Withheld);
+    let actions = pool.edge.tell(4, dispatch, DispatchUpdate::Withheld);
     assert!(dispatched(&actions).is_empty());
     let verdict = answer(&actions, 4);
     assert_eq!(verdict.map(|v| v.outcome), Some(Outcome::NotRun));
@@ -311,7 +311,7 @@
                 .iter()
                 .any(|(name, due)| *name == d.endpoint && due.is_zero());
             if !up {
-                let refused = DispatchNews::Refused { unreachable: true };
+                let refused = DispatchUpdate::Refused { unreachable: true };
                 queue.extend(edge.tell(n, d.dispatch, refused));
                 continue;
             }
--- a/crates/firdock-policy/tests/policy/suspects/evidence.rs
+++ b/crates/firdock-policy/tests/policy/suspects/evidence.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use firdock_core::resource::{Catalog, Endpoint, Resource};
-use firdock_policy::event::{BreakCause, DispatchNews, Found};
-use firdock_policy::notice::{Notice, NoticeTold};
+use firdock_policy::event::{BreakCause, DispatchUpdate, Found};
+use firdock_policy::notice::{Notice, NoticeReport};
 use firdock_policy::{Action, Event};
 
 use super::words::{peer, told_of};
@@ -85,7 +85,7 @@
     let (dispatch, _) = pool
         .arrives(with_body(2, "once", "hot"))
         .expect("it is sent");
-    pool.edge.tell(2, dispatch, DispatchNews::Unproven);
+    pool.edge.tell(2, dispatch, DispatchUpdate::Unproven);
     pool.edge.tell(2, dispatch, ENDED);
     assert_eq!(ends_against(&pool.edge, "hot"), 1);
     let (dispatch, _) = pool
@@ -104,7 +104,7 @@
             .arrives(with_body(n, "once", "hot"))
             .expect("it is sent");
         if n.is_multiple_of(2) {
-            pool.edge.step(Event::Noticed(NoticeTold {
+            pool.edge.step(Event::Noticed(NoticeReport {
                 endpoint: endpoint.clone(),
                 member: String::new(),
                 notice: Notice {
@@ -135,7 +135,7 @@
         let sent = dispatched(&edge.arrive(with_body(n, "once", "hot")));
         edge.now += RUN;
         if n.is_multiple_of(3) {
-            edge.tell(n, 1, DispatchNews::Breaking(BreakCause::Foreign));
+            edge.tell(n, 1, DispatchUpdate::Breaking(BreakCause::Foreign));
             edge.tell(n, 1, BROKE);
             // Another request's look finds it ended a moment later.
             edge.now += millis(10);
@@ -307,7 +307,7 @@
             dispatch: 1,
         };
         assert!(actions.contains(&given_up));
-        edge.tell(1, 1, DispatchNews::Breaking(BreakCause::Restarted));
+        edge.tell(1, 1, DispatchUpdate::Breaking(BreakCause::Restarted));
         edge.tell(1, 1, BROKE);
         assert_eq!(ends_against(&edge, "deadly"), ends, "removed: {removed}");
     }
--- a/crates/firdock-policy/tests/policy/suspects/words.rs
+++ b/crates/firdock-policy/tests/policy/suspects/words.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use firdock_core::Outcome;
-use firdock_policy::event::{Found, Grant, PeerNews};
-use firdock_policy::suspect::{ToldEnd, ToldSuspect};
+use firdock_policy::event::{Found, Grant, PeerUpdate};
+use firdock_policy::suspect::{SuspectReport, ToldEnd};
 use firdock_policy::{Action, Event, NewRequest};
 use proptest::prelude::*;
 
@@ -15,14 +15,14 @@
 use crate::edge::{Edge, edge_settings};
 use crate::scene::{dispatched, id, millis};
 
-pub fn told_of(body: &str, account: &str, starts: &[(&str, u64)]) -> ToldSuspect {
+pub fn told_of(body: &str, account: &str, starts: &[(&str, u64)]) -> SuspectReport {
     let end = |(start, ago): &(&str, u64)| ToldEnd {
         start: (*start).to_owned(),
         sent_ago: millis(ago + 100),
         ended_ago: millis(*ago),
         void: false,
     };
-    ToldSuspect {
+    SuspectReport {
         content: content(body),
         account: account.to_owned(),
         service: "once".to_owned(),
@@ -30,11 +30,11 @@
     }
 }
 
-pub fn peer(name: &str, suspects: Vec<ToldSuspect>) -> Event {
-    Event::Peer(PeerNews {
+pub fn peer(name: &str, suspects: Vec<SuspectReport>) -> Event {
+    Event::Peer(PeerUpdate {
         name: name.to_owned(),
         suspects,
-        ..PeerNews::default()
+        ..PeerUpdate::default()
     })
 }
 
@@ -191,7 +191,7 @@
         ends in prop::collection::vec((0..6_u8, 0..2_000_u64, prop::bool::ANY), 1..12),
         order in any::<prop::sample::Index>(),
     ) {
-        let words: Vec<ToldSuspect> = ends
+        let words: Vec<SuspectReport> = ends
             .iter()
             .map(|(start, ago, void)| {
                 let name = format!("x{start}");
--- a/crates/firdock-policy/tests/policy/tries.rs
+++ b/crates/firdock-policy/tests/policy/tries.rs
@@ -3,13 +3,13 @@
 use std::collections::BTreeMap;
 
 use firdock_policy::NewRequest;
-use firdock_policy::event::DispatchNews;
+use firdock_policy::event::DispatchUpdate;
 use firdock_policy::stats::{TryEnd, TryKey};
 
 use crate::edge::{Edge, edge_settings, request, resources};
 use crate::scene::millis;
 
-const ENDED: DispatchNews = DispatchNews::Ended {
+const ENDED: DispatchUpdate = DispatchUpdate::Ended {
     prompt: 90,
     cached: 0,
     output: 10,
--- a/crates/firdock-policy/tests/policy/world.rs
+++ b/crates/firdock-policy/tests/policy/world.rs
@@ -13,8 +13,8 @@
 use firdock_core::{Content, RequestId};
 use firdock_policy::action::Dispatch;
 use firdock_policy::event::{
-    DispatchNews, EndpointEvent, HandOverEvent, ListedInstance, LogReading, Member, MemberView,
-    PeerNews,
+    DispatchUpdate, EndpointEvent, HandOverEvent, ListedInstance, LogReading, Member, MemberView,
+    PeerUpdate,
 };
 use firdock_policy::{Event, NewRequest, Policy as _, Scheduler};
 use rand::rngs::StdRng;
@@ -438,14 +438,14 @@
 
     fn beat(&mut self, from: usize) {
         let t = self.nodes[from].scheduler.tables();
-        let news = PeerNews {
+        let news = PeerUpdate {
             name: self.nodes[from].member.name.clone(),
             zone: "zone".to_owned(),
             held: t.requests.held_by_rank().to_vec(),
             demand: Vec::new(),
             draining: t.draining,
             suspects: t.suspects.told(self.now, 0),
-            ..PeerNews::default()
+            ..PeerUpdate::default()
         };
         for to in (0..NODES).filter(|to| *to != from) {
             if !self.nodes[to].paused {
@@ -461,7 +461,7 @@
     Arc::new(Content::new(account, "POST", service, &body))
 }
 
-fn endpoint_event(dispatch: &Dispatch, news: DispatchNews) -> Event {
+fn endpoint_event(dispatch: &Dispatch, news: DispatchUpdate) -> Event {
     Event::Endpoint(EndpointEvent {
         id: dispatch.id,
         dispatch: dispatch.dispatch,
--- a/crates/firdock-policy/tests/policy/world/message.rs
+++ b/crates/firdock-policy/tests/policy/world/message.rs
@@ -3,9 +3,9 @@
 use firdock_core::{Outcome, Reason, RequestId};
 use firdock_policy::action::Dispatch;
 use firdock_policy::event::{
-    BreakCause, DispatchNews, EndpointEvent, Found, Grant, HandOverEvent, HandOverRefusal, Look,
+    BreakCause, DispatchUpdate, EndpointEvent, Found, Grant, HandOverEvent, HandOverRefusal, Look,
 };
-use firdock_policy::notice::{Notice, NoticeTold};
+use firdock_policy::notice::{Notice, NoticeReport};
 use firdock_policy::{Action, Event, Origin, Policy as _, Verdict};
 use rand::Rng as _;
 use uuid::Uuid;
@@ -37,15 +37,15 @@
             }
             Message::EndpointDone(i, incarnation, dispatch) => {
                 let broken = self.faults[endpoint_index(&dispatch.endpoint)] == 3;
-                let ended = DispatchNews::Ended {
+                let ended = DispatchUpdate::Ended {
                     prompt: 0,
                     cached: 0,
                     output: 20,
                 };
-                let broke = DispatchNews::Broke {
+                let broke = DispatchUpdate::Broke {
                     delivered: dispatch.resume_from + 1,
                 };
-                let closed = DispatchNews::Breaking(BreakCause::Closed);
+                let closed = DispatchUpdate::Breaking(BreakCause::Closed);
                 let news = if broken {
                     vec![closed, broke]
                 } else {
@@ -75,7 +75,7 @@
     /// Looks at the key's confirmation one last time and writes.
     pub(super) fn write(&mut self, i: usize, incarnation: Uuid, dispatch: Dispatch) {
         if dispatch.confirm_by.is_some_and(|until| until <= self.now) {
-            self.tell(i, incarnation, &dispatch, DispatchNews::Lapsed);
+            self.tell(i, incarnation, &dispatch, DispatchUpdate::Lapsed);
             return;
         }
         let run = (incarnation, dispatch.id, dispatch.dispatch);
@@ -84,14 +84,14 @@
             return;
         }
         if self.given_up.contains(&run) {
-            let news = DispatchNews::Refused { unreachable: true };
+            let news = DispatchUpdate::Refused { unreachable: true };
             self.tell(i, incarnation, &dispatch, news);
             return;
         }
         if self.withheld.contains(&run) {
             let start = self.start_of(i, &dispatch.endpoint);
             self.dispatched.remove(&(dispatch.id, start));
-            self.tell(i, incarnation, &dispatch, DispatchNews::Withheld);
+            self.tell(i, incarnation, &dispatch, DispatchUpdate::Withheld);
             return;
         }
         let endpoints = &self.nodes[i].scheduler.tables().endpoints;
@@ -128,7 +128,7 @@
         if !matches!(fault, 5 | 6) || !self.alive(i, incarnation) {
             return;
         }
-        let told = NoticeTold {
+        let told = NoticeReport {
             endpoint: self.start_of(i, endpoint),
             member: String::new(),
             notice: Notice {
@@ -149,18 +149,18 @@
                 i,
                 incarnation,
                 &dispatch,
-                DispatchNews::Refused { unreachable: true },
+                DispatchUpdate::Refused { unreachable: true },
             ),
             2 | 5 => self.tell(
                 i,
                 incarnation,
                 &dispatch,
-                DispatchNews::Refused { unreachable: false },
+                DispatchUpdate::Refused { unreachable: false },
             ),
             _ => {
                 self.note_run(&dispatch);
                 if fault == 4 {
-                    let broke = DispatchNews::Broke {
+                    let broke = DispatchUpdate::Broke {
                         delivered: dispatch.resume_from,
                     };
                     let event = endpoint_event(&dispatch, broke);
@@ -172,7 +172,7 @@
                     i,
                     incarnation,
                     &dispatch,
-                    DispatchNews::Started { head_sent },
+                    DispatchUpdate::Started { head_sent },
                 );
                 let work = millis(self.rng.random_range(30..400));
                 self.send(work, Message::EndpointDone(i, incarnation, dispatch));
@@ -190,7 +190,7 @@
         i: usize,
         incarnation: Uuid,
         dispatch: &Dispatch,
-        news: DispatchNews,
+        news: DispatchUpdate,
     ) {
         let delay = self.lag();
         self.send(
@@ -201,7 +201,7 @@
 
     pub(super) fn step(&mut self, i: usize, event: Event) {
         let ended = match &event {
-            Event::Endpoint(e) if matches!(e.news, DispatchNews::Ended { .. }) => Some(e.id),
+            Event::Endpoint(e) if matches!(e.news, DispatchUpdate::Ended { .. }) => Some(e.id),
             Event::HandOver(HandOverEvent::Ended(id)) => Some(*id),
             _ => None,
         };
@@ -243,7 +243,7 @@
             }
             Action::GiveUpDispatch { id, dispatch } => {
                 self.given_up.insert((incarnation, id, dispatch));
-                let news = DispatchNews::Broke { delivered: 0 };
+                let news = DispatchUpdate::Broke { delivered: 0 };
                 let event = Event::Endpoint(EndpointEvent { id, dispatch, news });
                 let delay = self.lag();
                 self.send(delay, Message::Event(i, incarnation, event));
--- a/crates/firdock-standin/src/measure/baseline.rs
+++ b/crates/firdock-standin/src/measure/baseline.rs
@@ -6,7 +6,7 @@
 use firdock_core::resource::Catalog;
 use firdock_core::{Outcome, Reason, RequestId};
 use firdock_policy::action::Dispatch;
-use firdock_policy::event::{DispatchNews, EndpointEvent};
+use firdock_policy::event::{DispatchUpdate, EndpointEvent};
 use firdock_policy::{Action, Event, NewRequest, Policy, Verdict};
 use rand::rngs::StdRng;
 use rand::{Rng as _, SeedableRng as _};
@@ -149,8 +149,8 @@
             return;
         };
         match e.news {
-            DispatchNews::Refused { .. } => self.place(e.id, out),
-            DispatchNews::Broke { .. } => {
+            DispatchUpdate::Refused { .. } => self.place(e.id, out),
+            DispatchUpdate::Broke { .. } => {
                 if self
                     .repeatable
                     .get(&live.new.service)
@@ -166,7 +166,7 @@
                     });
                 }
             }
-            DispatchNews::Ended { .. } => {
+            DispatchUpdate::Ended { .. } => {
                 self.live.remove(&e.id);
             }
             _ => {}
--- a/crates/firdock-standin/src/measure/run.rs
+++ b/crates/firdock-standin/src/measure/run.rs
@@ -11,7 +11,7 @@
 
 use firdock_core::RequestId;
 use firdock_policy::action::Dispatch;
-use firdock_policy::event::{DispatchNews, EndpointEvent, HandOverEvent, HandOverRefusal};
+use firdock_policy::event::{DispatchUpdate, EndpointEvent, HandOverEvent, HandOverRefusal};
 use firdock_policy::{Action, Event, NewRequest, Origin, Time};
 use uuid::Uuid;
 
@@ -112,7 +112,7 @@
 fn ended_request(event: &Event) -> Option<RequestId> {
     match event {
         Event::HandOver(HandOverEvent::Ended(id)) => Some(*id),
-        Event::Endpoint(e) if matches!(e.news, DispatchNews::Ended { .. }) => Some(e.id),
+        Event::Endpoint(e) if matches!(e.news, DispatchUpdate::Ended { .. }) => Some(e.id),
         _ => None,
     }
 }
@@ -317,7 +317,7 @@
         }
     }
 
-    fn tell(&mut self, i: usize, dispatch: &Dispatch, news: DispatchNews) {
+    fn tell(&mut self, i: usize, dispatch: &Dispatch, news: DispatchUpdate) {
         let event = EndpointEvent {
             id: dispatch.id,
             dispatch: dispatch.dispatch,
--- a/crates/firdock-standin/src/measure/run/fault.rs
+++ b/crates/firdock-standin/src/measure/run/fault.rs
@@ -1,6 +1,6 @@
 //! Faults of a run: engines and instances that are killed.
 
-use firdock_policy::event::DispatchNews;
+use firdock_policy::event::DispatchUpdate;
 
 use super::{Contestant, Happening, Run, UNREAD_TIME};
 use crate::measure::fleet::Job;
@@ -14,7 +14,7 @@
         let jobs: Vec<Job> = std::mem::take(&mut engine.jobs).into_values().collect();
         for job in jobs {
             self.waste_job(&job);
-            let news = DispatchNews::Broke {
+            let news = DispatchUpdate::Broke {
                 delivered: job.made,
             };
             self.tell(job.node, &job.dispatch, news);
--- a/crates/firdock-standin/src/measure/run/serve.rs
+++ b/crates/firdock-standin/src/measure/run/serve.rs
@@ -1,7 +1,7 @@
 //! What endpoints do with the requests of a run.
 
 use firdock_policy::action::Dispatch;
-use firdock_policy::event::DispatchNews;
+use firdock_policy::event::DispatchUpdate;
 
 use super::{Contestant, Happening, LATENCY, PLAIN_SLOTS, Run, WARM_UP};
 use crate::engine::model;
@@ -18,7 +18,7 @@
                 let done = self.now + PLAIN_TIME.mul_f64(crowd);
                 self.plan(done, Happening::PlainDone(i, s, dispatch));
             }
-            _ => self.tell(i, &dispatch, DispatchNews::Refused { unreachable: true }),
+            _ => self.tell(i, &dispatch, DispatchUpdate::Refused { unreachable: true }),
         }
     }
 
@@ -30,7 +30,7 @@
         self.tell(
             i,
             dispatch,
-            DispatchNews::Ended {
+            DispatchUpdate::Ended {
                 prompt: 0,
                 cached: 0,
                 output: 0,
@@ -109,9 +109,9 @@
             self.tell(
                 job.node,
                 &job.dispatch,
-                DispatchNews::Started { head_sent: true },
+                DispatchUpdate::Started { head_sent: true },
             );
-            let news = DispatchNews::Tokens {
+            let news = DispatchUpdate::Tokens {
                 delivered: job.made,
                 cached: produced.cached,
             };
@@ -123,7 +123,7 @@
                 .arrivals
                 .get(&produced.id)
                 .map_or(0, |(new, _)| new.prompt_tokens);
-            let news = DispatchNews::Ended {
+            let news = DispatchUpdate::Ended {
                 prompt,
                 cached: produced.cached,
                 output: job.made,
