--- a/crates/firdock-node/src/peer/beacon.rs
+++ b/crates/firdock-node/src/peer/beacon.rs
@@ -19,7 +19,7 @@
 use firdock_core::Offset;
 use firdock_policy::event::{AccountWork, Member, PoolDemand};
 use firdock_policy::rollout::{Evidence, Stage};
-use firdock_policy::sums::UseSums;
+use firdock_policy::sums::UseAggregator;
 use firdock_policy::table::suspects::Revision;
 use firdock_policy::{Event, Time};
 use firdock_wire::PROTOCOL;
@@ -101,7 +101,7 @@
     /// Instances that are asked first at the start.
     pub seeds: Vec<SocketAddr>,
     /// Counts of what all instances let pass of limits, where this one leads.
-    pub sums: Mutex<UseSums>,
+    pub sums: Mutex<UseAggregator>,
     /// Answers of which parts came.
     pub partial: Mutex<PartialAnswers>,
     /// Way to the scheduler.
--- a/crates/firdock-node/src/peer/beacon/take.rs
+++ b/crates/firdock-node/src/peer/beacon/take.rs
@@ -158,7 +158,7 @@
         news.seen = read_seen(beacon.rollout_seen);
         let near = self.book.is_own_zone(&news.zone);
         if near {
-            self.sums().hear_member(now, &news.own_use());
+            self.sums().add_member_report(now, &news.own_use());
         }
         if !beacon.use_began.is_empty() {
             let told = if near {
@@ -175,7 +175,7 @@
             if near {
                 self.tell(Event::SiteUsed(counts)).await;
             } else {
-                self.sums().hear_group(now, &news.zone, &counts);
+                self.sums().add_group_report(now, &news.zone, &counts);
             }
         }
         if hearing != Some(Hearing::NotKept) {
--- a/crates/firdock-node/src/peer/beacon/usage.rs
+++ b/crates/firdock-node/src/peer/beacon/usage.rs
@@ -3,7 +3,7 @@
 use std::sync::{MutexGuard, PoisonError};
 
 use firdock_policy::event::{PeerUse, UseCounts};
-use firdock_policy::sums::UseSums;
+use firdock_policy::sums::UseAggregator;
 use firdock_policy::{Event, Time};
 use firdock_wire::message::Beacon;
 use uuid::Uuid;
@@ -52,12 +52,12 @@
         let (group, site) = {
             let mut sums = self.sums();
             sums.begin(Uuid::now_v7);
-            sums.hear_member(now, &self.own_use());
+            sums.add_member_report(now, &self.own_use());
             sums.sweep(now);
             if !self.book.leads(now) && !tick.is_multiple_of(TELL_EVERY) {
                 return Default::default();
             }
-            (sums.take_for_leads(me), sums.take_for_group(me))
+            (sums.report_for_leads(me), sums.report_for_group(me))
         };
         if let Some(counts) = site.clone() {
             self.tell(Event::SiteUsed(counts)).await;
@@ -76,7 +76,7 @@
         }
     }
 
-    pub(super) fn sums(&self) -> MutexGuard<'_, UseSums> {
+    pub(super) fn sums(&self) -> MutexGuard<'_, UseAggregator> {
         self.sums.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/firdock-node/src/peer/datagram.rs
+++ b/crates/firdock-node/src/peer/datagram.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use firdock_policy::event::{AccountUse, UseTotals};
-use firdock_policy::sums::MAX_TOLD_ACCOUNTS;
+use firdock_policy::sums::MAX_REPORTED_ACCOUNTS;
 use firdock_wire::auth;
 use firdock_wire::message::{self, Datagram, PeerAddress, datagram};
 use prost::Message as _;
@@ -68,7 +68,7 @@
 
 /// Writes what an instance let pass of accounts' limits.
 pub fn write_uses(uses: &[AccountUse]) -> Vec<message::AccountUse> {
-    let told = uses.iter().take(MAX_TOLD_ACCOUNTS);
+    let told = uses.iter().take(MAX_REPORTED_ACCOUNTS);
     told.map(|u| message::AccountUse {
         account: u.account.clone(),
         units: u.units,
@@ -81,7 +81,7 @@
 
 /// Reads what a peer let pass; figures that are none are left out.
 pub fn read_uses(uses: Vec<message::AccountUse>) -> Vec<AccountUse> {
-    let told = uses.into_iter().take(MAX_TOLD_ACCOUNTS);
+    let told = uses.into_iter().take(MAX_REPORTED_ACCOUNTS);
     let finite = told.filter(|u| {
         let figures = [u.units, u.asked, u.units_before, u.asked_before];
         figures.iter().all(|figure| figure.is_finite())
--- a/crates/firdock-policy/src/sums.rs
+++ b/crates/firdock-policy/src/sums.rs
@@ -17,8 +17,8 @@
 use firdock_core::{AccountId, InstanceId, ZoneId};
 use uuid::Uuid;
 
-pub use self::heard::HeardCounts;
-pub use self::outbox::MAX_TOLD_ACCOUNTS;
+pub use self::heard::MergedCounts;
+pub use self::outbox::MAX_REPORTED_ACCOUNTS;
 use self::outbox::Outbox;
 use crate::event::{AccountUse, PeerUse, UseCounts, UseTotals};
 use crate::time::Time;
@@ -73,22 +73,22 @@
 
 /// What a lead counts of its group and hears of others, and what of that is to be told.
 #[derive(Debug, Default)]
-pub struct UseSums {
+pub struct UseAggregator {
     /// When this instance began to count for its group, as who hears its counts tells beginnings apart;
     /// `None` while others count.
     began: Option<Uuid>,
     members: BTreeMap<InstanceId, MemberUse>,
-    groups: BTreeMap<ZoneId, HeardCounts>,
+    groups: BTreeMap<ZoneId, MergedCounts>,
     to_leads: Outbox,
     to_group: Outbox,
 }
 
-impl UseSums {
+impl UseAggregator {
     /// Takes what a member of the group let pass since its start, this instance itself among them.
     ///
     /// What it let pass before it was first heard of is not known to be recent. Of an account that it tells
     /// of later, what rose since callers came for it is.
-    pub fn hear_member(&mut self, now: Time, word: &PeerUse) {
+    pub fn add_member_report(&mut self, now: Time, word: &PeerUse) {
         if self.began.is_none() {
             return;
         }
@@ -109,7 +109,7 @@
     }
 
     /// Takes what the lead of another group counted of it.
-    pub fn hear_group(&mut self, now: Time, zone: &str, word: &UseCounts) {
+    pub fn add_group_report(&mut self, now: Time, zone: &str, word: &UseCounts) {
         if self.began.is_none() {
             return;
         }
@@ -121,12 +121,12 @@
 
     /// Gives what the leads of other groups are to hear of `lead`: counts of the own group; `None` while
     /// others count.
-    pub fn take_for_leads(&mut self, lead: &str) -> Option<UseCounts> {
+    pub fn report_for_leads(&mut self, lead: &str) -> Option<UseCounts> {
         Some(self.to_leads.take_word(lead, self.began?))
     }
 
     /// Gives what the own group is to hear, likewise: counts of all groups.
-    pub fn take_for_group(&mut self, lead: &str) -> Option<UseCounts> {
+    pub fn report_for_group(&mut self, lead: &str) -> Option<UseCounts> {
         Some(self.to_group.take_word(lead, self.began?))
     }
 
--- a/crates/firdock-policy/src/sums/heard.rs
+++ b/crates/firdock-policy/src/sums/heard.rs
@@ -23,13 +23,13 @@
 
 /// Counts that several tell of the same use: a group's two leads, or those who lead it one after another.
 #[derive(Debug, Default)]
-pub struct HeardCounts {
+pub struct MergedCounts {
     tellers: BTreeMap<InstanceId, Teller>,
     /// How far the use has risen, by whoever counted furthest.
     risen: Counts,
 }
 
-impl HeardCounts {
+impl MergedCounts {
     /// Takes a word; gives by how much the use of each account rose.
     ///
     /// What a teller counted before it was first heard is not known to be new: where it was not heard from
--- a/crates/firdock-policy/src/sums/outbox.rs
+++ b/crates/firdock-policy/src/sums/outbox.rs
@@ -12,7 +12,7 @@
 const TELLINGS: u8 = 2;
 /// Accounts told of in one word, some 16 KB with the longest names that are usual; the others follow with
 /// the next word.
-pub const MAX_TOLD_ACCOUNTS: usize = 400;
+pub const MAX_REPORTED_ACCOUNTS: usize = 400;
 
 /// Counts that are to be told, those first that have waited longest.
 #[derive(Debug, Default)]
@@ -60,7 +60,7 @@
             .map(|(account, w)| (w.since, account.clone()))
             .collect();
         order.sort_unstable();
-        order.truncate(MAX_TOLD_ACCOUNTS);
+        order.truncate(MAX_REPORTED_ACCOUNTS);
         let told = order.into_iter().filter_map(|(_, account)| {
             self.note_told(&account);
             let count = *self.counts.get(&account)?;
--- a/crates/firdock-policy/src/system/key.rs
+++ b/crates/firdock-policy/src/system/key.rs
@@ -87,9 +87,10 @@
 fn transferred(t: &Tables, key: u64, log_now: LogTime) -> bool {
     let horizon = log_now.saturating_sub(t.settings.key_keep);
     let me = t.settings.member.incarnation;
-    let tenures = t.views.tenures(key, horizon);
+    let ownership_periods = t.views.ownership_periods(key, horizon);
     !t.transfers.contains(key)
-        && tenures.is_some_and(|tenures| t.transfers.is_complete(me, &tenures))
+        && ownership_periods
+            .is_some_and(|ownership_periods| t.transfers.is_complete(me, &ownership_periods))
 }
 
 /// Takes a view over and transfers to the other members the keys that they own now.
--- a/crates/firdock-policy/src/system/limit.rs
+++ b/crates/firdock-policy/src/system/limit.rs
@@ -8,7 +8,7 @@
 use crate::event::{AccountUse, PeerUpdate, UseCounts, UseTotals};
 use crate::request::{NewRequest, RequestRow, Verdict};
 use crate::table::account::Accounts;
-use crate::table::limit::{Bucket, TOLD_AFTER_USE};
+use crate::table::limit::{Bucket, REPORT_AFTER_USE};
 use crate::table::{Reach, Tables};
 use crate::time::Time;
 
@@ -112,7 +112,7 @@
         let Some(bucket) = bucket_of(&mut t.accounts, &told.account) else {
             return false;
         };
-        let rest = told.totals().minus(bucket.most_used());
+        let rest = told.totals().minus(bucket.peak_usage());
         (told.units, told.asked) = (rest.units, rest.asked);
         true
     });
@@ -154,7 +154,7 @@
 pub fn used(t: &Tables, now: Time) -> Vec<AccountUse> {
     let rows = t.accounts.iter().filter_map(|(_, a)| {
         let bucket = a.bucket?;
-        let recent = bucket.asked > 0.0 && bucket.touched + TOLD_AFTER_USE > now;
+        let recent = bucket.asked > 0.0 && bucket.touched + REPORT_AFTER_USE > now;
         recent.then(|| AccountUse {
             account: a.name.clone(),
             units: bucket.used,
--- a/crates/firdock-policy/src/table.rs
+++ b/crates/firdock-policy/src/table.rs
@@ -30,7 +30,7 @@
 
 use crate::settings::PolicySettings;
 use crate::stats::Stats;
-use crate::sums::HeardCounts;
+use crate::sums::MergedCounts;
 use crate::time::Time;
 
 /// Instances up to which all of them are one group; of more, each availability zone is one.
@@ -71,7 +71,7 @@
     /// Peers.
     pub peers: peer::Peers,
     /// What all instances let pass of account limits, as the leads of this one's group count it.
-    pub site_use: HeardCounts,
+    pub site_use: MergedCounts,
     /// Idempotency keys that this instance owns.
     pub keys: key::Keys,
     /// Transfers of keys from their earlier owners.
@@ -182,7 +182,7 @@
             services: service::Services::new(),
             accounts: account::Accounts::new(),
             peers: peer::Peers::new(),
-            site_use: HeardCounts::default(),
+            site_use: MergedCounts::default(),
             keys: key::Keys::new(),
             transfers: transfer::Transfers::new(),
             views,
--- a/crates/firdock-policy/src/table/limit.rs
+++ b/crates/firdock-policy/src/table/limit.rs
@@ -13,7 +13,7 @@
 
 /// Time for which an account that was used is told of in heartbeats: several of them, in case
 /// that some are lost.
-pub const TOLD_AFTER_USE: Duration = Duration::from_secs(5);
+pub const REPORT_AFTER_USE: Duration = Duration::from_secs(5);
 /// Time constant, in seconds, of what counts as asked for lately: about three times the age that
 /// other instances' words have where instances are many.
 const RECENT_SECS: f64 = 1.5;
@@ -42,7 +42,7 @@
     /// Units that this instance has let pass since its start.
     pub used: f64,
     /// The most that these ever were: what is given back lowers them, and others may know either figure.
-    most_used: f64,
+    peak_usage: f64,
     /// Units that callers asked this instance for since its start.
     pub asked: f64,
     /// When this instance was last asked.
@@ -101,7 +101,7 @@
 
     /// Notes what a request that arrived asks for.
     pub fn ask(&mut self, now: Time, units: f64) {
-        if self.touched + TOLD_AFTER_USE <= now {
+        if self.touched + REPORT_AFTER_USE <= now {
             self.before = UseTotals {
                 units: self.used,
                 asked: self.asked,
@@ -167,7 +167,7 @@
         self.level -= cost;
         self.part_level -= cost;
         self.used += cost;
-        self.most_used = self.most_used.max(self.used);
+        self.peak_usage = self.peak_usage.max(self.used);
         true
     }
 
@@ -181,9 +181,9 @@
     /// Gives the most that this instance is known to have let pass since its start, and what it was
     /// asked for.
     #[must_use]
-    pub fn most_used(&self) -> UseTotals {
+    pub fn peak_usage(&self) -> UseTotals {
         UseTotals {
-            units: self.most_used,
+            units: self.peak_usage,
             asked: self.asked,
         }
     }
--- a/crates/firdock-policy/src/table/transfer.rs
+++ b/crates/firdock-policy/src/table/transfer.rs
@@ -7,7 +7,7 @@
 
 use uuid::Uuid;
 
-use super::view::Tenure;
+use super::view::OwnershipPeriod;
 use crate::event::{KeyTransfer, KnownTransfer};
 use crate::time::Time;
 
@@ -91,10 +91,10 @@
     /// tenure, to a later owner during that one's tenure, and so on up to this member: each passes
     /// on the keys that were transferred to it.
     #[must_use]
-    pub fn is_complete(&self, me: Uuid, tenures: &[Tenure]) -> bool {
-        let mut reached = vec![false; tenures.len()];
-        for (i, tenure) in tenures.iter().enumerate().rev() {
-            let later = tenures.iter().zip(&reached).skip(i + 1);
+    pub fn is_complete(&self, me: Uuid, ownership_periods: &[OwnershipPeriod]) -> bool {
+        let mut reached = vec![false; ownership_periods.len()];
+        for (i, tenure) in ownership_periods.iter().enumerate().rev() {
+            let later = ownership_periods.iter().zip(&reached).skip(i + 1);
             let mut passed = later.filter(|(_, reached)| **reached).map(|(next, _)| next);
             reached[i] =
                 tenure.member.incarnation == me || passed.any(|n| self.transferred(tenure, n));
@@ -103,7 +103,7 @@
     }
 
     /// Tells whether an owner transferred its keys to a later owner during that one's tenure.
-    fn transferred(&self, tenure: &Tenure, next: &Tenure) -> bool {
+    fn transferred(&self, tenure: &OwnershipPeriod, next: &OwnershipPeriod) -> bool {
         let pair = (tenure.member.incarnation, next.member.incarnation);
         self.newest
             .get(&pair)
--- a/crates/firdock-policy/src/table/view.rs
+++ b/crates/firdock-policy/src/table/view.rs
@@ -15,7 +15,7 @@
 
 /// A time through which one member owned a key, by the numbers of its first and last view.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Tenure {
+pub struct OwnershipPeriod {
     /// Member.
     pub member: Member,
     /// Number of the first view.
@@ -24,7 +24,7 @@
     pub last: u64,
 }
 
-impl Tenure {
+impl OwnershipPeriod {
     /// Tells whether a view falls into it.
     #[must_use]
     pub fn covers(&self, view: u64) -> bool {
@@ -121,7 +121,7 @@
     /// Gives who owned a key since `horizon`, in order; `None` if views that old are not remembered,
     /// so that an owner may be forgotten.
     #[must_use]
-    pub fn tenures(&self, key: u64, horizon: LogTime) -> Option<Vec<Tenure>> {
+    pub fn ownership_periods(&self, key: u64, horizon: LogTime) -> Option<Vec<OwnershipPeriod>> {
         let reaches = self
             .history
             .front()
@@ -129,7 +129,7 @@
         if !reaches {
             return None;
         }
-        let mut tenures: Vec<Tenure> = Vec::new();
+        let mut ownership_periods: Vec<OwnershipPeriod> = Vec::new();
         for (i, view) in self.history.iter().enumerate() {
             let over = self
                 .history
@@ -138,16 +138,16 @@
             let Some(member) = owner(view, key).filter(|_| !over) else {
                 continue;
             };
-            match tenures.last_mut().filter(|t| t.member == *member) {
+            match ownership_periods.last_mut().filter(|t| t.member == *member) {
                 Some(tenure) => tenure.last = view.number,
-                None => tenures.push(Tenure {
+                None => ownership_periods.push(OwnershipPeriod {
                     member: member.clone(),
                     first: view.number,
                     last: view.number,
                 }),
             }
         }
-        Some(tenures)
+        Some(ownership_periods)
     }
 
     /// Gives the number of the view in force.
--- a/crates/firdock-policy/tests/policy/limits.rs
+++ b/crates/firdock-policy/tests/policy/limits.rs
@@ -7,7 +7,7 @@
     AccountUse, HandOverEvent, HandOverRefusal, Member, MemberView, PeerUpdate, PeerUse, UseCounts,
     UseTotals,
 };
-use firdock_policy::sums::UseSums;
+use firdock_policy::sums::UseAggregator;
 use firdock_policy::{Action, Event, NewRequest, Verdict, used_limits};
 use uuid::Uuid;
 
@@ -260,7 +260,7 @@
             edge
         })
         .collect();
-    let mut lead = UseSums::default();
+    let mut lead = UseAggregator::default();
     lead.begin(|| Uuid::from_u128(1));
     let mut told: Vec<Event> = Vec::new();
     let mut passed = vec![0.0; secs as usize];
@@ -283,9 +283,9 @@
             }
         }
         for edge in &edges {
-            lead.hear_member(edge.now, &own_use(edge));
+            lead.add_member_report(edge.now, &own_use(edge));
         }
-        told.extend(lead.take_for_group("lead").map(Event::SiteUsed));
+        told.extend(lead.report_for_group("lead").map(Event::SiteUsed));
         if let Some(word) = told.len().checked_sub(lag + 1).map(|at| told[at].clone()) {
             for edge in &mut edges {
                 edge.step(word.clone());
--- a/crates/firdock-policy/tests/policy/sums.rs
+++ b/crates/firdock-policy/tests/policy/sums.rs
@@ -5,7 +5,7 @@
 
 use firdock_policy::Time;
 use firdock_policy::event::{AccountUse, PeerUse, UseCounts, UseTotals};
-use firdock_policy::sums::{HeardCounts, MAX_TOLD_ACCOUNTS, UseSums};
+use firdock_policy::sums::{MAX_REPORTED_ACCOUNTS, MergedCounts, UseAggregator};
 use rand::rngs::SmallRng;
 use rand::{Rng as _, SeedableRng as _};
 use uuid::Uuid;
@@ -39,8 +39,8 @@
     }
 }
 
-fn lead() -> UseSums {
-    let mut sums = UseSums::default();
+fn lead() -> UseAggregator {
+    let mut sums = UseAggregator::default();
     sums.begin(|| Uuid::from_u128(7));
     sums
 }
@@ -49,12 +49,12 @@
     told.iter().map(|u| u.units).collect()
 }
 
-fn for_group(sums: &mut UseSums) -> Vec<f64> {
-    units(&sums.take_for_group("lead").expect("it counts").counts)
+fn for_group(sums: &mut UseAggregator) -> Vec<f64> {
+    units(&sums.report_for_group("lead").expect("it counts").counts)
 }
 
-fn for_leads(sums: &mut UseSums) -> Vec<f64> {
-    units(&sums.take_for_leads("lead").expect("it counts").counts)
+fn for_leads(sums: &mut UseAggregator) -> Vec<f64> {
+    units(&sums.report_for_leads("lead").expect("it counts").counts)
 }
 
 /// A lead's counts, which it began before it was heard.
@@ -71,26 +71,26 @@
 fn members_use_is_counted_once_and_told_to_the_group_and_to_other_leads() {
     let mut sums = lead();
     for name in ["a", "b"] {
-        sums.hear_member(START, &silent(name, 1));
+        sums.add_member_report(START, &silent(name, 1));
     }
-    sums.hear_member(START, &word("a", 1, 10.0));
-    sums.hear_member(START, &word("a", 1, 30.0));
-    sums.hear_member(START, &word("b", 1, 5.0));
-    sums.hear_member(START, &word("a", 1, 20.0));
+    sums.add_member_report(START, &word("a", 1, 10.0));
+    sums.add_member_report(START, &word("a", 1, 30.0));
+    sums.add_member_report(START, &word("b", 1, 5.0));
+    sums.add_member_report(START, &word("a", 1, 20.0));
     // One word may be lost, so that each change is told twice.
     for _ in 0..2 {
         assert_eq!(for_group(&mut sums), [35.0]);
         assert_eq!(for_leads(&mut sums), [35.0]);
     }
-    sums.hear_member(START, &word("a", 1, 30.0));
+    sums.add_member_report(START, &word("a", 1, 30.0));
     assert!(for_group(&mut sums).is_empty(), "nothing rose");
 }
 
 #[test]
 fn another_groups_use_is_told_to_the_own_group_alone() {
     let mut sums = lead();
-    sums.hear_group(START, "far", &counts("lead", 1, 10.0));
-    sums.hear_group(START, "far", &counts("lead", 1, 25.0));
+    sums.add_group_report(START, "far", &counts("lead", 1, 10.0));
+    sums.add_group_report(START, "far", &counts("lead", 1, 25.0));
     assert_eq!(for_group(&mut sums), [15.0]);
     assert!(for_leads(&mut sums).is_empty());
 }
@@ -101,8 +101,8 @@
     for n in 0..2_000_u32 {
         let now = START + Duration::from_secs(10) * n;
         let name = format!("front-{n}");
-        sums.hear_member(now, &silent(&name, 1));
-        sums.hear_member(now, &word(&name, 1, 1.0));
+        sums.add_member_report(now, &silent(&name, 1));
+        sums.add_member_report(now, &word(&name, 1, 1.0));
         sums.sweep(now);
         assert_eq!(
             for_group(&mut sums),
@@ -116,18 +116,18 @@
 #[test]
 fn a_restarted_instances_use_counts_from_nothing() {
     let mut sums = lead();
-    sums.hear_member(START, &silent("a", 1));
-    sums.hear_member(START, &word("a", 1, 10.0));
-    sums.hear_member(START, &word("a", 2, 10.0));
+    sums.add_member_report(START, &silent("a", 1));
+    sums.add_member_report(START, &word("a", 1, 10.0));
+    sums.add_member_report(START, &word("a", 2, 10.0));
     assert_eq!(for_leads(&mut sums), [20.0]);
 }
 
 #[test]
 fn what_was_let_pass_before_an_instance_was_heard_of_is_not_counted() {
     let mut sums = lead();
-    sums.hear_member(START, &word("a", 1, 500.0));
+    sums.add_member_report(START, &word("a", 1, 500.0));
     assert!(for_leads(&mut sums).is_empty());
-    sums.hear_member(START, &word("a", 1, 503.0));
+    sums.add_member_report(START, &word("a", 1, 503.0));
     assert_eq!(for_leads(&mut sums), [3.0]);
 }
 
@@ -136,7 +136,7 @@
 #[test]
 fn one_that_begins_to_count_midway_takes_nothing_old_for_new() {
     let mut sums = lead();
-    sums.hear_member(START, &word("a", 1, 500.0));
+    sums.add_member_report(START, &word("a", 1, 500.0));
     let again = PeerUse {
         used: vec![AccountUse {
             before: UseTotals {
@@ -148,15 +148,15 @@
         }],
         ..silent("a", 1)
     };
-    sums.hear_member(START, &again);
-    let counts = sums.take_for_leads("lead").expect("it counts").counts;
+    sums.add_member_report(START, &again);
+    let counts = sums.report_for_leads("lead").expect("it counts").counts;
     let figures: Vec<_> = counts.iter().map(|c| (c.units, c.asked)).collect();
     assert_eq!(figures, [(200.0, 300.0)]);
 }
 
 #[test]
 fn what_two_leads_tell_counts_once_and_goes_on_where_one_falls() {
-    let mut heard = HeardCounts::default();
+    let mut heard = MergedCounts::default();
     let mut take = |lead: &str, beginning: u128, count: f64| {
         let rises = heard.take(START, &counts(lead, beginning, count));
         units(&rises).iter().sum::<f64>()
@@ -178,7 +178,7 @@
 
 #[test]
 fn of_a_lead_that_is_heard_from_its_beginning_each_word_counts() {
-    let mut heard = HeardCounts::default();
+    let mut heard = MergedCounts::default();
     let fresh = UseCounts {
         fresh: true,
         counts: Vec::new(),
@@ -198,19 +198,19 @@
 #[test]
 fn more_accounts_than_a_word_holds_are_told_by_turns() {
     let mut sums = lead();
-    sums.hear_member(START, &silent("a", 1));
-    let accounts = MAX_TOLD_ACCOUNTS * 2 + 1;
+    sums.add_member_report(START, &silent("a", 1));
+    let accounts = MAX_REPORTED_ACCOUNTS * 2 + 1;
     let all = PeerUse {
         used: (0..accounts)
             .map(|n| used(&format!("account-{n}"), 1.0))
             .collect(),
         ..silent("a", 1)
     };
-    sums.hear_member(START, &all);
+    sums.add_member_report(START, &all);
     let mut told: BTreeMap<String, u32> = BTreeMap::new();
     for _ in 0..6 {
-        let word = sums.take_for_group("lead").expect("it counts").counts;
-        assert!(word.len() <= MAX_TOLD_ACCOUNTS);
+        let word = sums.report_for_group("lead").expect("it counts").counts;
+        assert!(word.len() <= MAX_REPORTED_ACCOUNTS);
         for told_use in word {
             *told.entry(told_use.account).or_default() += 1;
         }
@@ -225,7 +225,7 @@
     zone: usize,
     own: BTreeMap<String, f64>,
     /// What it knows that others let pass; `None` where that is not looked at.
-    heard: Option<HeardCounts>,
+    heard: Option<MergedCounts>,
     others: f64,
 }
 
@@ -250,12 +250,12 @@
             name: format!("front-{n}"),
             zone: n % ZONES,
             own: BTreeMap::new(),
-            heard: n.is_multiple_of(25).then(HeardCounts::default),
+            heard: n.is_multiple_of(25).then(MergedCounts::default),
             others: 0.0,
         })
         .collect();
     // The first two of each zone count.
-    let mut leads: Vec<Option<UseSums>> = (0..ZONES * 2).map(|_| Some(lead())).collect();
+    let mut leads: Vec<Option<UseAggregator>> = (0..ZONES * 2).map(|_| Some(lead())).collect();
     let (mut all, mut longest, mut rows) = (0.0, 0, 0);
     let ticks = secs * 5;
     for tick in 0..ticks + 10 {
@@ -280,14 +280,14 @@
             for lead in [one.zone, one.zone + ZONES] {
                 let lost = rng.random_bool(0.01);
                 if let Some(sums) = leads[lead].as_mut().filter(|_| !lost) {
-                    sums.hear_member(now, &word);
+                    sums.add_member_report(now, &word);
                 }
             }
         }
-        let told = |sums: &mut Option<UseSums>, at: usize| {
+        let told = |sums: &mut Option<UseAggregator>, at: usize| {
             let sums = sums.as_mut()?;
             let name = format!("lead-{at}");
-            Some((sums.take_for_leads(&name)?, sums.take_for_group(&name)?))
+            Some((sums.report_for_leads(&name)?, sums.report_for_group(&name)?))
         };
         let words: Vec<_> = leads
             .iter_mut()
@@ -304,7 +304,7 @@
             for (to, sums) in leads.iter_mut().enumerate() {
                 let lost = rng.random_bool(0.01) || to % ZONES == zone;
                 if let Some(sums) = sums.as_mut().filter(|_| !lost) {
-                    sums.hear_group(now, &format!("zone-{zone}"), group);
+                    sums.add_group_report(now, &format!("zone-{zone}"), group);
                 }
             }
             for one in fleet.iter_mut().filter(|one| one.zone == zone) {
@@ -325,7 +325,7 @@
         rows = leads
             .iter()
             .flatten()
-            .map(UseSums::rows)
+            .map(UseAggregator::rows)
             .fold(rows, usize::max);
     }
     let known = |one: &Instance| one.others + one.own.values().sum::<f64>();
@@ -354,7 +354,11 @@
         );
         assert!(most <= fleet.all * 1.01, "{most} of {}", fleet.all);
         assert!(least >= fleet.all * 0.99, "{least} of {}", fleet.all);
-        assert!(fleet.word <= MAX_TOLD_ACCOUNTS, "{} accounts", fleet.word);
+        assert!(
+            fleet.word <= MAX_REPORTED_ACCOUNTS,
+            "{} accounts",
+            fleet.word
+        );
         let group = size.div_ceil(6);
         assert!(fleet.rows <= group * 13, "{} rows of {group}", fleet.rows);
     }
