--- a/crates/firdock-node/src/telemetry/metrics.rs
+++ b/crates/firdock-node/src/telemetry/metrics.rs
@@ -278,7 +278,7 @@
             };
             store(&self.outcomes.get_or_create(&label), *n);
         }
-        for (key, n) in &stats.tries {
+        for (key, n) in &stats.attempts {
             let label = ByTry {
                 tier: key.tier.clone(),
                 attempt: if key.returned { "return" } else { "first" },
@@ -286,7 +286,7 @@
             };
             store(&self.tries.get_or_create(&label), *n);
         }
-        for (name, n) in &stats.paces {
+        for (name, n) in &stats.pace_reports {
             let label = ByPool { pool: name.clone() };
             store(&self.paces.get_or_create(&label), *n);
         }
--- a/crates/firdock-policy/src/cost.rs
+++ b/crates/firdock-policy/src/cost.rs
@@ -13,7 +13,7 @@
 use crate::request::RequestRow;
 use crate::settings::Mechanisms;
 use crate::table::endpoint::EndpointRow;
-use crate::table::pool_pace::PoolPace;
+use crate::table::pool_pace::PoolLatency;
 use crate::table::service::ServiceRow;
 use crate::time::Time;
 
@@ -84,7 +84,7 @@
     row: &RequestRow,
     service: &ServiceRow,
     endpoint: &EndpointRow,
-    told: Option<&PoolPace>,
+    told: Option<&PoolLatency>,
 ) -> Estimate {
     let told = told.filter(|_| mechanisms.learning);
     if !endpoint.is_engine() {
@@ -98,7 +98,7 @@
     let work = endpoint.waiting_tokens(now) + f64::from(uncached);
     let declared = &endpoint.declared;
     let (first_secs, token_secs) = if mechanisms.learning {
-        (endpoint.first_line.at(work), endpoint.token_secs)
+        (endpoint.first_token_fit.at(work), endpoint.token_secs)
     } else {
         (work / declared.prefill_rate, declared.token_secs())
     };
--- a/crates/firdock-policy/src/cost/told.rs
+++ b/crates/firdock-policy/src/cost/told.rs
@@ -5,7 +5,7 @@
 };
 use crate::request::RequestRow;
 use crate::table::endpoint::EndpointRow;
-use crate::table::pool_pace::PoolPace;
+use crate::table::pool_pace::PoolLatency;
 use crate::table::service::ServiceRow;
 use crate::time::Time;
 
@@ -31,15 +31,19 @@
     row: &RequestRow,
     service: &ServiceRow,
     e: &EndpointRow,
-    pool: &PoolPace,
+    pool: &PoolLatency,
     uncached: u32,
 ) -> Estimate {
     let work = e.waiting_tokens(now) + f64::from(uncached);
-    let pace = |secs: f64| e.told.over(now, secs, pool).unwrap_or(pool.slowest());
+    let pace = |secs: f64| {
+        e.reported_pace
+            .over(now, secs, pool)
+            .unwrap_or(pool.slowest())
+    };
     let usual = e
-        .told
+        .reported_pace
         .own()
-        .map_or(pool.slowest(), |own| own * pool.noise.mean());
+        .map_or(pool.slowest(), |own| own * pool.slow_phases.mean());
     let first_secs = pool.first_secs(work, pace(pool.first_secs(work, usual)));
     let output = expected_output(row, service);
     let token = pool.token_secs() * crowd(e);
@@ -48,7 +52,9 @@
     let risk = late_risk(service, first_secs);
     let over = overrun(now, row, total_secs);
     let middle = service.output_log.exp().min(output) * token * usual;
-    let chance = pool.noise.chance(e.told.slow_now(now, pool), middle);
+    let chance = pool
+        .slow_phases
+        .chance(e.reported_pace.slow_now(now, pool), middle);
     let late = chance * slow_pause(service, e, pool, token);
     let speed = usual.recip().clamp(SPEEDS.0, SPEEDS.1);
     let misfit = RISK_WEIGHT * risk + GAP_SECS * late + OVERRUN_WEIGHT * over;
@@ -68,19 +74,19 @@
 /// Gives how surely a slow moment of the engine makes a pause that is longer than the service's target.
 ///
 /// An event comes when all of its tokens are there, so that one slow moment in an answer is enough.
-fn slow_pause(service: &ServiceRow, e: &EndpointRow, pool: &PoolPace, token: f64) -> f64 {
+fn slow_pause(service: &ServiceRow, e: &EndpointRow, pool: &PoolLatency, token: f64) -> f64 {
     let Some(gap) = service.declared.gap() else {
         return 0.0;
     };
-    let own = e.told.own().unwrap_or(pool.slowest());
+    let own = e.reported_pace.own().unwrap_or(pool.slowest());
     let event = f64::from(e.declared.event_tokens) * token * own;
-    let part = event * pool.noise.ratio() / gap.as_secs_f64();
+    let part = event * pool.slow_phases.ratio() / gap.as_secs_f64();
     ((part - GAP_PARTS.0) / (GAP_PARTS.1 - GAP_PARTS.0)).clamp(0.0, 1.0)
 }
 
 /// Estimates a plain call to a server of a pool whose servers tell their pace.
-pub fn plain(now: Time, e: &EndpointRow, pool: &PoolPace) -> Option<f64> {
+pub fn plain(now: Time, e: &EndpointRow, pool: &PoolLatency) -> Option<f64> {
     let secs = pool.plain_secs();
-    let pace = e.told.over(now, secs, pool)?;
+    let pace = e.reported_pace.over(now, secs, pool)?;
     Some(secs * pace * crowd(e))
 }
--- a/crates/firdock-policy/src/scheduler.rs
+++ b/crates/firdock-policy/src/scheduler.rs
@@ -69,7 +69,7 @@
             Event::PeerLost(name) => handover::peer_lost(t, &name),
             Event::PeersKnown(count) => t.known_peers = Some(count),
             Event::GroupDemand(group) => t.groups.take(now, group),
-            Event::GroupWork(group) => t.told_work.take(now, group.zone, group.work),
+            Event::GroupWork(group) => t.reported_work.take(now, group.zone, group.work),
             Event::Reach(count) => t.reach = Some(Reach { at: now, count }),
             Event::Fresh(at) => t.fresh_at = t.fresh_at.max(Some(at)),
             Event::Coordinated(answers) => coordinate::set(t, now, answers),
--- a/crates/firdock-policy/src/stats.rs
+++ b/crates/firdock-policy/src/stats.rs
@@ -28,7 +28,7 @@
 
 /// How a try of a request ended, as its caller sees it from the first try on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum TryEnd {
+pub enum AttemptOutcome {
     /// Answered, and begun within the target since the first try.
     InTime,
     /// Answered later.
@@ -39,7 +39,7 @@
     Unknown,
 }
 
-impl TryEnd {
+impl AttemptOutcome {
     /// Gives the label used in metrics.
     #[must_use]
     pub fn as_str(self) -> &'static str {
@@ -54,13 +54,13 @@
 
 /// What tries are counted by.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct TryKey {
+pub struct AttemptKey {
     /// Tier.
     pub tier: String,
     /// Whether the caller came back with it.
     pub returned: bool,
     /// How it ended.
-    pub end: TryEnd,
+    pub end: AttemptOutcome,
 }
 
 /// Counts for one tier.
@@ -115,13 +115,13 @@
     /// Final answers of firdock's own, by reason.
     pub reasons: BTreeMap<Reason, u64>,
     /// Ended tries: by these, times to come back are judged by what callers get of them.
-    pub tries: BTreeMap<TryKey, u64>,
+    pub attempts: BTreeMap<AttemptKey, u64>,
     /// Refusals for load by account, where accounts have shares.
     pub refusals: BTreeMap<RefusalKey, u64>,
     /// Dispatches.
     pub dispatches: u64,
     /// Figures of their pace that endpoints told, by pool.
-    pub paces: BTreeMap<PoolId, u64>,
+    pub pace_reports: BTreeMap<PoolId, u64>,
     /// What endpoints said of themselves with answers, by pool.
     pub notices: BTreeMap<PoolId, NoticeStats>,
     /// Broken dispatches, by how they came to break.
--- a/crates/firdock-policy/src/system/demand.rs
+++ b/crates/firdock-policy/src/system/demand.rs
@@ -22,7 +22,7 @@
     let secs = period.as_secs_f64();
     t.rates_taken = now;
     smooth(&mut t.end_rate, &mut t.ended, secs);
-    t.paces.end_period(secs);
+    t.dispatch_rates.end_period(secs);
     for (_, s) in t.services.iter_mut() {
         smooth(&mut s.rate, &mut s.arrivals, secs);
     }
--- a/crates/firdock-policy/src/system/fair.rs
+++ b/crates/firdock-policy/src/system/fair.rs
@@ -161,7 +161,9 @@
 
 fn done_up_to(t: &Tables, now: Time, account: usize, pool: &str, rank: TierRank) -> f64 {
     let row = t.accounts.get(account);
-    let told = t.told_work.of(now, t.settings.peer_stale, pool, &row.name);
+    let told = t
+        .reported_work
+        .of(now, t.settings.peer_stale, pool, &row.name);
     let elsewhere: f64 = told.filter(|w| w.rank <= rank).map(|w| w.done).sum();
     row.work.done(now, pool, rank) + elsewhere
 }
--- a/crates/firdock-policy/src/system/fair/level.rs
+++ b/crates/firdock-policy/src/system/fair/level.rs
@@ -161,7 +161,9 @@
 /// Gives what an account asked of a pool lately, by all groups.
 fn asked(t: &Tables, now: Time, account: usize, pool: &str) -> f64 {
     let row = t.accounts.get(account);
-    let told = t.told_work.of(now, t.settings.peer_stale, pool, &row.name);
+    let told = t
+        .reported_work
+        .of(now, t.settings.peer_stale, pool, &row.name);
     let elsewhere: f64 = told.map(|w| w.asked).sum();
     row.work.asked(now, pool) + elsewhere
 }
--- a/crates/firdock-policy/src/system/paced.rs
+++ b/crates/firdock-policy/src/system/paced.rs
@@ -7,7 +7,7 @@
 use crate::load::PaceReport;
 use crate::table::Tables;
 use crate::table::endpoint::EndpointRow;
-use crate::table::pool_pace::PoolPace;
+use crate::table::pool_pace::PoolLatency;
 use crate::time::Time;
 
 /// How long before its dispatch a figure may have been read to count as told with an answer; it covers
@@ -20,28 +20,36 @@
         return;
     };
     let e = t.endpoints.get_mut(at);
-    if e.told.newest().is_some_and(|(_, at)| at >= told.read) {
+    if e.reported_pace
+        .newest()
+        .is_some_and(|(_, at)| at >= told.read)
+    {
         return;
     }
-    let before = e.told.take(told.pace, told.read);
-    let own = e.told.own().unwrap_or(1.0);
-    *t.stats.paces.entry(e.declared.pool.clone()).or_default() += 1;
-    let pool = t.told.tell(&e.declared.pool);
+    let before = e.reported_pace.take(told.pace, told.read);
+    let own = e.reported_pace.own().unwrap_or(1.0);
+    *t.stats
+        .pace_reports
+        .entry(e.declared.pool.clone())
+        .or_default() += 1;
+    let pool = t.pool_latencies.tell(&e.declared.pool);
     pool.take(told.pace, told.read, own, before);
 }
 
 /// Gives what is known of the pool of an endpoint whose figures are told and true.
-pub fn pool_of<'a>(t: &'a Tables, e: &EndpointRow) -> Option<&'a PoolPace> {
-    t.told.get(&e.declared.pool).filter(|_| e.told.is_true())
+pub fn pool_of<'a>(t: &'a Tables, e: &EndpointRow) -> Option<&'a PoolLatency> {
+    t.pool_latencies
+        .get(&e.declared.pool)
+        .filter(|_| e.reported_pace.is_true())
 }
 
 /// Learns from a first token or byte by the pace that was told with it.
 pub fn learn_first(t: &mut Tables, now: Time, at: usize, work: f64, took: Duration) {
     let e = t.endpoints.get_mut(at);
-    let Some((pace, read)) = e.told.newest() else {
+    let Some((pace, read)) = e.reported_pace.newest() else {
         return;
     };
-    let Some(pool) = t.told.get_mut(&e.declared.pool) else {
+    let Some(pool) = t.pool_latencies.get_mut(&e.declared.pool) else {
         return;
     };
     if read + MAX_FIGURE_AGE + took < now {
@@ -53,10 +61,10 @@
         return;
     }
     if pool.can_judge() {
-        e.told
+        e.reported_pace
             .learn_off(pool.first_secs(work, pace), took.as_secs_f64());
     }
-    if e.told.is_true() {
+    if e.reported_pace.is_true() {
         pool.learn_first(work, pace, took);
     }
 }
@@ -64,11 +72,15 @@
 /// Learns from the time that the tokens after the first took, by the server's pace meanwhile.
 pub fn learn_tokens(t: &mut Tables, now: Time, at: usize, tokens: u32, took: Duration) {
     let e = t.endpoints.get(at);
-    let Some(pool) = t.told.get_mut(&e.declared.pool) else {
+    let Some(pool) = t.pool_latencies.get_mut(&e.declared.pool) else {
         return;
     };
     let secs = took.as_secs_f64();
-    let Some(pace) = e.told.over(now, secs, pool).filter(|_| e.told.is_true()) else {
+    let Some(pace) = e
+        .reported_pace
+        .over(now, secs, pool)
+        .filter(|_| e.reported_pace.is_true())
+    else {
         return;
     };
     if tokens > 0 {
--- a/crates/firdock-policy/src/system/tries.rs
+++ b/crates/firdock-policy/src/system/tries.rs
@@ -8,7 +8,7 @@
 use firdock_core::Outcome;
 
 use crate::request::{NewRequest, Origin, RequestRow};
-use crate::stats::{TryEnd, TryKey};
+use crate::stats::{AttemptKey, AttemptOutcome};
 use crate::table::Tables;
 use crate::table::service::ServiceRow;
 use crate::time::Time;
@@ -41,10 +41,10 @@
     let begun = row.first.unwrap_or(now).saturating_sub(row.arrived);
     let in_time = row.tried_for + begun <= tier.target();
     let end = match outcome {
-        Outcome::Answered if in_time => TryEnd::InTime,
-        Outcome::Answered => TryEnd::Late,
-        Outcome::NotRun => TryEnd::NotRun,
-        Outcome::Unknown => TryEnd::Unknown,
+        Outcome::Answered if in_time => AttemptOutcome::InTime,
+        Outcome::Answered => AttemptOutcome::Late,
+        Outcome::NotRun => AttemptOutcome::NotRun,
+        Outcome::Unknown => AttemptOutcome::Unknown,
     };
     add(t, row.service, row.tried_for, end);
 }
@@ -52,16 +52,16 @@
 /// Counts a try that is refused before it enters the tables.
 pub fn count_turned_away(t: &mut Tables, now: Time, service: usize, new: &NewRequest) {
     let tried_for = tried_for(t.services.get_mut(service), now, new);
-    add(t, service, tried_for, TryEnd::NotRun);
+    add(t, service, tried_for, AttemptOutcome::NotRun);
 }
 
-fn add(t: &mut Tables, service: usize, tried_for: Duration, end: TryEnd) {
+fn add(t: &mut Tables, service: usize, tried_for: Duration, end: AttemptOutcome) {
     let tier = t.services.get(service).tier.name.clone();
     let returned = tried_for > SAME_TRY;
-    let key = TryKey {
+    let key = AttemptKey {
         tier,
         returned,
         end,
     };
-    *t.stats.tries.entry(key).or_default() += 1;
+    *t.stats.attempts.entry(key).or_default() += 1;
 }
--- a/crates/firdock-policy/src/table.rs
+++ b/crates/firdock-policy/src/table.rs
@@ -89,9 +89,9 @@
     /// When the budgets on endpoints were last set.
     pub budgets_set: Time,
     /// How fast the endpoints of each pool take requests.
-    pub paces: pace::Paces,
+    pub dispatch_rates: pace::DispatchRates,
     /// Pools whose servers tell how long work takes there now.
-    pub told: pool_pace::PoolPaces,
+    pub pool_latencies: pool_pace::PoolLatencies,
     /// When the rates were last taken.
     pub rates_taken: Time,
     /// Second tries that the budgets still allow.
@@ -103,7 +103,7 @@
     /// Demand of other groups, as their leads tell.
     pub groups: group::Groups,
     /// Work that other groups did for accounts, as their leads tell.
-    pub told_work: share::ReportedWork,
+    pub reported_work: share::ReportedWork,
     /// What accounts may have where room is short.
     pub levels: share::Levels,
     /// How many instances the leads of all groups heard last.
@@ -191,14 +191,14 @@
             ended: 0,
             end_rate: 0.0,
             budgets_set: Time::ZERO,
-            paces: pace::Paces::default(),
-            told: pool_pace::PoolPaces::default(),
+            dispatch_rates: pace::DispatchRates::default(),
+            pool_latencies: pool_pace::PoolLatencies::default(),
             rates_taken: Time::ZERO,
             retries: retry::Retries::new(),
             known_peers: None,
             backoffs_until: Time::ZERO,
             groups: group::Groups::default(),
-            told_work: share::ReportedWork::default(),
+            reported_work: share::ReportedWork::default(),
             levels: share::Levels::default(),
             reach: None,
             fresh_at: None,
--- a/crates/firdock-policy/src/table/endpoint.rs
+++ b/crates/firdock-policy/src/table/endpoint.rs
@@ -6,7 +6,7 @@
 use firdock_core::resource::{Endpoint, EndpointKind};
 
 pub use super::closed::{Closed, LeavingSource};
-use super::line::Line;
+use super::line::LinearFit;
 use super::notices::Notices;
 use super::pace_told::ReportedPace;
 use super::prefix_cache::PrefixCache;
@@ -138,13 +138,13 @@
     /// Samples that the slowdown was learned from.
     pub firsts: u32,
     /// Seconds to an engine's first token by the prompt tokens that it computes before, learned.
-    pub first_line: Line,
+    pub first_token_fit: LinearFit,
     /// Samples that the time for each token was learned from.
     pub streams: u32,
     /// What it said of itself with its answers.
     pub notices: Notices,
     /// What it told of its pace.
-    pub told: ReportedPace,
+    pub reported_pace: ReportedPace,
     /// Last report.
     pub report: Option<Reported>,
     /// Believed prefix cache.
@@ -189,10 +189,14 @@
             token_secs,
             slowdown: 1.0,
             firsts: 0,
-            first_line: Line::new(FIRST_SECS, FIRST_SPAN, FIRST_SPAN / rate.max(LEAST_RATE)),
+            first_token_fit: LinearFit::new(
+                FIRST_SECS,
+                FIRST_SPAN,
+                FIRST_SPAN / rate.max(LEAST_RATE),
+            ),
             streams: 0,
             notices: Notices::default(),
-            told: ReportedPace::default(),
+            reported_pace: ReportedPace::default(),
             report: None,
             cache: PrefixCache::default(),
             held_since: None,
@@ -324,7 +328,7 @@
     /// A prompt takes a time of its own and one for each token: reckoned by a common factor, what
     /// short prompts teach made long ones appear three times as slow as they were.
     pub fn learn_first(&mut self, work: f64, observed: Duration) {
-        self.first_line.learn(work, observed.as_secs_f64());
+        self.first_token_fit.learn(work, observed.as_secs_f64());
     }
 
     /// Learns from the time to the first byte of a plain server.
--- a/crates/firdock-policy/src/table/line.rs
+++ b/crates/firdock-policy/src/table/line.rs
@@ -14,7 +14,7 @@
 
 /// A line through weighted samples, by least squares.
 #[derive(Debug, Clone, Copy)]
-pub struct Line {
+pub struct LinearFit {
     keep: f64,
     assumed: Sums,
     seen: Sums,
@@ -54,7 +54,7 @@
     }
 }
 
-impl Line {
+impl LinearFit {
     /// Makes a line that is assumed to begin at `base` and to reach `base + rise` at `span`.
     #[must_use]
     pub fn new(base: f64, span: f64, rise: f64) -> Self {
--- a/crates/firdock-policy/src/table/noise.rs
+++ b/crates/firdock-policy/src/table/noise.rs
@@ -30,13 +30,13 @@
 
 /// How figures change, as learned from pairs of one server's that follow each other closely.
 #[derive(Debug, Clone, Copy)]
-pub struct Noise {
+pub struct SlowPhases {
     turns_slow: Rate,
     turns_back: Rate,
     ratio: f64,
 }
 
-impl Default for Noise {
+impl Default for SlowPhases {
     /// Assumes that slow moments are rare and pass within a second, until figures tell.
     fn default() -> Self {
         Self {
@@ -53,7 +53,7 @@
     }
 }
 
-impl Noise {
+impl SlowPhases {
     /// Learns from two figures over the server's own speed that are `apart` seconds apart.
     pub fn learn(&mut self, before: f64, after: f64, apart: f64) {
         if after >= SLOW_FROM {
--- a/crates/firdock-policy/src/table/pace.rs
+++ b/crates/firdock-policy/src/table/pace.rs
@@ -13,7 +13,7 @@
 
 /// Dispatches and arrivals a second by pool, smoothed.
 #[derive(Debug, Default)]
-pub struct Paces {
+pub struct DispatchRates {
     pools: HashMap<PoolId, Pace>,
 }
 
@@ -27,7 +27,7 @@
     sends: [f64; RANKS],
 }
 
-impl Paces {
+impl DispatchRates {
     /// Notes a dispatch.
     pub fn note(&mut self, pool: &str, rank: TierRank) {
         let pool = self.pool(pool);
--- a/crates/firdock-policy/src/table/pace_told.rs
+++ b/crates/firdock-policy/src/table/pace_told.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::pool_pace::PoolPace;
+use super::pool_pace::PoolLatency;
 use crate::load::Pace;
 use crate::time::Time;
 
@@ -70,11 +70,11 @@
     ///
     /// The newest figure fades towards the usual one at the rate at which figures change in the pool.
     #[must_use]
-    pub fn over(&self, now: Time, secs: f64, pool: &PoolPace) -> Option<f64> {
+    pub fn over(&self, now: Time, secs: f64, pool: &PoolLatency) -> Option<f64> {
         let (figure, at) = self.newest?;
-        let usual = self.own()? * pool.noise.mean();
+        let usual = self.own()? * pool.slow_phases.mean();
         let age = now.saturating_sub(at).as_secs_f64();
-        let rate = pool.noise.rate();
+        let rate = pool.slow_phases.rate();
         let faded = (figure - usual) * (-rate * age).exp();
         let span = (rate * secs).max(f64::MIN_POSITIVE);
         Some(usual + faded * (1.0 - (-span).exp()) / span)
@@ -82,12 +82,12 @@
 
     /// Gives the chance that this is a slow moment of the server.
     #[must_use]
-    pub fn slow_now(&self, now: Time, pool: &PoolPace) -> f64 {
+    pub fn slow_now(&self, now: Time, pool: &PoolLatency) -> f64 {
         let Some(((figure, at), own)) = self.newest.zip(self.own()) else {
-            return pool.noise.slow_part();
+            return pool.slow_phases.slow_part();
         };
         let age = now.saturating_sub(at).as_secs_f64();
-        pool.noise.slow_after(figure / own, age)
+        pool.slow_phases.slow_after(figure / own, age)
     }
 
     /// Learns how far the figures are off from a time that was reckoned by them.
--- a/crates/firdock-policy/src/table/pool_pace.rs
+++ b/crates/firdock-policy/src/table/pool_pace.rs
@@ -6,8 +6,8 @@
 
 use firdock_core::PoolId;
 
-use super::line::Line;
-use super::noise::Noise;
+use super::line::LinearFit;
+use super::noise::SlowPhases;
 use crate::load::Pace;
 use crate::time::Time;
 
@@ -36,34 +36,34 @@
 
 /// Pools by name; empty for endpoints without one.
 #[derive(Debug, Default)]
-pub struct PoolPaces {
-    pools: HashMap<PoolId, PoolPace>,
+pub struct PoolLatencies {
+    pools: HashMap<PoolId, PoolLatency>,
 }
 
-impl PoolPaces {
+impl PoolLatencies {
     /// Gives what is known of a pool; `None` where none of its servers told a pace.
     #[must_use]
-    pub fn get(&self, pool: &str) -> Option<&PoolPace> {
+    pub fn get(&self, pool: &str) -> Option<&PoolLatency> {
         self.pools.get(pool)
     }
 
     /// Gives a pool to learn of, if any of its servers told a pace.
-    pub fn get_mut(&mut self, pool: &str) -> Option<&mut PoolPace> {
+    pub fn get_mut(&mut self, pool: &str) -> Option<&mut PoolLatency> {
         self.pools.get_mut(pool)
     }
 
     /// Gives a pool that a server told a pace of.
-    pub fn tell(&mut self, pool: &PoolId) -> &mut PoolPace {
+    pub fn tell(&mut self, pool: &PoolId) -> &mut PoolLatency {
         self.pools.entry(pool.clone()).or_default()
     }
 }
 
 /// One pool whose servers tell their pace.
 #[derive(Debug)]
-pub struct PoolPace {
+pub struct PoolLatency {
     /// How figures change.
-    pub noise: Noise,
-    line: Line,
+    pub slow_phases: SlowPhases,
+    line: LinearFit,
     firsts: u32,
     token_secs: f64,
     streams: u32,
@@ -72,11 +72,11 @@
     slowest: f64,
 }
 
-impl Default for PoolPace {
+impl Default for PoolLatency {
     fn default() -> Self {
-        let line = Line::new(FIRST_SECS, FIRST_SPAN, FIRST_SPAN / FIRST_RATE);
+        let line = LinearFit::new(FIRST_SECS, FIRST_SPAN, FIRST_SPAN / FIRST_RATE);
         Self {
-            noise: Noise::default(),
+            slow_phases: SlowPhases::default(),
             line: line.with_keep(LINE_KEEP),
             firsts: 0,
             token_secs: TOKEN_SECS,
@@ -95,20 +95,21 @@
     *mean += LEARN.max(1.0 / f64::from(*samples)) * (sample - *mean);
 }
 
-impl PoolPace {
+impl PoolLatency {
     /// Takes a figure of a server whose own speed is `own`, and the figure before it.
     pub fn take(&mut self, pace: Pace, read: Time, own: f64, before: Option<(f64, Time)>) {
         self.slowest += (FORGET_SLOWEST * (own - self.slowest)).max(own - self.slowest);
         if let Some((figure, at)) = before {
             let apart = read.saturating_sub(at).as_secs_f64();
-            self.noise.learn(figure / own, pace.factor() / own, apart);
+            self.slow_phases
+                .learn(figure / own, pace.factor() / own, apart);
         }
     }
 
     /// Gives the pace of the slow servers, which is assumed of one that told none yet.
     #[must_use]
     pub fn slowest(&self) -> f64 {
-        self.slowest * self.noise.mean()
+        self.slowest * self.slow_phases.mean()
     }
 
     /// Gives the seconds to a first token that `work` prompt tokens come before, at a pace.
--- a/crates/firdock-policy/tests/policy/line.rs
+++ b/crates/firdock-policy/tests/policy/line.rs
@@ -1,14 +1,14 @@
 //! The line by which the time to a first token is learned.
 
-use firdock_policy::table::line::Line;
+use firdock_policy::table::line::LinearFit;
 
 /// Seconds to the first token of an engine that takes 0.04 s and reads 50,000 tokens a second.
 fn observed(tokens: f64) -> f64 {
     0.04 + tokens / 50_000.0
 }
 
-fn assumed() -> Line {
-    Line::new(0.1, 5_000.0, 0.5)
+fn assumed() -> LinearFit {
+    LinearFit::new(0.1, 5_000.0, 0.5)
 }
 
 #[test]
--- a/crates/firdock-policy/tests/policy/paced.rs
+++ b/crates/firdock-policy/tests/policy/paced.rs
@@ -5,7 +5,7 @@
 use firdock_policy::event::DispatchUpdate;
 use firdock_policy::load::{Pace, PaceReport};
 use firdock_policy::table::pace_told::ReportedPace;
-use firdock_policy::table::pool_pace::PoolPace;
+use firdock_policy::table::pool_pace::PoolLatency;
 use firdock_policy::{Event, NewRequest, Time};
 
 use crate::edge::{Edge, edge_settings, request, resources};
@@ -139,7 +139,7 @@
 /// little of an answer.
 #[test]
 fn a_slow_moment_counts_for_what_comes_now_and_fades() {
-    let (mut seen, mut pool) = (ReportedPace::default(), PoolPace::default());
+    let (mut seen, mut pool) = (ReportedPace::default(), PoolLatency::default());
     for n in 0..2_000_u64 {
         let at = millis(1_000 + 100 * n);
         let slow = (n / 5) % 7 == 0;
@@ -152,7 +152,7 @@
     seen.take(pace(250), now);
     let over = |secs: f64, later: u64| seen.over(now + millis(later), secs, &pool).expect("told");
     assert!(over(0.05, 0) > 2.2, "{}", over(0.05, 0));
-    let usual = pool.noise.mean();
+    let usual = pool.slow_phases.mean();
     assert!((1.1..1.4).contains(&usual), "{usual}");
     assert!(over(8.0, 0) < usual + 0.2, "{}", over(8.0, 0));
     assert!(over(0.05, 2_000) < usual + 0.1, "{}", over(0.05, 2_000));
@@ -161,7 +161,7 @@
 /// A pool's engines teach one line: four times as slow ones and slow moments change nothing in it.
 #[test]
 fn noise_is_not_learned_as_an_engines_speed() {
-    let mut pool = PoolPace::default();
+    let mut pool = PoolLatency::default();
     for n in 0..600_u32 {
         let tokens = f64::from(200 + 97 * (n % 70));
         let pace = [0.68, 0.68, 3.0, 1.7, 7.5][n as usize % 5];
@@ -333,7 +333,7 @@
     for n in 1..=4 {
         assert!(place(&mut edge, asked(n, "safe", 1_000, 385)).is_some());
     }
-    assert!(edge.scheduler.tables().told.get("pool").is_none());
+    assert!(edge.scheduler.tables().pool_latencies.get("pool").is_none());
 }
 
 /// An instance among many may have one call at a time on a plain server: a call is not slowed by itself.
--- a/crates/firdock-policy/tests/policy/tries.rs
+++ b/crates/firdock-policy/tests/policy/tries.rs
@@ -4,7 +4,7 @@
 
 use firdock_policy::NewRequest;
 use firdock_policy::event::DispatchUpdate;
-use firdock_policy::stats::{TryEnd, TryKey};
+use firdock_policy::stats::{AttemptKey, AttemptOutcome};
 
 use crate::edge::{Edge, edge_settings, request, resources};
 use crate::scene::millis;
@@ -23,9 +23,9 @@
     }
 }
 
-fn tries(edge: &Edge) -> BTreeMap<(bool, TryEnd), u64> {
-    let all = &edge.scheduler.tables().stats.tries;
-    let short = |(key, n): (&TryKey, &u64)| ((key.returned, key.end), *n);
+fn tries(edge: &Edge) -> BTreeMap<(bool, AttemptOutcome), u64> {
+    let all = &edge.scheduler.tables().stats.attempts;
+    let short = |(key, n): (&AttemptKey, &u64)| ((key.returned, key.end), *n);
     all.iter().map(short).collect()
 }
 
@@ -41,9 +41,9 @@
     edge.arrive(with_left(&edge, 3, "free", 2_000));
     edge.tell(3, 1, ENDED);
     let expected = BTreeMap::from([
-        ((false, TryEnd::InTime), 1),
-        ((true, TryEnd::InTime), 1),
-        ((true, TryEnd::Late), 1),
+        ((false, AttemptOutcome::InTime), 1),
+        ((true, AttemptOutcome::InTime), 1),
+        ((true, AttemptOutcome::Late), 1),
     ]);
     assert_eq!(tries(&edge), expected);
 }
@@ -58,7 +58,11 @@
         edge.arrive(with_left(&edge, n, "limited", 3_000));
     }
     edge.arrive(with_left(&edge, 9, "limited", 2_500));
-    let refused = |returned| tries(&edge).get(&(returned, TryEnd::NotRun)).copied();
+    let refused = |returned| {
+        tries(&edge)
+            .get(&(returned, AttemptOutcome::NotRun))
+            .copied()
+    };
     assert_eq!(refused(false), Some(2));
     assert_eq!(refused(true), Some(1));
 }
