--- a/crates/firdock-node/src/peer/beacon/usage.rs
+++ b/crates/firdock-node/src/peer/beacon/usage.rs
@@ -3,7 +3,7 @@
 use std::sync::{MutexGuard, PoisonError};
 
 use firdock_policy::event::{PeerUse, UseCounts};
-use firdock_policy::sums::UseAggregator;
+use firdock_policy::usage::UseAggregator;
 use firdock_policy::{Event, Time};
 use firdock_wire::message::Beacon;
 use uuid::Uuid;
--- a/crates/firdock-node/src/peer/datagram.rs
+++ b/crates/firdock-node/src/peer/datagram.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use firdock_policy::event::{AccountUse, UseTotals};
-use firdock_policy::sums::MAX_REPORTED_ACCOUNTS;
+use firdock_policy::usage::MAX_REPORTED_ACCOUNTS;
 use firdock_wire::auth;
 use firdock_wire::message::{self, Datagram, PeerAddress, datagram};
 use prost::Message as _;
--- a/crates/firdock-policy/src/cost.rs
+++ b/crates/firdock-policy/src/cost.rs
@@ -3,7 +3,7 @@
 //! Cost = (waiting + uncached prompt) / prefill rate + expected output x token time, with rates
 //! learned from the endpoint's own answers (see `docs/design/routing.md`).
 
-mod told;
+mod reported_pace;
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 use crate::request::RequestRow;
 use crate::settings::Mechanisms;
 use crate::table::endpoint::EndpointRow;
-use crate::table::pool_pace::PoolLatency;
+use crate::table::pool_latency::PoolLatency;
 use crate::table::service::ServiceRow;
 use crate::time::Time;
 
@@ -88,12 +88,12 @@
 ) -> Estimate {
     let told = told.filter(|_| mechanisms.learning);
     if !endpoint.is_engine() {
-        let by_pace = told.and_then(|pool| told::plain(now, endpoint, pool));
+        let by_pace = told.and_then(|pool| reported_pace::plain(now, endpoint, pool));
         return estimate_plain(mechanisms, endpoint, by_pace);
     }
     let uncached = uncached(now, mechanisms, row, endpoint);
     if let Some(pool) = told.filter(|_| mechanisms.first_token) {
-        return told::engine(now, row, service, endpoint, pool, uncached);
+        return reported_pace::engine(now, row, service, endpoint, pool, uncached);
     }
     let work = endpoint.waiting_tokens(now) + f64::from(uncached);
     let declared = &endpoint.declared;
--- a/crates/firdock-policy/src/cost/told.rs
+++ b/crates/firdock-policy/src/cost/reported_pace.rs
@@ -5,7 +5,7 @@
 };
 use crate::request::RequestRow;
 use crate::table::endpoint::EndpointRow;
-use crate::table::pool_pace::PoolLatency;
+use crate::table::pool_latency::PoolLatency;
 use crate::table::service::ServiceRow;
 use crate::time::Time;
 
--- a/crates/firdock-policy/src/lib.rs
+++ b/crates/firdock-policy/src/lib.rs
@@ -15,9 +15,9 @@
 mod scheduler;
 pub mod settings;
 pub mod stats;
-pub mod sums;
 pub mod suspect;
 mod system;
+pub mod usage;
 pub use system::fair::{Ask, OVER_PART, PoolStandings, Standing, all_standings, shares};
 pub use system::{
     demand::by_pool as pool_demand, fair::told as told_work, limit::used as used_limits,
--- a/crates/firdock-policy/src/system/demand.rs
+++ b/crates/firdock-policy/src/system/demand.rs
@@ -6,8 +6,8 @@
 use firdock_core::PoolId;
 
 use crate::table::Tables;
+use crate::table::dispatch_rates::smooth;
 use crate::table::endpoint::EndpointRow;
-use crate::table::pace::smooth;
 use crate::time::Time;
 
 /// Time between two takings of rates.
--- a/crates/firdock-policy/src/system/paced.rs
+++ b/crates/firdock-policy/src/system/paced.rs
@@ -7,7 +7,7 @@
 use crate::load::PaceReport;
 use crate::table::Tables;
 use crate::table::endpoint::EndpointRow;
-use crate::table::pool_pace::PoolLatency;
+use crate::table::pool_latency::PoolLatency;
 use crate::time::Time;
 
 /// How long before its dispatch a figure may have been read to count as told with an answer; it covers
--- a/crates/firdock-policy/src/table.rs
+++ b/crates/firdock-policy/src/table.rs
@@ -1,37 +1,37 @@
 //! The tables of entities that the systems run over.
 
 pub mod account;
-pub mod closed;
+pub mod dispatch_rates;
 pub mod endpoint;
 pub mod ends;
 pub mod group;
 pub mod key;
 pub mod limit;
-pub mod line;
-pub mod noise;
+pub mod linear_fit;
 pub mod notices;
-pub mod pace;
-pub mod pace_told;
 pub mod peer;
-pub mod pool_pace;
+pub mod pool_latency;
 pub mod prefix_cache;
 pub mod queue;
+pub mod reported_pace;
 pub mod request;
 pub mod retry;
 pub mod rollout;
 pub mod rows;
 pub mod service;
 pub mod share;
+pub mod slow_phases;
 pub mod suspects;
 pub mod transfer;
+pub mod unavailable;
 pub mod view;
 
 use std::time::Duration;
 
 use crate::settings::PolicySettings;
 use crate::stats::Stats;
-use crate::sums::MergedCounts;
 use crate::time::Time;
+use crate::usage::MergedCounts;
 
 /// Instances up to which all of them are one group; of more, each availability zone is one.
 pub const SMALL_SITE: usize = 16;
@@ -89,9 +89,9 @@
     /// When the budgets on endpoints were last set.
     pub budgets_set: Time,
     /// How fast the endpoints of each pool take requests.
-    pub dispatch_rates: pace::DispatchRates,
+    pub dispatch_rates: dispatch_rates::DispatchRates,
     /// Pools whose servers tell how long work takes there now.
-    pub pool_latencies: pool_pace::PoolLatencies,
+    pub pool_latencies: pool_latency::PoolLatencies,
     /// When the rates were last taken.
     pub rates_taken: Time,
     /// Second tries that the budgets still allow.
@@ -191,8 +191,8 @@
             ended: 0,
             end_rate: 0.0,
             budgets_set: Time::ZERO,
-            dispatch_rates: pace::DispatchRates::default(),
-            pool_latencies: pool_pace::PoolLatencies::default(),
+            dispatch_rates: dispatch_rates::DispatchRates::default(),
+            pool_latencies: pool_latency::PoolLatencies::default(),
             rates_taken: Time::ZERO,
             retries: retry::Retries::new(),
             known_peers: None,
--- a/crates/firdock-policy/src/table/endpoint.rs
+++ b/crates/firdock-policy/src/table/endpoint.rs
@@ -5,12 +5,12 @@
 use firdock_core::StartId;
 use firdock_core::resource::{Endpoint, EndpointKind};
 
-pub use super::closed::{Closed, LeavingSource};
-use super::line::LinearFit;
+use super::linear_fit::LinearFit;
 use super::notices::Notices;
-use super::pace_told::ReportedPace;
 use super::prefix_cache::PrefixCache;
+use super::reported_pace::ReportedPace;
 use super::rows::Rows;
+pub use super::unavailable::{Closed, LeavingSource};
 use crate::time::Time;
 
 /// Table of endpoints.
--- a/crates/firdock-policy/src/table/pool_pace.rs
+++ b/crates/firdock-policy/src/table/pool_latency.rs
@@ -6,8 +6,8 @@
 
 use firdock_core::PoolId;
 
-use super::line::LinearFit;
-use super::noise::SlowPhases;
+use super::linear_fit::LinearFit;
+use super::slow_phases::SlowPhases;
 use crate::load::Pace;
 use crate::time::Time;
 
--- a/crates/firdock-policy/src/table/pace_told.rs
+++ b/crates/firdock-policy/src/table/reported_pace.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::pool_pace::PoolLatency;
+use super::pool_latency::PoolLatency;
 use crate::load::Pace;
 use crate::time::Time;
 
--- a/crates/firdock-policy/src/sums.rs
+++ b/crates/firdock-policy/src/usage.rs
@@ -8,7 +8,7 @@
 //! A count tells something only by how much it rises, since each lead counts from its own start. What two
 //! leads of a group tell of the same use counts once.
 
-mod heard;
+mod merged_counts;
 mod outbox;
 
 use std::collections::BTreeMap;
@@ -17,7 +17,7 @@
 use firdock_core::{AccountId, InstanceId, ZoneId};
 use uuid::Uuid;
 
-pub use self::heard::MergedCounts;
+pub use self::merged_counts::MergedCounts;
 pub use self::outbox::MAX_REPORTED_ACCOUNTS;
 use self::outbox::Outbox;
 use crate::event::{AccountUse, PeerUse, UseCounts, UseTotals};
--- a/crates/firdock-policy/tests/policy/limits.rs
+++ b/crates/firdock-policy/tests/policy/limits.rs
@@ -7,7 +7,7 @@
     AccountUse, HandOverEvent, HandOverRefusal, Member, MemberView, PeerUpdate, PeerUse, UseCounts,
     UseTotals,
 };
-use firdock_policy::sums::UseAggregator;
+use firdock_policy::usage::UseAggregator;
 use firdock_policy::{Action, Event, NewRequest, Verdict, used_limits};
 use uuid::Uuid;
 
--- a/crates/firdock-policy/tests/policy/line.rs
+++ b/crates/firdock-policy/tests/policy/line.rs
@@ -1,6 +1,6 @@
 //! The line by which the time to a first token is learned.
 
-use firdock_policy::table::line::LinearFit;
+use firdock_policy::table::linear_fit::LinearFit;
 
 /// Seconds to the first token of an engine that takes 0.04 s and reads 50,000 tokens a second.
 fn observed(tokens: f64) -> f64 {
--- a/crates/firdock-policy/tests/policy/paced.rs
+++ b/crates/firdock-policy/tests/policy/paced.rs
@@ -4,8 +4,8 @@
 use firdock_core::resource::{Endpoint, EndpointKind, PoolWeight, Resource, Service};
 use firdock_policy::event::DispatchUpdate;
 use firdock_policy::load::{Pace, PaceReport};
-use firdock_policy::table::pace_told::ReportedPace;
-use firdock_policy::table::pool_pace::PoolLatency;
+use firdock_policy::table::pool_latency::PoolLatency;
+use firdock_policy::table::reported_pace::ReportedPace;
 use firdock_policy::{Event, NewRequest, Time};
 
 use crate::edge::{Edge, edge_settings, request, resources};
--- a/crates/firdock-policy/tests/policy/sums.rs
+++ b/crates/firdock-policy/tests/policy/sums.rs
@@ -5,7 +5,7 @@
 
 use firdock_policy::Time;
 use firdock_policy::event::{AccountUse, PeerUse, UseCounts, UseTotals};
-use firdock_policy::sums::{MAX_REPORTED_ACCOUNTS, MergedCounts, UseAggregator};
+use firdock_policy::usage::{MAX_REPORTED_ACCOUNTS, MergedCounts, UseAggregator};
 use rand::rngs::SmallRng;
 use rand::{Rng as _, SeedableRng as _};
 use uuid::Uuid;
