--- a/crates/firdock-node/src/peer/book/group.rs
+++ b/crates/firdock-node/src/peer/book/group.rs
@@ -13,7 +13,7 @@
 use firdock_core::{InstanceId, ZoneId};
 use firdock_policy::Time;
 use firdock_policy::event::PoolDemand;
-use firdock_policy::table::SMALL_SITE;
+use firdock_policy::table::SINGLE_GROUP_LIMIT;
 
 use super::{Entries, Entry, KnownPeer, PeerBook, Power, known_peer};
 
@@ -259,7 +259,7 @@
 
     /// Tells the same by those that are known here, if these are all.
     fn are_few(&self, entries: &Entries) -> bool {
-        entries.len() < SMALL_SITE && !self.are_many(entries.len())
+        entries.len() < SINGLE_GROUP_LIMIT && !self.are_many(entries.len())
     }
 
     /// Tells whether an availability zone is this instance's.
--- a/crates/firdock-node/src/peer/heartbeat.rs
+++ b/crates/firdock-node/src/peer/heartbeat.rs
@@ -96,9 +96,9 @@
             rollouts: told_rollouts(t, now),
             work: Vec::new(),
             suspects: t.suspects.told(now, turn_at(now)),
-            heard_suspects: t.suspects.heard_told(now),
+            heard_suspects: t.suspects.reports_to_forward(now),
             taken: now,
-            all_suspects: t.suspects.all_told(now, MAX_SUSPECTS),
+            all_suspects: t.suspects.all_reports(now, MAX_SUSPECTS),
             suspected: t.suspects.revision(),
         }
     }
--- a/crates/firdock-node/src/placement/member.rs
+++ b/crates/firdock-node/src/placement/member.rs
@@ -9,7 +9,7 @@
 use firdock_policy::event::{EndpointEvent, Grant, Member};
 use firdock_policy::load::{Pace, PaceReport};
 use firdock_policy::notice::NoticeReport;
-use firdock_policy::request::{Phase, Placing};
+use firdock_policy::request::{Phase, PlacementState};
 use firdock_policy::table::Tables;
 use firdock_policy::{Event, Time, Verdict};
 use slog::{Logger, info};
@@ -166,7 +166,7 @@
         } else {
             row.dispatch
         };
-        if row.placing == Placing::Asked || engine_of(t, row).is_some() {
+        if row.placement == PlacementState::Requested || engine_of(t, row).is_some() {
             self.tell(id, attempt, Course::Dropped);
         }
     }
--- a/crates/firdock-node/src/placement/told.rs
+++ b/crates/firdock-node/src/placement/told.rs
@@ -5,7 +5,7 @@
 use firdock_core::StartId;
 use firdock_policy::event::DispatchUpdate;
 use firdock_policy::notice::Notice;
-use firdock_policy::request::{Phase, Placing, RequestRow};
+use firdock_policy::request::{Phase, PlacementState, RequestRow};
 use firdock_policy::table::Tables;
 use firdock_policy::table::endpoint::EndpointRow;
 use firdock_policy::{NewRequest, Time};
@@ -46,7 +46,7 @@
 
 /// Tells whether a request waits for the coordinator to place it.
 pub fn waits(row: &RequestRow) -> bool {
-    row.phase == Phase::Held && row.placing == Placing::Asked
+    row.phase == Phase::Held && row.placement == PlacementState::Requested
 }
 
 /// Gives a request that runs on an engine, and where; `None` for all others.
--- a/crates/firdock-node/src/telemetry/beliefs.rs
+++ b/crates/firdock-node/src/telemetry/beliefs.rs
@@ -120,9 +120,5 @@
 }
 
 fn peer_word(now: Time, t: &Tables, p: &PeerRow) -> &'static str {
-    if t.is_heard(p, now) {
-        "heard"
-    } else {
-        "silent"
-    }
+    if t.is_live(p, now) { "heard" } else { "silent" }
 }
--- a/crates/firdock-node/src/telemetry/endpoints.rs
+++ b/crates/firdock-node/src/telemetry/endpoints.rs
@@ -6,7 +6,7 @@
 use firdock_core::{EndpointId, PoolId, ServiceId, rendezvous};
 use firdock_policy::Time;
 use firdock_policy::table::Tables;
-use firdock_policy::table::endpoint::{Closed, EndpointRow, LeavingSource};
+use firdock_policy::table::endpoint::{EndpointRow, LeavingSource, UnavailableReason};
 use serde::Serialize;
 
 use super::seen::Change;
@@ -46,13 +46,13 @@
             left_millis: None,
             pool_hash: rendezvous::hash_key(e.declared.pool.as_bytes()),
         };
-        match e.open_to("", now) {
-            Err(Closed::Leaving | Closed::Absent) => {
+        match e.check_available("", now) {
+            Err(UnavailableReason::Leaving | UnavailableReason::Absent) => {
                 word.state = "leaving";
                 word.source = e.leaving_source(now).map(LeavingSource::as_str);
                 word.age_millis = e.notices.leaving_since().map(since);
             }
-            Err(Closed::BackingOff(until)) => {
+            Err(UnavailableReason::BackingOff(until)) => {
                 word.state = "backing off";
                 word.source = Some("answer");
                 word.age_millis = e.notices.backoff("", now).map(|b| since(b.since));
@@ -121,9 +121,9 @@
     let rows = t.services.get(at).endpoints.iter();
     let why = rows.filter_map(|at| {
         let e = t.endpoints.get(*at);
-        let why = match e.open_to("", now) {
-            Err(Closed::Leaving) => "leaving".to_owned(),
-            Err(Closed::BackingOff(until)) => {
+        let why = match e.check_available("", now) {
+            Err(UnavailableReason::Leaving) => "leaving".to_owned(),
+            Err(UnavailableReason::BackingOff(until)) => {
                 format!("backing off {} ms", millis(until.saturating_sub(now)))
             }
             _ => return None,
--- a/crates/firdock-policy/src/cost.rs
+++ b/crates/firdock-policy/src/cost.rs
@@ -65,7 +65,7 @@
     /// What the choice goes by: the time to the end, with the prefill weighed in.
     pub score: f64,
     /// The part of it by which the answer would be late or cut there.
-    pub misfit: f64,
+    pub lateness_cost: f64,
 }
 
 impl Estimate {
@@ -125,7 +125,7 @@
         first_secs,
         total_secs,
         score,
-        misfit: 0.0,
+        lateness_cost: 0.0,
     }
 }
 
@@ -158,7 +158,7 @@
         first_secs: secs,
         total_secs: secs,
         score: secs,
-        misfit: 0.0,
+        lateness_cost: 0.0,
     }
 }
 
@@ -181,7 +181,7 @@
 
 /// Gives what an endpoint in another availability zone costs in the choice, in seconds.
 #[must_use]
-pub fn far_secs(mechanisms: Mechanisms, zone: &ZoneId, endpoint: &EndpointRow) -> f64 {
+pub fn zone_penalty_secs(mechanisms: Mechanisms, zone: &ZoneId, endpoint: &EndpointRow) -> f64 {
     let near = endpoint.declared.zone == *zone || endpoint.declared.zone.is_empty();
     match (mechanisms.near_first && !near, endpoint.is_engine()) {
         (false, _) => 0.0,
--- a/crates/firdock-policy/src/cost/reported_pace.rs
+++ b/crates/firdock-policy/src/cost/reported_pace.rs
@@ -57,17 +57,17 @@
         .chance(e.reported_pace.slow_now(now, pool), middle);
     let late = chance * slow_pause(service, e, pool, token);
     let speed = usual.recip().clamp(SPEEDS.0, SPEEDS.1);
-    let misfit = RISK_WEIGHT * risk + GAP_SECS * late + OVERRUN_WEIGHT * over;
+    let lateness_cost = RISK_WEIGHT * risk + GAP_SECS * late + OVERRUN_WEIGHT * over;
     Estimate {
         uncached,
         work,
         first_secs,
         total_secs,
-        score: misfit
+        score: lateness_cost
             + FIRST_WEIGHT * first_secs
             + SPARE_SECS * speed * load(e)
             + STAY_WEIGHT * total_secs,
-        misfit,
+        lateness_cost,
     }
 }
 
--- a/crates/firdock-policy/src/request.rs
+++ b/crates/firdock-policy/src/request.rs
@@ -122,11 +122,11 @@
 
 /// How far the placement of a request by a coordinator is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Placing {
+pub enum PlacementState {
     /// No coordinator was asked since the request was last held.
-    Open,
+    NotRequested,
     /// The coordinator was asked.
-    Asked,
+    Requested,
     /// In a coordinator's tables: it ran already when the coordinator first heard of it.
     Adopted,
 }
@@ -137,7 +137,7 @@
     /// The request as it arrived.
     pub new: NewRequest,
     /// How long before its arrival its caller first tried it.
-    pub tried_for: Duration,
+    pub since_first_attempt: Duration,
     /// Row of its service.
     pub service: usize,
     /// Row of its account.
@@ -163,7 +163,7 @@
     /// Peers (names) that refused it.
     pub refused_by: Vec<String>,
     /// Why it is with a peer, if it is.
-    pub handed_for: Option<HandOverCause>,
+    pub hand_over_cause: Option<HandOverCause>,
     /// When the key counts as minted, by the log's clock; `None` without a key that binds.
     pub minted: Option<LogTime>,
     /// Until when, by this process's clock, an opaque key may be dispatched.
@@ -175,7 +175,7 @@
     /// Tokens that reached the caller, from which a second endpoint resumes.
     pub delivered: u32,
     /// What of an answer has reached the caller.
-    pub passed: Passed,
+    pub delivered_part: DeliveredPart,
     /// When the present dispatch or hand-over was made.
     pub dispatched: Time,
     /// When the first token or byte came.
@@ -191,27 +191,27 @@
     /// Tokens that had reached the caller before the present dispatch.
     pub resumed_from: u32,
     /// Whether the endpoint of the present dispatch answered that it failed.
-    pub failure: Failure,
+    pub failure: EndpointFailure,
     /// What the end of the present dispatch's answer proves.
     pub proof: Proof,
     /// How the present dispatch comes to break, if it does.
     pub breaking: Option<BreakCause>,
     /// How far its placement by a coordinator is.
-    pub placing: Placing,
+    pub placement: PlacementState,
     /// Starts of engines that the coordinator gave it and that this instance could not use.
     pub declined: Vec<StartId>,
 }
 
 /// Whether an endpoint answered that it failed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum Failure {
+pub enum EndpointFailure {
     /// It did not.
     #[default]
     None,
     /// It did.
-    Told,
+    Reported,
     /// It did, and its answer can be passed on.
-    Kept,
+    Buffered,
 }
 
 /// What the end of an answer proves.
@@ -226,7 +226,7 @@
 
 /// What of an answer has reached the caller.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum Passed {
+pub enum DeliveredPart {
     /// Nothing, so that any answer can still be given.
     #[default]
     Nothing,
@@ -240,7 +240,7 @@
     /// Tells whether the head of an answer has reached the caller.
     #[must_use]
     pub fn head_sent(&self) -> bool {
-        self.passed != Passed::Nothing
+        self.delivered_part != DeliveredPart::Nothing
     }
 
     /// Makes the row of a request that just arrived.
@@ -252,7 +252,7 @@
             rank,
             declared_rank: rank,
             arrived: now,
-            tried_for: Duration::ZERO,
+            since_first_attempt: Duration::ZERO,
             pool: None,
             deadline: new.deadline,
             charge: 0.0,
@@ -260,13 +260,13 @@
             dispatch: 0,
             tried: new.tried.clone(),
             refused_by: Vec::new(),
-            handed_for: None,
+            hand_over_cause: None,
             minted: None,
             confirm_by: None,
             runs: 0,
             ran_before: false,
             delivered: 0,
-            passed: Passed::Nothing,
+            delivered_part: DeliveredPart::Nothing,
             dispatched: Time::ZERO,
             first: None,
             uncached: 0,
@@ -274,10 +274,10 @@
             charged_work: 0.0,
             predicted: Time::ZERO,
             resumed_from: 0,
-            failure: Failure::None,
+            failure: EndpointFailure::None,
             proof: Proof::Whole,
             breaking: None,
-            placing: Placing::Open,
+            placement: PlacementState::NotRequested,
             declined: Vec::new(),
             new,
         }
--- a/crates/firdock-policy/src/scheduler.rs
+++ b/crates/firdock-policy/src/scheduler.rs
@@ -7,7 +7,7 @@
     admit, backoff, check, config, coordinate, demand, drain, early, expire, fair, handover,
     health, key, limit, look, news, notice, paced, place, rollout, share, shed, suspect,
 };
-use crate::table::{Reach, Tables};
+use crate::table::{ReachableInstances, Tables};
 use crate::time::Time;
 
 /// Something that decides; the scheduler here, and simpler baselines in measurements.
@@ -70,7 +70,7 @@
             Event::PeersKnown(count) => t.known_peers = Some(count),
             Event::GroupDemand(group) => t.groups.take(now, group),
             Event::GroupWork(group) => t.reported_work.take(now, group.zone, group.work),
-            Event::Reach(count) => t.reach = Some(Reach { at: now, count }),
+            Event::Reach(count) => t.reachable = Some(ReachableInstances { at: now, count }),
             Event::Fresh(at) => t.fresh_at = t.fresh_at.max(Some(at)),
             Event::Coordinated(answers) => coordinate::set(t, now, answers),
             Event::Granted(grant) => coordinate::granted(t, now, &grant, out),
--- a/crates/firdock-policy/src/settings.rs
+++ b/crates/firdock-policy/src/settings.rs
@@ -134,7 +134,7 @@
     /// Age of the configuration beyond which requests with a key are refused.
     pub fresh_limit: Option<Duration>,
     /// Age at which a peer's news is stale.
-    pub peer_stale: Duration,
+    pub peer_stale_after: Duration,
     /// Grace after a key changed owner (G in `docs/design/keys.md`).
     pub key_grace: Duration,
     /// Time for which a key is remembered.
@@ -173,7 +173,7 @@
             await_peers: false,
             eject_after: 1,
             fresh_limit: settings.freshness.serve(),
-            peer_stale: settings.peers.stale_after(),
+            peer_stale_after: settings.peers.stale_after(),
             key_grace: settings.keys.grace(),
             key_keep: settings.keys.keep(),
             max_keys: settings.keys.max_keys,
--- a/crates/firdock-policy/src/system/backoff.rs
+++ b/crates/firdock-policy/src/system/backoff.rs
@@ -12,7 +12,7 @@
 use crate::action::Action;
 use crate::request::{Phase, RequestRow};
 use crate::table::Tables;
-use crate::table::endpoint::{Closed, EndpointRow};
+use crate::table::endpoint::{EndpointRow, UnavailableReason};
 use crate::time::Time;
 
 /// Time after the first end over which callers are told to come back: about what a burst of callers
@@ -62,12 +62,12 @@
         if !(place::in_pool(row, e) && wanted(e) && rollout::admits(t, row, *at)) {
             continue;
         }
-        match e.open_to(&row.new.member, now) {
-            Err(Closed::BackingOff(until)) => {
+        match e.check_available(&row.new.member, now) {
+            Err(UnavailableReason::BackingOff(until)) => {
                 first = Some(first.map_or(until, |known| known.min(until)));
             }
-            Err(Closed::Absent | Closed::Leaving) => {}
-            Ok(()) | Err(Closed::Ejected | Closed::Probing) => return None,
+            Err(UnavailableReason::Absent | UnavailableReason::Leaving) => {}
+            Ok(()) | Err(UnavailableReason::Ejected | UnavailableReason::Probing) => return None,
         }
     }
     first
--- a/crates/firdock-policy/src/system/coordinate.rs
+++ b/crates/firdock-policy/src/system/coordinate.rs
@@ -12,9 +12,9 @@
 use super::{admit, end, fair, place, rollout, share};
 use crate::action::Action;
 use crate::event::Grant;
-use crate::request::{NewRequest, Phase, Placing, RequestRow, Verdict};
+use crate::request::{NewRequest, Phase, PlacementState, RequestRow, Verdict};
 use crate::table::Tables;
-use crate::table::endpoint::Closed;
+use crate::table::endpoint::UnavailableReason;
 use crate::time::Time;
 
 /// Takes it that a coordinator answers now, or that none does.
@@ -35,12 +35,13 @@
     if !t.coordinated || t.requests.held() == 0 {
         return;
     }
-    let open = |r: &RequestRow| r.phase == Phase::Held && r.placing == Placing::Open;
+    let open =
+        |r: &RequestRow| r.phase == Phase::Held && r.placement == PlacementState::NotRequested;
     let new = |r: &&RequestRow| open(r) && waits(t, r) && suspect::gate(t, r) != Gate::Busy;
     let ids: Vec<RequestId> = t.requests.iter().filter(new).map(|r| r.new.id).collect();
     for id in ids {
         if let Some(row) = t.requests.get_mut(id) {
-            row.placing = Placing::Asked;
+            row.placement = PlacementState::Requested;
             out.push(Action::Ask { id });
         }
     }
@@ -86,14 +87,14 @@
 /// or the request waits for another try of itself: it may go there at the end of that.
 fn give_back(t: &mut Tables, now: Time, grant: &Grant) {
     let at = t.endpoints.find_start(&grant.endpoint);
-    let closed = at.and_then(|at| t.endpoints.get(at).open_to("", now).err());
+    let closed = at.and_then(|at| t.endpoints.get(at).check_available("", now).err());
     let row = t.requests.get(grant.id);
     let busy = row.is_some_and(|row| suspect::gate(t, row) == Gate::Busy);
     let Some(row) = t.requests.get_mut(grant.id) else {
         return;
     };
-    row.placing = Placing::Open;
-    if !busy && !matches!(closed, Some(Closed::BackingOff(_))) {
+    row.placement = PlacementState::NotRequested;
+    if !busy && !matches!(closed, Some(UnavailableReason::BackingOff(_))) {
         row.declined.push(grant.endpoint.clone());
     }
 }
@@ -102,8 +103,8 @@
 fn may_use(t: &Tables, now: Time, row: &RequestRow, at: usize) -> bool {
     let e = t.endpoints.get(at);
     let serves = t.services.get(row.service).endpoints.contains(&at) && place::in_pool(row, e);
-    let closed = e.open_to(&row.new.member, now).err();
-    let open = closed.is_none_or(Closed::is_health) && !row.tried.contains(&e.start_id);
+    let closed = e.check_available(&row.new.member, now).err();
+    let open = closed.is_none_or(UnavailableReason::is_health) && !row.tried.contains(&e.start_id);
     serves && open && rollout::admits_grant(t, at)
 }
 
@@ -151,7 +152,7 @@
         row.runs = 1;
         row.dispatched = now;
         row.first = Some(now);
-        row.placing = Placing::Adopted;
+        row.placement = PlacementState::Adopted;
         if !row.tried.contains(&start) {
             row.tried.push(start);
         }
--- a/crates/firdock-policy/src/system/end.rs
+++ b/crates/firdock-policy/src/system/end.rs
@@ -8,7 +8,9 @@
 
 use super::{backoff, limit, tries};
 use crate::action::Action;
-use crate::request::{Failure, NewRequest, Origin, Phase, Placing, RequestRow, Verdict};
+use crate::request::{
+    EndpointFailure, NewRequest, Origin, Phase, PlacementState, RequestRow, Verdict,
+};
 use crate::stats::{RefusalKey, WasteCause};
 use crate::table::Tables;
 use crate::time::Time;
@@ -37,7 +39,7 @@
         }
         t.accounts.get_mut(account).held += 1;
         if let Some(row) = t.requests.get_mut(id) {
-            row.placing = Placing::Open;
+            row.placement = PlacementState::NotRequested;
         }
     }
     leave_place(t, id, old, phase);
@@ -52,7 +54,7 @@
             release_prefill(t, id, e);
             t.endpoints.get_mut(e).running -= 1;
         }
-        (Phase::HandedOver(p), _) => t.peers.get_mut(p).handed -= 1,
+        (Phase::HandedOver(p), _) => t.peers.get_mut(p).handed_over -= 1,
         (Phase::Held, _) => {}
     }
 }
@@ -132,7 +134,7 @@
         cut(t, now, id, verdict.reason, out);
         return;
     }
-    if row.failure == Failure::Kept && verdict.outcome == Outcome::Unknown {
+    if row.failure == EndpointFailure::Buffered && verdict.outcome == Outcome::Unknown {
         // The last endpoint that had it answered, so that more is known than that it may have run.
         finish(t, now, id, Outcome::Answered);
         out.push(Action::PassFailure { id });
--- a/crates/firdock-policy/src/system/fair.rs
+++ b/crates/firdock-policy/src/system/fair.rs
@@ -163,7 +163,7 @@
     let row = t.accounts.get(account);
     let told = t
         .reported_work
-        .of(now, t.settings.peer_stale, pool, &row.name);
+        .of(now, t.settings.peer_stale_after, pool, &row.name);
     let elsewhere: f64 = told.filter(|w| w.rank <= rank).map(|w| w.done).sum();
     row.work.done(now, pool, rank) + elsewhere
 }
--- a/crates/firdock-policy/src/system/fair/level.rs
+++ b/crates/firdock-policy/src/system/fair/level.rs
@@ -163,7 +163,7 @@
     let row = t.accounts.get(account);
     let told = t
         .reported_work
-        .of(now, t.settings.peer_stale, pool, &row.name);
+        .of(now, t.settings.peer_stale_after, pool, &row.name);
     let elsewhere: f64 = told.map(|w| w.asked).sum();
     row.work.asked(now, pool) + elsewhere
 }
--- a/crates/firdock-policy/src/system/fit.rs
+++ b/crates/firdock-policy/src/system/fit.rs
@@ -23,12 +23,12 @@
 /// Only where engines tell their pace is there any: elsewhere an engine that is slow by others' work is
 /// not told from one that will be fast again when the answer begins.
 pub fn may_wait(t: &Tables, now: Time, row: &RequestRow, best: &Estimate) -> bool {
-    best.misfit > LEAST_GAIN && now.saturating_sub(row.arrived) < most_wait(t, row)
+    best.lateness_cost > LEAST_GAIN && now.saturating_sub(row.arrived) < most_wait(t, row)
 }
 
 /// Tells whether a place that is taken now fits so much better that it is worth waiting for.
 pub fn is_better(best: &Estimate, taken: &Estimate) -> bool {
-    taken.misfit + LEAST_GAIN < best.misfit
+    taken.lateness_cost + LEAST_GAIN < best.lateness_cost
 }
 
 fn most_wait(t: &Tables, row: &RequestRow) -> Duration {
--- a/crates/firdock-policy/src/system/handover.rs
+++ b/crates/firdock-policy/src/system/handover.rs
@@ -5,7 +5,7 @@
 use super::{end, key, limit, rollout, shed, suspect};
 use crate::action::{Action, HandOverCause};
 use crate::event::{HandOverEvent, HandOverRefusal, Member, PeerUpdate};
-use crate::request::{Passed, Phase, RequestRow, Verdict};
+use crate::request::{DeliveredPart, Phase, RequestRow, Verdict};
 use crate::table::Tables;
 use crate::table::peer::PeerRow;
 use crate::time::Time;
@@ -25,10 +25,10 @@
             t.endpoints.get_mut(at).peer_leaving = Some(now + LEAVING_WORD);
         }
     }
-    if !t.peers.has_room(&news.name) {
+    if !t.peers.has_capacity(&news.name) {
         return;
     }
-    let small = t.is_small_site();
+    let small = t.is_single_group();
     if small {
         limit::take_peer(t, now, &news);
     }
@@ -41,7 +41,7 @@
 /// Takes it that the link to a peer broke: its news no longer counts.
 pub fn peer_lost(t: &mut Tables, name: &str) {
     if let Some(at) = t.peers.find(name) {
-        t.peers.get_mut(at).heard = Time::ZERO;
+        t.peers.get_mut(at).last_seen = Time::ZERO;
         t.peers.get_mut(at).held.clear();
     }
 }
@@ -96,12 +96,14 @@
         return None;
     }
     let refused = &t.requests.get(id)?.refused_by;
-    let fresh = |p: &PeerRow| p.heard > Time::ZERO && p.heard + t.settings.peer_stale > now;
+    let fresh =
+        |p: &PeerRow| p.last_seen > Time::ZERO && p.last_seen + t.settings.peer_stale_after > now;
     let open = t
         .peers
         .iter()
         .filter(|(_, p)| fresh(p) && !p.draining && !refused.contains(&p.name) && fits(p));
-    open.min_by_key(|(at, p)| (p.handed, *at)).map(|(at, _)| at)
+    open.min_by_key(|(at, p)| (p.handed_over, *at))
+        .map(|(at, _)| at)
 }
 
 fn hand_over(
@@ -114,9 +116,9 @@
 ) {
     end::set_phase(t, id, Phase::HandedOver(at), false);
     let peer = t.peers.get_mut(at);
-    peer.handed += 1;
+    peer.handed_over += 1;
     if let Some(row) = t.requests.get_mut(id) {
-        row.handed_for = Some(cause);
+        row.hand_over_cause = Some(cause);
         row.dispatched = now;
     }
     t.stats.handed_over += 1;
@@ -134,7 +136,7 @@
         HandOverEvent::Started(id) => {
             let id = *id;
             if let Some(row) = t.requests.get_mut(id) {
-                row.passed = Passed::Head;
+                row.delivered_part = DeliveredPart::Head;
                 row.first = Some(now);
             }
         }
@@ -170,7 +172,7 @@
             row.tried.push(name.clone());
         }
     }
-    if row.handed_for.take() == Some(HandOverCause::KeyOwner) {
+    if row.hand_over_cause.take() == Some(HandOverCause::KeyOwner) {
         owner_refused(t, now, id, refusal.verdict, out);
     }
 }
@@ -220,7 +222,7 @@
 /// Ends hand-overs to peers that fell silent: a cut link may not show for many minutes.
 pub fn end_silent(t: &mut Tables, now: Time, out: &mut Vec<Action>) {
     let silent = |r: &&RequestRow| match r.phase {
-        Phase::HandedOver(at) => t.peers.get(at).heard.max(r.dispatched) + PEER_SILENCE < now,
+        Phase::HandedOver(at) => t.peers.get(at).last_seen.max(r.dispatched) + PEER_SILENCE < now,
         _ => false,
     };
     let ids: Vec<RequestId> = t.requests.iter().filter(silent).map(|r| r.new.id).collect();
@@ -234,9 +236,9 @@
 
 /// Forgets peers that have been silent for long and have none of this instance's requests.
 pub fn forget_silent(t: &mut Tables, now: Time) {
-    let stale = t.peer_stale();
+    let stale = t.peer_stale_after();
     t.peers.remove_if(|p| {
         let keep = if p.draining { stale } else { SILENT_PEER };
-        p.handed == 0 && p.heard + keep < now
+        p.handed_over == 0 && p.last_seen + keep < now
     });
 }
--- a/crates/firdock-policy/src/system/health.rs
+++ b/crates/firdock-policy/src/system/health.rs
@@ -12,7 +12,7 @@
     };
     let e = t.endpoints.get_mut(at);
     e.missed = 0;
-    e.told_leaving = report.leaving;
+    e.reported_leaving = report.leaving;
     let own_backlog = e
         .report
         .map_or(0.0, |_| e.backlog.min(f64::from(report.backlog)));
--- a/crates/firdock-policy/src/system/limit.rs
+++ b/crates/firdock-policy/src/system/limit.rs
@@ -9,7 +9,7 @@
 use crate::request::{NewRequest, RequestRow, Verdict};
 use crate::table::account::Accounts;
 use crate::table::limit::{Bucket, REPORT_AFTER_USE};
-use crate::table::{Reach, Tables};
+use crate::table::{ReachableInstances, Tables};
 use crate::time::Time;
 
 /// Part of each limit that an instance uses before it knows how many others there are: a little more
@@ -28,7 +28,7 @@
         return Some(0.0);
     }
     let part = part_of_limits(t, now);
-    let small = t.is_small_site();
+    let small = t.is_single_group();
     let phase = phase(&t.settings.member.name);
     let known_others = t.known_peers.filter(|_| t.settings.await_peers);
     let Some(bucket) = &mut t.accounts.get_mut(account).bucket else {
@@ -77,7 +77,7 @@
 /// this instance or later. A word that was overtaken has smaller totals, and is made up for by the next.
 pub fn take_peer(t: &mut Tables, now: Time, news: &PeerUpdate) {
     let peer = t.peers.find(&news.name).map(|at| t.peers.get(at));
-    let Some(peer) = peer.filter(|p| p.heard > Time::ZERO) else {
+    let Some(peer) = peer.filter(|p| p.last_seen > Time::ZERO) else {
         return;
     };
     let same = peer.incarnation == news.incarnation;
@@ -117,7 +117,7 @@
         true
     });
     let rises = t.site_use.take(now, &others);
-    if t.is_small_site() {
+    if t.is_single_group() {
         // Each tells all the others of its own use.
         return;
     }
@@ -186,16 +186,16 @@
 /// Gives how many instances are heard, and how many are known of, this one among both.
 pub fn heard_of_known(t: &Tables, now: Time) -> (usize, usize) {
     let known = 1 + t.peers_known();
-    let heard = match t.reach.filter(|_| !t.is_small_site()) {
+    let heard = match t.reachable.filter(|_| !t.is_single_group()) {
         Some(reach) => reached(t, now, reach).min(known),
-        None => 1 + t.peers.iter().filter(|(_, p)| t.is_heard(p, now)).count(),
+        None => 1 + t.peers.iter().filter(|(_, p)| t.is_live(p, now)).count(),
     };
     (heard, known)
 }
 
 /// Gives how many instances leads hear, this one alone where no lead told lately.
-fn reached(t: &Tables, now: Time, reach: Reach) -> usize {
-    if reach.at + t.settings.peer_stale > now {
+fn reached(t: &Tables, now: Time, reach: ReachableInstances) -> usize {
+    if reach.at + t.settings.peer_stale_after > now {
         reach.count
     } else {
         1
--- a/crates/firdock-policy/src/system/news.rs
+++ b/crates/firdock-policy/src/system/news.rs
@@ -5,7 +5,9 @@
 use super::{end, fair, health, key, look, paced, rollout, suspect};
 use crate::action::Action;
 use crate::event::{BreakCause, DispatchUpdate, EndpointEvent};
-use crate::request::{Failure, Passed, Phase, Placing, Proof, RequestRow, Verdict};
+use crate::request::{
+    DeliveredPart, EndpointFailure, Phase, PlacementState, Proof, RequestRow, Verdict,
+};
 use crate::stats::WasteCause;
 use crate::table::Tables;
 use crate::time::Time;
@@ -97,9 +99,9 @@
         return;
     };
     // The endpoint had the request, so another one is a second try that counts for the site.
-    let most = t.most_retries();
-    if t.retries.allow(row.pool_key(), most) {
-        t.retries.spend(row.pool_key(), most);
+    let most = t.max_retry_credit();
+    if t.retry_budgets.allow(row.pool_key(), most) {
+        t.retry_budgets.spend(row.pool_key(), most);
     } else {
         end::give_up(t, now, id, Reason::NoEndpoint, out);
     }
@@ -138,14 +140,14 @@
     end::set_phase(t, id, Phase::Running(at), false);
     let row = t.requests.get_mut(id).filter(|_| head_sent);
     if let Some(row) = row.filter(|row| !row.head_sent()) {
-        row.passed = Passed::Head;
+        row.delivered_part = DeliveredPart::Head;
     }
 }
 
 /// Notes that the endpoint's answer that it failed can be passed on.
 fn failure_kept(t: &mut Tables, id: RequestId) {
     if let Some(row) = t.requests.get_mut(id) {
-        row.failure = Failure::Kept;
+        row.failure = EndpointFailure::Buffered;
     }
 }
 
@@ -159,7 +161,7 @@
 /// Notes that the answer can only go on where it began.
 fn unresumable(t: &mut Tables, id: RequestId) {
     if let Some(row) = t.requests.get_mut(id) {
-        row.passed = Passed::Unresumable;
+        row.delivered_part = DeliveredPart::Unresumable;
     }
 }
 
@@ -214,7 +216,7 @@
     let service = row.service;
     let first = row.first.unwrap_or(now);
     let fresh = output.saturating_sub(1);
-    if prompt > 0 && row.tried.len() == 1 && row.placing != Placing::Adopted {
+    if prompt > 0 && row.tried.len() == 1 && row.placement != PlacementState::Adopted {
         let took = now.saturating_sub(first);
         t.endpoints.get_mut(at).learn_tokens(fresh, took);
         paced::learn_tokens(t, now, at, fresh, took);
@@ -269,9 +271,9 @@
         return;
     }
     if goes_on {
-        let most = t.most_retries();
+        let most = t.max_retry_credit();
         if let Some(row) = t.requests.get(id) {
-            t.retries.spend(row.pool_key(), most);
+            t.retry_budgets.spend(row.pool_key(), most);
         }
         t.stats.retries += 1;
         if let Some(row) = t.requests.get_mut(id) {
@@ -310,9 +312,9 @@
     let resumable = t.settings.mechanisms.resume
         && t.endpoints.get(at).is_engine()
         && (!service.streamed || service.resumable)
-        && row.passed != Passed::Unresumable;
-    let most = t.most_retries();
-    let allowed = t.retries.allow(row.pool_key(), most);
+        && row.delivered_part != DeliveredPart::Unresumable;
+    let most = t.max_retry_credit();
+    let allowed = t.retry_budgets.allow(row.pool_key(), most);
     let attempts = service.attempts as usize;
     let more = attempts == 0 || row.runs < attempts;
     let spared = suspect::may_repeat(t, row);
--- a/crates/firdock-policy/src/system/place.rs
+++ b/crates/firdock-policy/src/system/place.rs
@@ -12,9 +12,9 @@
 use super::suspect::{self, Gate};
 use super::{coordinate, end, fair, key, rollout};
 use crate::action::{Action, Dispatch};
-use crate::request::{Failure, Phase, Proof, RequestRow};
+use crate::request::{EndpointFailure, Phase, Proof, RequestRow};
 use crate::table::Tables;
-use crate::table::endpoint::{Closed, EndpointRow, Health};
+use crate::table::endpoint::{EndpointRow, Health, UnavailableReason};
 use crate::time::Time;
 
 /// Lanes of a queue that are looked at before the queue counts as blocked.
@@ -221,15 +221,15 @@
 fn dispatch(t: &mut Tables, now: Time, id: RequestId, choice: Choice, out: &mut Vec<Action>) {
     charge(t, id, choice);
     fair::charge(t, now, id);
-    let most = t.most_retries();
+    let most = t.max_retry_credit();
     end::set_phase(t, id, Phase::Dispatching(choice.endpoint), false);
     let e = t.endpoints.get(choice.endpoint);
     let closed = t
         .requests
         .get(id)
-        .and_then(|r| e.open_to(&r.new.member, now).err());
+        .and_then(|r| e.check_available(&r.new.member, now).err());
     assert!(
-        closed.is_none_or(Closed::is_health),
+        closed.is_none_or(UnavailableReason::is_health),
         "endpoint {} is closed and got new work: {closed:?}",
         e.declared.name
     );
@@ -269,12 +269,12 @@
     row.work = choice.estimate.work;
     row.predicted = choice.estimate.first();
     row.resumed_from = row.delivered;
-    row.failure = Failure::None;
+    row.failure = EndpointFailure::None;
     row.proof = Proof::Whole;
     row.breaking = None;
     t.stats.dispatches += 1;
     t.dispatch_rates.note(row.pool_key(), row.rank);
-    t.retries.earn(row.pool_key(), &t.settings, most);
+    t.retry_budgets.earn(row.pool_key(), &t.settings, most);
     out.push(Action::Dispatch(Dispatch {
         id,
         endpoint: name,
--- a/crates/firdock-policy/src/system/place/choice.rs
+++ b/crates/firdock-policy/src/system/place/choice.rs
@@ -56,7 +56,7 @@
     let endpoints = t.services.get(row.service).endpoints.iter().copied();
     let (open, full): (Vec<usize>, Vec<usize>) = endpoints
         .filter(|e| may_take(t, now, row, *e))
-        .partition(|e| has_room(t, now, t.endpoints.get(*e)));
+        .partition(|e| has_capacity(t, now, t.endpoints.get(*e)));
     if let Some(tried) = rollout::trial(t, row, &open) {
         let estimate = estimate(t, now, row, tried);
         return Placement::On(Choice {
@@ -110,7 +110,7 @@
     let choices = endpoints.iter().map(|e| {
         let e_row = t.endpoints.get(*e);
         let mut estimate = cost::estimate(now, on, row, service, e_row, paced::pool_of(t, e_row));
-        estimate.score += cost::far_secs(on, zone, e_row);
+        estimate.score += cost::zone_penalty_secs(on, zone, e_row);
         Choice {
             endpoint: *e,
             estimate,
@@ -135,12 +135,12 @@
 /// Tells whether an endpoint may take the request at all.
 fn may_take(t: &Tables, now: Time, row: &RequestRow, at: usize) -> bool {
     let e = t.endpoints.get(at);
-    let open = e.open_to(&row.new.member, now).is_ok();
+    let open = e.check_available(&row.new.member, now).is_ok();
     let open = open && in_pool(row, e) && !row.tried.contains(&e.start_id);
     open && rollout::admits(t, row, at)
 }
 
-fn has_room(t: &Tables, now: Time, e: &EndpointRow) -> bool {
+fn has_capacity(t: &Tables, now: Time, e: &EndpointRow) -> bool {
     !t.settings.mechanisms.late_binding || (e.running < e.budget && prefill_fits(e, now))
 }
 
--- a/crates/firdock-policy/src/system/place/lane.rs
+++ b/crates/firdock-policy/src/system/place/lane.rs
@@ -6,7 +6,7 @@
 use crate::action::Action;
 use crate::request::RequestRow;
 use crate::table::Tables;
-use crate::table::endpoint::{Closed, EndpointRow};
+use crate::table::endpoint::{EndpointRow, UnavailableReason};
 use crate::time::Time;
 
 /// Requests of a lane that are looked at behind one that its instance may not send.
@@ -64,7 +64,11 @@
     let member = &row.new.member;
     let backs_off = |e: &EndpointRow| {
         let untried = !row.tried.contains(&e.start_id);
-        untried && matches!(e.open_to(member, now), Err(Closed::BackingOff(_)))
+        untried
+            && matches!(
+                e.check_available(member, now),
+                Err(UnavailableReason::BackingOff(_))
+            )
     };
     t.backoffs_until > now && takers(t, row).any(backs_off)
 }
--- a/crates/firdock-policy/src/system/rollout/evidence.rs
+++ b/crates/firdock-policy/src/system/rollout/evidence.rs
@@ -6,7 +6,7 @@
 
 use super::versions::is_new;
 use crate::event::GroupEvidence;
-use crate::request::{Failure, RequestRow};
+use crate::request::{EndpointFailure, RequestRow};
 use crate::rollout::{Evidence, RolloutReport, Tally};
 use crate::table::Tables;
 use crate::time::Time;
@@ -49,7 +49,7 @@
 /// Notes that an endpoint answered that it failed; how the dispatch ends is told next.
 pub fn failed(t: &mut Tables, id: RequestId) {
     if let Some(row) = t.requests.get_mut(id) {
-        row.failure = Failure::Told;
+        row.failure = EndpointFailure::Reported;
     }
 }
 
@@ -73,7 +73,7 @@
         return;
     }
     let tally = rollout.own.tally(&row.new.service, &endpoint);
-    if row.failure == Failure::None {
+    if row.failure == EndpointFailure::None {
         add(tally);
     } else {
         tally.failed += 1;
@@ -90,7 +90,7 @@
 
 /// Takes what a peer saw; that of other groups comes from their leads.
 pub fn hear_peer(t: &mut Tables, name: &str, zone: &str, start: Uuid, seen: Vec<Evidence>) {
-    let near = zone == t.settings.zone || t.is_small_site();
+    let near = zone == t.settings.zone || t.is_single_group();
     if !near || t.settings.coordinates {
         return;
     }
@@ -104,7 +104,7 @@
 
 /// Takes what the lead of another group tells of it.
 pub fn hear_group(t: &mut Tables, word: GroupEvidence) {
-    if word.zone == t.settings.zone || t.is_small_site() {
+    if word.zone == t.settings.zone || t.is_single_group() {
         return;
     }
     for evidence in word.seen {
--- a/crates/firdock-policy/src/system/share.rs
+++ b/crates/firdock-policy/src/system/share.rs
@@ -40,7 +40,7 @@
     let own = |e: &EndpointRow| !(t.coordinated && e.is_engine());
     let shared: Vec<(usize, &EndpointRow)> = t.endpoints.iter().filter(|(_, e)| own(e)).collect();
     let on = t.settings.mechanisms;
-    let budgets = if t.is_small_site() {
+    let budgets = if t.is_single_group() {
         exact_budgets(&Sharers::new(t, now), on, &shared)
     } else {
         drawn_budgets(&Crowd::new(t, now), on, &shared)
@@ -140,7 +140,7 @@
         let peers = t
             .peers
             .iter()
-            .filter(|(_, p)| t.is_heard(p, now) && !p.draining)
+            .filter(|(_, p)| t.is_live(p, now) && !p.draining)
             .map(|(_, p)| Sharer {
                 name: p.name.clone(),
                 zone: p.zone.clone(),
--- a/crates/firdock-policy/src/system/share/crowd.rs
+++ b/crates/firdock-policy/src/system/share/crowd.rs
@@ -43,7 +43,7 @@
             unheard: 0,
             by_demand: t.settings.mechanisms.demand_shares,
         };
-        let heard = t.peers.iter().filter(|(_, p)| t.is_heard(p, now));
+        let heard = t.peers.iter().filter(|(_, p)| t.is_live(p, now));
         for (_, peer) in heard.filter(|(_, p)| !p.draining) {
             crowd.count += 1;
             *crowd.zones.entry(&peer.zone).or_default() += 1;
--- a/crates/firdock-policy/src/system/share/group.rs
+++ b/crates/firdock-policy/src/system/share/group.rs
@@ -22,7 +22,7 @@
 pub fn set_budgets(t: &mut Tables, now: Time) {
     let zones = zones(t, now);
     let own = zones.keys().position(|zone| *zone == t.settings.zone);
-    let shared = own.filter(|_| !t.is_small_site());
+    let shared = own.filter(|_| !t.is_single_group());
     let budgets: Vec<(usize, u32)> = match shared {
         Some(own) => shared_budgets(t, &zones, own),
         None => t
@@ -46,7 +46,7 @@
     let heard = t
         .peers
         .iter()
-        .filter(|(_, p)| t.is_heard(p, now) && !p.draining);
+        .filter(|(_, p)| t.is_live(p, now) && !p.draining);
     for (_, peer) in heard {
         let zone = zones.entry(peer.zone.clone()).or_default();
         for (pool, rate) in &peer.demand {
@@ -54,7 +54,7 @@
         }
     }
     // What a lead tells of its whole group is newer than what its instances tell far away.
-    for (zone, demand) in t.groups.fresh(now, t.settings.peer_stale) {
+    for (zone, demand) in t.groups.fresh(now, t.settings.peer_stale_after) {
         if *zone != t.settings.zone {
             zones.insert(zone.clone(), demand.clone());
         }
--- a/crates/firdock-policy/src/system/tries.rs
+++ b/crates/firdock-policy/src/system/tries.rs
@@ -21,15 +21,18 @@
 /// Notes how long before its arrival a request was first tried.
 #[must_use]
 pub fn with_first_try(service: &mut ServiceRow, now: Time, row: RequestRow) -> RequestRow {
-    let tried_for = tried_for(service, now, &row.new);
-    RequestRow { tried_for, ..row }
+    let since_first_attempt = since_first_attempt(service, now, &row.new);
+    RequestRow {
+        since_first_attempt,
+        ..row
+    }
 }
 
-fn tried_for(service: &mut ServiceRow, now: Time, new: &NewRequest) -> Duration {
+fn since_first_attempt(service: &mut ServiceRow, now: Time, new: &NewRequest) -> Duration {
     if new.origin != Origin::Caller {
         return Duration::ZERO;
     }
-    service.since_first(new.deadline.map(|by| by.saturating_sub(now)))
+    service.since_first_attempt(new.deadline.map(|by| by.saturating_sub(now)))
 }
 
 /// Counts a try that ended.
@@ -39,25 +42,25 @@
     }
     let tier = &t.services.get(row.service).tier;
     let begun = row.first.unwrap_or(now).saturating_sub(row.arrived);
-    let in_time = row.tried_for + begun <= tier.target();
+    let in_time = row.since_first_attempt + begun <= tier.target();
     let end = match outcome {
         Outcome::Answered if in_time => AttemptOutcome::InTime,
         Outcome::Answered => AttemptOutcome::Late,
         Outcome::NotRun => AttemptOutcome::NotRun,
         Outcome::Unknown => AttemptOutcome::Unknown,
     };
-    add(t, row.service, row.tried_for, end);
+    add(t, row.service, row.since_first_attempt, end);
 }
 
 /// Counts a try that is refused before it enters the tables.
 pub fn count_turned_away(t: &mut Tables, now: Time, service: usize, new: &NewRequest) {
-    let tried_for = tried_for(t.services.get_mut(service), now, new);
-    add(t, service, tried_for, AttemptOutcome::NotRun);
+    let since_first_attempt = since_first_attempt(t.services.get_mut(service), now, new);
+    add(t, service, since_first_attempt, AttemptOutcome::NotRun);
 }
 
-fn add(t: &mut Tables, service: usize, tried_for: Duration, end: AttemptOutcome) {
+fn add(t: &mut Tables, service: usize, since_first_attempt: Duration, end: AttemptOutcome) {
     let tier = t.services.get(service).tier.name.clone();
-    let returned = tried_for > SAME_TRY;
+    let returned = since_first_attempt > SAME_TRY;
     let key = AttemptKey {
         tier,
         returned,
--- a/crates/firdock-policy/src/table.rs
+++ b/crates/firdock-policy/src/table.rs
@@ -34,7 +34,7 @@
 use crate::usage::MergedCounts;
 
 /// Instances up to which all of them are one group; of more, each availability zone is one.
-pub const SMALL_SITE: usize = 16;
+pub const SINGLE_GROUP_LIMIT: usize = 16;
 /// Peers up to which heartbeats come at their full pace (see `docs/design/peers.md`).
 const PEERS_AT_PACE: usize = 16;
 
@@ -46,7 +46,7 @@
 
 /// How many instances the leads of all groups hear.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Reach {
+pub struct ReachableInstances {
     /// When this instance was told.
     pub at: Time,
     /// Instances, this one among them.
@@ -95,7 +95,7 @@
     /// When the rates were last taken.
     pub rates_taken: Time,
     /// Second tries that the budgets still allow.
-    pub retries: retry::Retries,
+    pub retry_budgets: retry::RetryBudgets,
     /// Other instances that are known of, whether heard from or not; `None` before anyone told.
     pub known_peers: Option<usize>,
     /// When the last time ends in which an endpoint wants no request of some instance.
@@ -107,7 +107,7 @@
     /// What accounts may have where room is short.
     pub levels: share::Levels,
     /// How many instances the leads of all groups heard last.
-    pub reach: Option<Reach>,
+    pub reachable: Option<ReachableInstances>,
     /// When the configuration in force was last known to be the newest.
     pub fresh_at: Option<Time>,
     /// Whether a coordinator places this instance's requests on engines.
@@ -131,36 +131,37 @@
 
     /// Tells whether instances are so few that all of them are one group.
     #[must_use]
-    pub fn is_small_site(&self) -> bool {
-        self.known_peers.unwrap_or(self.peers.len()) < SMALL_SITE
+    pub fn is_single_group(&self) -> bool {
+        self.known_peers.unwrap_or(self.peers.len()) < SINGLE_GROUP_LIMIT
     }
 
     /// Gives the most second tries that the budget of one pool saves up.
     #[must_use]
-    pub fn most_retries(&self) -> f64 {
-        retry::Retries::most(&self.settings, self.peers_known())
+    pub fn max_retry_credit(&self) -> f64 {
+        retry::RetryBudgets::most(&self.settings, self.peers_known())
     }
 
     /// Gives the age at which a peer's news is stale: where peers are many, heartbeats are rarer.
     #[must_use]
-    pub fn peer_stale(&self) -> Duration {
+    pub fn peer_stale_after(&self) -> Duration {
         let times = self.peers_known() / PEERS_AT_PACE;
-        self.settings.peer_stale * u32::try_from(times).unwrap_or(u32::MAX).max(1)
+        self.settings.peer_stale_after * u32::try_from(times).unwrap_or(u32::MAX).max(1)
     }
 
     /// Tells whether a peer's news is recent; where instances are many, those of other availability
     /// zones tell seldom, since leads of groups tell for them.
     #[must_use]
-    pub fn is_heard(&self, peer: &peer::PeerRow, now: Time) -> bool {
-        let near = peer.zone.is_empty() || peer.zone == self.settings.zone || self.is_small_site();
+    pub fn is_live(&self, peer: &peer::PeerRow, now: Time) -> bool {
+        let near =
+            peer.zone.is_empty() || peer.zone == self.settings.zone || self.is_single_group();
         let stale = if near {
-            self.peer_stale()
+            self.peer_stale_after()
         } else {
             let times = self.peers_known() / FAR_PEERS_AT_PACE;
             let times = u32::try_from(times).unwrap_or(u32::MAX);
-            self.settings.peer_stale * times.clamp(1, MAX_FAR_TIMES)
+            self.settings.peer_stale_after * times.clamp(1, MAX_FAR_TIMES)
         };
-        peer.heard > Time::ZERO && peer.heard + stale > now
+        peer.last_seen > Time::ZERO && peer.last_seen + stale > now
     }
 
     /// Gives until when requests with a key may be sent by the configuration in force.
@@ -194,13 +195,13 @@
             dispatch_rates: dispatch_rates::DispatchRates::default(),
             pool_latencies: pool_latency::PoolLatencies::default(),
             rates_taken: Time::ZERO,
-            retries: retry::Retries::new(),
+            retry_budgets: retry::RetryBudgets::new(),
             known_peers: None,
             backoffs_until: Time::ZERO,
             groups: group::Groups::default(),
             reported_work: share::ReportedWork::default(),
             levels: share::Levels::default(),
-            reach: None,
+            reachable: None,
             fresh_at: None,
             coordinated: false,
             rollouts: rollout::Rollouts::default(),
--- a/crates/firdock-policy/src/table/endpoint.rs
+++ b/crates/firdock-policy/src/table/endpoint.rs
@@ -10,7 +10,7 @@
 use super::prefix_cache::PrefixCache;
 use super::reported_pace::ReportedPace;
 use super::rows::Rows;
-pub use super::unavailable::{Closed, LeavingSource};
+pub use super::unavailable::{LeavingSource, UnavailableReason};
 use crate::time::Time;
 
 /// Table of endpoints.
@@ -114,7 +114,7 @@
     /// Whether the instance list shows it as leaving.
     pub listed_leaving: bool,
     /// Whether the endpoint itself said that it is leaving.
-    pub told_leaving: bool,
+    pub reported_leaving: bool,
     /// Whether a peer said that it is leaving, and until when that counts.
     pub peer_leaving: Option<Time>,
     /// Health.
@@ -177,7 +177,7 @@
             present: true,
             absent_since: None,
             listed_leaving: false,
-            told_leaving: false,
+            reported_leaving: false,
             peer_leaving: None,
             health: Health::Well,
             failures: 0,
@@ -242,7 +242,7 @@
                 self.notices.leaving_since().is_some(),
                 LeavingSource::Answer,
             ),
-            (self.told_leaving, LeavingSource::Report),
+            (self.reported_leaving, LeavingSource::Report),
             (self.declared.leaving, LeavingSource::Declared),
             (self.listed_leaving, LeavingSource::List),
             (by_peer, LeavingSource::Peer),
@@ -275,19 +275,19 @@
     /// # Errors
     ///
     /// Fails with why it may not; what the endpoint itself said goes before what was seen of it.
-    pub fn open_to(&self, member: &str, now: Time) -> Result<(), Closed> {
+    pub fn check_available(&self, member: &str, now: Time) -> Result<(), UnavailableReason> {
         if !self.present {
-            return Err(Closed::Absent);
+            return Err(UnavailableReason::Absent);
         }
         if self.leaving(now) {
-            return Err(Closed::Leaving);
+            return Err(UnavailableReason::Leaving);
         }
         if let Some(backoff) = self.notices.backoff(member, now) {
-            return Err(Closed::BackingOff(backoff.until));
+            return Err(UnavailableReason::BackingOff(backoff.until));
         }
         match self.health {
-            Health::Ejected(until) if until > now => Err(Closed::Ejected),
-            Health::Probing if self.running > 0 => Err(Closed::Probing),
+            Health::Ejected(until) if until > now => Err(UnavailableReason::Ejected),
+            Health::Probing if self.running > 0 => Err(UnavailableReason::Probing),
             _ => Ok(()),
         }
     }
@@ -295,7 +295,7 @@
     /// Tells whether new work of this instance may go to it at all.
     #[must_use]
     pub fn usable(&self, now: Time) -> bool {
-        self.open_to("", now).is_ok()
+        self.check_available("", now).is_ok()
     }
 
     /// Tells whether the row goes on, though the configuration lost it, for what the endpoint said.
--- a/crates/firdock-policy/src/table/peer.rs
+++ b/crates/firdock-policy/src/table/peer.rs
@@ -25,7 +25,7 @@
 
     /// Tells whether a peer is known or may be added.
     #[must_use]
-    pub fn has_room(&self, name: &str) -> bool {
+    pub fn has_capacity(&self, name: &str) -> bool {
         self.len() < MAX_PEERS || self.find(name).is_some()
     }
 }
@@ -38,7 +38,7 @@
     /// Availability zone.
     pub zone: ZoneId,
     /// When its last news came.
-    pub heard: Time,
+    pub last_seen: Time,
     /// Requests that it holds, by rank.
     pub held: Vec<u32>,
     /// Its demand by service name.
@@ -52,7 +52,7 @@
     /// Whether that holds all accounts that it told of since that start.
     pub followed: bool,
     /// Requests of this instance that are with it.
-    pub handed: u32,
+    pub handed_over: u32,
 }
 
 impl PeerRow {
@@ -62,14 +62,14 @@
         Self {
             name: name.to_owned(),
             zone: ZoneId::new(),
-            heard: Time::ZERO,
+            last_seen: Time::ZERO,
             held: Vec::new(),
             demand: BTreeMap::new(),
             draining: false,
             incarnation: Uuid::nil(),
             used: BTreeMap::new(),
             followed: true,
-            handed: 0,
+            handed_over: 0,
         }
     }
 
@@ -77,7 +77,7 @@
     /// leads tell the sums of all, and a row for each instance and account would grow with both.
     pub fn update(&mut self, now: Time, news: PeerUpdate, follows: bool) {
         self.zone = news.zone;
-        self.heard = now;
+        self.last_seen = now;
         self.held = news.held;
         self.draining = news.draining;
         if self.incarnation != news.incarnation {
--- a/crates/firdock-policy/src/table/retry.rs
+++ b/crates/firdock-policy/src/table/retry.rs
@@ -21,11 +21,11 @@
 /// Over any time, an instance's second tries stay below its first tries times the ratio, plus its
 /// part of the slack; the sum over all instances then keeps the bound of the whole site.
 #[derive(Debug, Default)]
-pub struct Retries {
+pub struct RetryBudgets {
     credits: HashMap<PoolId, f64>,
 }
 
-impl Retries {
+impl RetryBudgets {
     /// Makes full budgets.
     #[must_use]
     pub fn new() -> Self {
--- a/crates/firdock-policy/src/table/service.rs
+++ b/crates/firdock-policy/src/table/service.rs
@@ -74,7 +74,7 @@
     ///
     /// Callers do not say that they come back. They leave each try what is left of their time, so that
     /// the longest that is seen is that of a first try.
-    pub fn since_first(&mut self, left: Option<Duration>) -> Duration {
+    pub fn since_first_attempt(&mut self, left: Option<Duration>) -> Duration {
         let Some(left) = left else {
             return Duration::ZERO;
         };
--- a/crates/firdock-policy/src/table/suspects.rs
+++ b/crates/firdock-policy/src/table/suspects.rs
@@ -315,7 +315,7 @@
 
     /// Gives what is new and was heard from others: the leads of groups tell it on.
     #[must_use]
-    pub fn heard_told(&self, now: Time) -> Vec<SuspectReport> {
+    pub fn reports_to_forward(&self, now: Time) -> Vec<SuspectReport> {
         let is_new = |s: &&Suspect| s.changed + NEW_FOR > now && s.seen != Some(s.changed);
         let heard = foremost(self.rows.values().filter(is_new).collect());
         heard.into_iter().map(|s| s.told(now)).collect()
@@ -323,7 +323,7 @@
 
     /// Gives what an instance is told that was not heard before: all that counts, quarantine first.
     #[must_use]
-    pub fn all_told(&self, now: Time, most: usize) -> Vec<SuspectReport> {
+    pub fn all_reports(&self, now: Time, most: usize) -> Vec<SuspectReport> {
         let mut rows: Vec<&Suspect> = self.rows.values().filter(|s| !s.is_cleared()).collect();
         rows.sort_by_key(|s| s.quarantined_since().is_none());
         rows.into_iter().take(most).map(|s| s.told(now)).collect()
--- a/crates/firdock-policy/src/table/unavailable.rs
+++ b/crates/firdock-policy/src/table/unavailable.rs
@@ -4,7 +4,7 @@
 
 /// Why an endpoint may not get work of an instance now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Closed {
+pub enum UnavailableReason {
     /// The configuration in force has it no more.
     Absent,
     /// It leaves.
@@ -17,7 +17,7 @@
     Probing,
 }
 
-impl Closed {
+impl UnavailableReason {
     /// Tells whether the endpoint's health alone closes it, of which a coordinator knows more than the
     /// instances that send.
     #[must_use]
--- a/crates/firdock-policy/tests/policy/suspects/words.rs
+++ b/crates/firdock-policy/tests/policy/suspects/words.rs
@@ -141,7 +141,7 @@
     }
     let suspects = &edge.scheduler.tables().suspects;
     assert!(suspects.told(edge.now, 0).len() <= 2, "by turns alone");
-    assert_eq!(suspects.heard_told(edge.now).len(), 8);
+    assert_eq!(suspects.reports_to_forward(edge.now).len(), 8);
 }
 
 /// An operator's word lets a request go, also where others tell of what ended before only later.
