--- a/crates/firdock-node/src/driver.rs
+++ b/crates/firdock-node/src/driver.rs
@@ -213,7 +213,7 @@
             Event::Endpoint(news) => self.note_news(news),
             Event::CallerLeft(id) => self.note_caller_left(*id),
             Event::Looked(look) => self.decisions.looked(self.parts.clock.now(), look),
-            Event::Noticed(told) => self.decisions.noticed(self.parts.clock.now(), told),
+            Event::NoticeReported(told) => self.decisions.noticed(self.parts.clock.now(), told),
             _ => {}
         }
         self.apply(event);
@@ -236,13 +236,13 @@
             return;
         };
         let now = self.parts.clock.now();
-        if let DispatchUpdate::Ended { .. } | DispatchUpdate::Broke { .. } = event.news {
+        if let DispatchUpdate::Ended { .. } | DispatchUpdate::Broke { .. } = event.update {
             let end = live.exchange.delivered().end;
             if let Some(end) = end {
                 self.parts.metrics.count_answer_end(end);
             }
         }
-        let failed = match event.news {
+        let failed = match event.update {
             DispatchUpdate::Ended { .. } => {
                 self.parts.metrics.observe_answer(now, row);
                 self.decisions
--- a/crates/firdock-node/src/driver/placement.rs
+++ b/crates/firdock-node/src/driver/placement.rs
@@ -29,8 +29,8 @@
         match event {
             Event::Endpoint(news) => placement.note(t, news),
             Event::CallerLeft(id) => placement.note_left(t, *id),
-            Event::Paced(told) => placement.note_pace(t, told),
-            Event::Noticed(told) => placement.note_notice(told),
+            Event::PaceReported(told) => placement.note_pace(t, told),
+            Event::NoticeReported(told) => placement.note_notice(told),
             _ => placement.observe(self.parts.clock.now(), event),
         }
     }
--- a/crates/firdock-node/src/driver/send.rs
+++ b/crates/firdock-node/src/driver/send.rs
@@ -89,7 +89,7 @@
         let event = EndpointEvent {
             id: dispatch.id,
             dispatch: dispatch.dispatch,
-            news,
+            update: news,
         };
         self.send(Event::Endpoint(event));
     }
--- a/crates/firdock-node/src/endpoint/run.rs
+++ b/crates/firdock-node/src/endpoint/run.rs
@@ -96,7 +96,11 @@
     /// Tells the scheduler something about this dispatch.
     pub async fn tell(&self, news: DispatchUpdate) {
         let (id, dispatch) = (self.dispatch.id, self.dispatch.dispatch);
-        let event = Event::Endpoint(EndpointEvent { id, dispatch, news });
+        let event = Event::Endpoint(EndpointEvent {
+            id,
+            dispatch,
+            update: news,
+        });
         let _ = self.inputs.send(Input::Event(event)).await;
     }
 
@@ -107,7 +111,10 @@
             pace,
             read: self.clock.now(),
         };
-        let _ = self.inputs.send(Input::Event(Event::Paced(told))).await;
+        let _ = self
+            .inputs
+            .send(Input::Event(Event::PaceReported(told)))
+            .await;
     }
 
     /// Tells the scheduler what the head of an answer said of the endpoint, if it said anything.
@@ -128,7 +135,7 @@
             read: self.clock.now(),
         };
         let inputs = self.inputs.clone();
-        let telling = async move { inputs.send(Input::Event(Event::Noticed(told))).await };
+        let telling = async move { inputs.send(Input::Event(Event::NoticeReported(told))).await };
         let _ = tokio::spawn(telling).await;
     }
 
--- a/crates/firdock-node/src/exchange/room.rs
+++ b/crates/firdock-node/src/exchange/room.rs
@@ -197,11 +197,11 @@
 
     pub(super) fn take(&self, bytes: usize) {
         let mut books = self.room.lock();
-        books.buffers.take(self.room.clock.now(), self.id, bytes);
+        books.buffers.consume(self.room.clock.now(), self.id, bytes);
     }
 
     pub(super) fn note_whole(&self) {
-        self.room.lock().buffers.note_whole(self.id);
+        self.room.lock().buffers.mark_complete(self.id);
     }
 
     pub(super) fn close(&self) {
--- a/crates/firdock-node/src/peer/beacon.rs
+++ b/crates/firdock-node/src/peer/beacon.rs
@@ -321,7 +321,7 @@
             site_known: lead.site_known as u32,
             group_demand: write_demand(&lead.group_demand),
             power: self.book.power(),
-            rollouts: write_words(&news.rollouts.words),
+            rollouts: write_words(&news.rollouts.statuses),
             rollout_seen: write_seen(&news.rollouts.own),
             group_rollout_seen: write_seen(&lead.group_seen),
             group_work: write_work(&lead.group_work),
--- a/crates/firdock-node/src/peer/beacon/take.rs
+++ b/crates/firdock-node/src/peer/beacon/take.rs
@@ -173,7 +173,7 @@
                 counts: read_uses(told),
             };
             if near {
-                self.tell(Event::SiteUsed(counts)).await;
+                self.tell(Event::SiteUseReported(counts)).await;
             } else {
                 self.sums().add_group_report(now, &news.zone, &counts);
             }
--- a/crates/firdock-node/src/peer/beacon/usage.rs
+++ b/crates/firdock-node/src/peer/beacon/usage.rs
@@ -45,13 +45,13 @@
     /// that its counts are known when the lead falls.
     pub(super) async fn count_use(&self, tick: usize, now: Time) -> (ToldUse, ToldUse) {
         if self.book.is_small() || !self.book.tells(now) {
-            self.sums().end();
+            self.sums().reset();
             return Default::default();
         }
         let me = &self.member.name;
         let (group, site) = {
             let mut sums = self.sums();
-            sums.begin(Uuid::now_v7);
+            sums.start(Uuid::now_v7);
             sums.add_member_report(now, &self.own_use());
             sums.sweep(now);
             if !self.book.leads(now) && !tick.is_multiple_of(TELL_EVERY) {
@@ -60,7 +60,7 @@
             (sums.report_for_leads(me), sums.report_for_group(me))
         };
         if let Some(counts) = site.clone() {
-            self.tell(Event::SiteUsed(counts)).await;
+            self.tell(Event::SiteUseReported(counts)).await;
         }
         let for_group = site.map_or(ToldUse::Nothing, ToldUse::Site);
         let for_leads = group.map_or(ToldUse::Nothing, ToldUse::Group);
--- a/crates/firdock-node/src/peer/heartbeat.rs
+++ b/crates/firdock-node/src/peer/heartbeat.rs
@@ -95,7 +95,7 @@
             used: used_limits(t, now),
             rollouts: told_rollouts(t, now),
             work: Vec::new(),
-            suspects: t.suspects.told(now, turn_at(now)),
+            suspects: t.suspects.reports(now, turn_at(now)),
             heard_suspects: t.suspects.reports_to_forward(now),
             taken: now,
             all_suspects: t.suspects.all_reports(now, MAX_SUSPECTS),
@@ -141,7 +141,7 @@
 
     /// Gives how far roll-outs are, by their orders.
     pub(super) fn stages(&self) -> Vec<(Offset, Stage)> {
-        let words = self.rollouts.words.iter();
+        let words = self.rollouts.statuses.iter();
         words.map(|w| (w.order, w.stage)).collect()
     }
 
--- a/crates/firdock-node/src/peer/rollouts.rs
+++ b/crates/firdock-node/src/peer/rollouts.rs
@@ -62,7 +62,7 @@
         endpoint: endpoint.clone(),
         failed: tally.failed,
         lost: tally.lost,
-        bands: tally.bands.clone(),
+        bands: tally.bins.clone(),
     })
     .collect()
 }
@@ -78,7 +78,7 @@
             let tally = Tally {
                 failed: told.failed,
                 lost: told.lost,
-                bands: told.bands.into_iter().take(MAX_BANDS).collect(),
+                bins: told.bands.into_iter().take(MAX_BANDS).collect(),
             };
             evidence
                 .tallies
--- a/crates/firdock-node/src/placement/coordinator.rs
+++ b/crates/firdock-node/src/placement/coordinator.rs
@@ -138,7 +138,7 @@
         for row in own.rollouts.rows.values() {
             let known = self.scheduler.tables().rollouts.of(&row.declared.pool);
             if known.is_some_and(|k| k.stage < row.stage || !same_ratio(k, row)) {
-                self.step(now, Event::Rollout(row.word(now)));
+                self.step(now, Event::Rollout(row.status(now)));
             }
         }
     }
@@ -146,8 +146,8 @@
     fn follow_suspects(&mut self, now: Time, own: &Tables) {
         let revision = own.suspects.revision();
         if std::mem::replace(&mut self.suspected, revision) != revision {
-            let told = own.suspects.iter().map(|s| s.told(now)).collect();
-            self.step(now, Event::Suspected(told));
+            let told = own.suspects.iter().map(|s| s.report(now)).collect();
+            self.step(now, Event::SuspectsReported(told));
         }
     }
 
--- a/crates/firdock-node/src/placement/coordinator/take.rs
+++ b/crates/firdock-node/src/placement/coordinator/take.rs
@@ -43,7 +43,7 @@
         let event = EndpointEvent {
             id: news.id,
             dispatch,
-            news: told,
+            update: told,
         };
         self.step(now, Event::Endpoint(event));
         self.forget_if_ended(news.id);
@@ -56,7 +56,7 @@
             pace: paced.pace,
             read: now.saturating_sub(paced.age),
         };
-        self.step(now, Event::Paced(told));
+        self.step(now, Event::PaceReported(told));
     }
 
     /// Takes what an engine said of itself to a member, which alone may not send there now.
@@ -67,7 +67,7 @@
             notice: noticed.notice,
             read: now,
         };
-        self.step(now, Event::Noticed(told));
+        self.step(now, Event::NoticeReported(told));
     }
 
     /// Takes a request that runs and was placed by another coordinator, or by the member itself.
--- a/crates/firdock-node/src/placement/member.rs
+++ b/crates/firdock-node/src/placement/member.rs
@@ -117,7 +117,7 @@
         let Some(row) = row.filter(|r| engine_of(t, r).is_some()) else {
             return;
         };
-        if let Some(course) = course(row, event.news) {
+        if let Some(course) = course(row, event.update) {
             self.tell(event.id, event.dispatch, course);
         }
     }
--- a/crates/firdock-node/src/source.rs
+++ b/crates/firdock-node/src/source.rs
@@ -241,7 +241,7 @@
     ///
     /// Fails if the instance was stopped.
     pub async fn quarantined(&self, told: Vec<SuspectReport>) -> Result<(), Stopped> {
-        self.send(Event::Suspected(told)).await
+        self.send(Event::SuspectsReported(told)).await
     }
 
     /// Tells that an operator lets a request go again, for all that ended until a Unix time.
--- a/crates/firdock-node/src/telemetry/decisions.rs
+++ b/crates/firdock-node/src/telemetry/decisions.rs
@@ -333,12 +333,12 @@
 /// Gives the pace that an endpoint told last, in hundredths of the usual time.
 fn pace_told(e: &EndpointRow) -> Option<u64> {
     e.reported_pace
-        .newest()
+        .latest()
         .map(|(pace, _)| (100.0 * pace).round() as u64)
 }
 
 /// Gives how long ago an endpoint told its pace, in milliseconds.
 fn pace_age(now: Time, e: &EndpointRow) -> Option<u64> {
-    let (_, read) = e.reported_pace.newest()?;
+    let (_, read) = e.reported_pace.latest()?;
     Some(millis(now.saturating_sub(read)))
 }
--- a/crates/firdock-node/tests/node/placement.rs
+++ b/crates/firdock-node/tests/node/placement.rs
@@ -143,7 +143,7 @@
     // A word that took longer is older than what another member told before.
     c.take(now, told("b", vec![paced(750, 90)]), None);
     let row = c.endpoint("engine").expect("the engine is declared");
-    assert_eq!(row.reported_pace.newest(), Some((3.0, millis(980))));
+    assert_eq!(row.reported_pace.latest(), Some((3.0, millis(980))));
     c.check_invariants(now);
 }
 
--- a/crates/firdock-node/tests/node/suspects.rs
+++ b/crates/firdock-node/tests/node/suspects.rs
@@ -31,7 +31,7 @@
 fn news(suspects: Vec<SuspectReport>) -> SelfNews {
     let settings = PolicySettings::new(&Settings::default(), Uuid::nil());
     let mut scheduler = Scheduler::new(settings);
-    scheduler.step(NOW, Event::Suspected(suspects), &mut Vec::new());
+    scheduler.step(NOW, Event::SuspectsReported(suspects), &mut Vec::new());
     SelfNews::new(scheduler.tables(), NOW)
 }
 
--- a/crates/firdock-policy/benches/decision.rs
+++ b/crates/firdock-policy/benches/decision.rs
@@ -98,7 +98,7 @@
         let event = EndpointEvent {
             id,
             dispatch: 1,
-            news,
+            update: news,
         };
         s.step(now(n), Event::Endpoint(event), &mut out);
     }
@@ -176,7 +176,7 @@
                 let event = EndpointEvent {
                     id,
                     dispatch: 1,
-                    news,
+                    update: news,
                 };
                 s.step(now(n), Event::Endpoint(event), &mut out);
                 black_box(out);
--- a/crates/firdock-policy/src/buffers.rs
+++ b/crates/firdock-policy/src/buffers.rs
@@ -103,7 +103,7 @@
     }
 
     /// Notes that a caller took bytes that were held for it.
-    pub fn take(&mut self, now: Time, id: BufferId, bytes: usize) {
+    pub fn consume(&mut self, now: Time, id: BufferId, bytes: usize) {
         let Some(row) = self.rows.get_mut(&id) else {
             return;
         };
@@ -114,7 +114,7 @@
     }
 
     /// Notes that the endpoint's answer is complete.
-    pub fn note_whole(&mut self, id: BufferId) {
+    pub fn mark_complete(&mut self, id: BufferId) {
         if let Some(row) = self.rows.get_mut(&id) {
             row.whole = true;
         }
--- a/crates/firdock-policy/src/cost.rs
+++ b/crates/firdock-policy/src/cost.rs
@@ -205,7 +205,7 @@
     if !mechanisms.affinity {
         return prompt;
     }
-    let blocks = e.cache.matched(now, &row.new.blocks) as u32;
+    let blocks = e.cache.matched_blocks(now, &row.new.blocks) as u32;
     prompt.saturating_sub(blocks * BLOCK_TOKENS).max(1)
 }
 
--- a/crates/firdock-policy/src/cost/reported_pace.rs
+++ b/crates/firdock-policy/src/cost/reported_pace.rs
@@ -37,14 +37,16 @@
     let work = e.waiting_tokens(now) + f64::from(uncached);
     let pace = |secs: f64| {
         e.reported_pace
-            .over(now, secs, pool)
-            .unwrap_or(pool.slowest())
+            .mean_over(now, secs, pool)
+            .unwrap_or(pool.slowest_pace())
     };
     let usual = e
         .reported_pace
-        .own()
-        .map_or(pool.slowest(), |own| own * pool.slow_phases.mean());
-    let first_secs = pool.first_secs(work, pace(pool.first_secs(work, usual)));
+        .baseline()
+        .map_or(pool.slowest_pace(), |own| {
+            own * pool.slow_phases.mean_factor()
+        });
+    let first_secs = pool.first_token_secs(work, pace(pool.first_token_secs(work, usual)));
     let output = expected_output(row, service);
     let token = pool.token_secs() * crowd(e);
     let stream_secs = output * token * pace(first_secs + output * token * usual);
@@ -54,7 +56,7 @@
     let middle = service.output_log.exp().min(output) * token * usual;
     let chance = pool
         .slow_phases
-        .chance(e.reported_pace.slow_now(now, pool), middle);
+        .slow_probability_within(e.reported_pace.slow_probability(now, pool), middle);
     let late = chance * slow_pause(service, e, pool, token);
     let speed = usual.recip().clamp(SPEEDS.0, SPEEDS.1);
     let lateness_cost = RISK_WEIGHT * risk + GAP_SECS * late + OVERRUN_WEIGHT * over;
@@ -78,15 +80,15 @@
     let Some(gap) = service.declared.gap() else {
         return 0.0;
     };
-    let own = e.reported_pace.own().unwrap_or(pool.slowest());
+    let own = e.reported_pace.baseline().unwrap_or(pool.slowest_pace());
     let event = f64::from(e.declared.event_tokens) * token * own;
-    let part = event * pool.slow_phases.ratio() / gap.as_secs_f64();
+    let part = event * pool.slow_phases.slow_factor() / gap.as_secs_f64();
     ((part - GAP_PARTS.0) / (GAP_PARTS.1 - GAP_PARTS.0)).clamp(0.0, 1.0)
 }
 
 /// Estimates a plain call to a server of a pool whose servers tell their pace.
 pub fn plain(now: Time, e: &EndpointRow, pool: &PoolLatency) -> Option<f64> {
     let secs = pool.plain_secs();
-    let pace = e.reported_pace.over(now, secs, pool)?;
+    let pace = e.reported_pace.mean_over(now, secs, pool)?;
     Some(secs * pace * crowd(e))
 }
--- a/crates/firdock-policy/src/event.rs
+++ b/crates/firdock-policy/src/event.rs
@@ -36,9 +36,11 @@
     /// It was looked whether an endpoint is still there.
     Looked(Look),
     /// An endpoint told how long work takes there now.
-    Paced(PaceReport),
+    #[serde(rename = "paced")]
+    PaceReported(PaceReport),
     /// An endpoint said with an answer that it leaves, or wants nothing for a while.
-    Noticed(NoticeReport),
+    #[serde(rename = "noticed")]
+    NoticeReported(NoticeReport),
     /// An endpoint reported its load and cache.
     Report(LoadReport),
     /// An endpoint's report could not be had.
@@ -55,13 +57,15 @@
     Listed(Vec<ListedInstance>),
     /// Someone else than a peer tells of requests under which endpoints ended: the platform's store, or an
     /// instance's own tables to those with which it coordinates.
-    Suspected(Vec<SuspectReport>),
+    #[serde(rename = "suspected")]
+    SuspectsReported(Vec<SuspectReport>),
     /// An operator lets a request go again, for what ended up to a time.
     Released(ContentId, Time),
     /// A peer's heartbeat came.
     Peer(PeerUpdate),
     /// A lead told its counts of what all instances let pass of account limits, this one among them.
-    SiteUsed(UseCounts),
+    #[serde(rename = "site-used")]
+    SiteUseReported(UseCounts),
     /// The link to a peer broke.
     PeerLost(InstanceId),
     /// So many other instances are known of, whether heard from or not.
--- a/crates/firdock-policy/src/event/endpoint.rs
+++ b/crates/firdock-policy/src/event/endpoint.rs
@@ -14,7 +14,8 @@
     /// Number of the dispatch, so that late news of an earlier one is told apart.
     pub dispatch: u32,
     /// The news.
-    pub news: DispatchUpdate,
+    #[serde(rename = "news")]
+    pub update: DispatchUpdate,
 }
 
 /// The course of a dispatch.
--- a/crates/firdock-policy/src/rollout.rs
+++ b/crates/firdock-policy/src/rollout.rs
@@ -89,7 +89,7 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct RolloutReport {
     /// How far they are.
-    pub words: Vec<RolloutStatus>,
+    pub statuses: Vec<RolloutStatus>,
     /// What it saw of those that go on.
     pub own: Vec<Evidence>,
     /// What its group saw.
--- a/crates/firdock-policy/src/rollout/allowance.rs
+++ b/crates/firdock-policy/src/rollout/allowance.rs
@@ -36,7 +36,7 @@
     /// Longest time that may have passed since the order.
     pub elapsed: Duration,
     /// How much shorter it may have been: the order was read that long after the read before.
-    pub unsure: Duration,
+    pub uncertainty: Duration,
     /// Time that the roll-out has.
     pub time: Duration,
     /// Requests that were sent to the pool since the order.
@@ -48,7 +48,7 @@
 impl Progress {
     /// Estimates the requests that are still to come until the time is up.
     fn to_come(self) -> f64 {
-        let surely = self.elapsed.saturating_sub(self.unsure);
+        let surely = self.elapsed.saturating_sub(self.uncertainty);
         let rate = self.sent as f64 / surely.as_secs_f64().max(FIRST_SECS);
         rate * self.time.saturating_sub(surely).as_secs_f64()
     }
@@ -80,8 +80,8 @@
         return WATCHED_PART * bounds.exposure_ratio;
     }
     let whole = allowed(all, bounds) / all;
-    let end =
-        (END_TIME + progress.unsure).as_secs_f64() / progress.time.as_secs_f64().max(FIRST_SECS);
+    let end = (END_TIME + progress.uncertainty).as_secs_f64()
+        / progress.time.as_secs_f64().max(FIRST_SECS);
     let least = LEAST_WATCHED_PART * whole;
     let before_end = (whole - end).max(least);
     let ratio = (WATCHED_PART * whole).min(before_end).min(MOST_WATCHED);
@@ -91,7 +91,7 @@
 /// Tells whether all of the traffic may move now: a version that is bad without having shown it would
 /// still get no more than it may.
 #[must_use]
-pub fn may_move(progress: Progress, bounds: Rollouts) -> bool {
+pub fn may_move_all(progress: Progress, bounds: Rollouts) -> bool {
     let watched = progress.elapsed >= progress.time.mul_f64(WATCHED_TIME);
     let room = allowed(progress.all(), bounds) - progress.exposed as f64;
     watched && progress.to_come() <= room.max(0.0)
--- a/crates/firdock-policy/src/rollout/evidence.rs
+++ b/crates/firdock-policy/src/rollout/evidence.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Bands that the times of answers are told apart by, each twice as wide as the second before it.
-pub const BANDS: usize = 24;
+pub const BINS: usize = 24;
 /// Bands for each doubling of the time.
 const BANDS_A_DOUBLING: f64 = 2.0;
 /// Band of an answer that took just as long as was expected: four doublings are told apart below.
@@ -23,27 +23,28 @@
     /// Answers that broke off or never came.
     pub lost: u32,
     /// Whole answers, by the band of the time that they took against what was expected.
-    pub bands: Vec<u32>,
+    #[serde(rename = "bands")]
+    pub bins: Vec<u32>,
 }
 
 impl Tally {
     /// Counts a whole answer that took `stretch` times as long as was expected.
-    pub fn answer(&mut self, stretch: f64) {
+    pub fn record_answer(&mut self, stretch: f64) {
         let band = band(stretch);
-        if self.bands.len() <= band {
-            self.bands.resize(band + 1, 0);
+        if self.bins.len() <= band {
+            self.bins.resize(band + 1, 0);
         }
-        self.bands[band] += 1;
+        self.bins[band] += 1;
     }
 
     /// Adds another tally.
     pub fn add(&mut self, other: &Self) {
         self.failed = self.failed.saturating_add(other.failed);
         self.lost = self.lost.saturating_add(other.lost);
-        if self.bands.len() < other.bands.len() {
-            self.bands.resize(other.bands.len(), 0);
+        if self.bins.len() < other.bins.len() {
+            self.bins.resize(other.bins.len(), 0);
         }
-        for (own, more) in self.bands.iter_mut().zip(&other.bands) {
+        for (own, more) in self.bins.iter_mut().zip(&other.bins) {
             *own = own.saturating_add(*more);
         }
     }
@@ -51,13 +52,13 @@
     /// Counts the whole answers.
     #[must_use]
     pub fn whole(&self) -> u32 {
-        self.bands.iter().sum()
+        self.bins.iter().sum()
     }
 
     /// Counts the whole answers in a band and beyond.
     #[must_use]
-    pub fn from_band(&self, band: usize) -> u32 {
-        self.bands.iter().skip(band).sum()
+    pub fn count_from_bin(&self, band: usize) -> u32 {
+        self.bins.iter().skip(band).sum()
     }
 }
 
@@ -65,7 +66,7 @@
 fn band(stretch: f64) -> usize {
     let doublings = stretch.max(f64::MIN_POSITIVE).log2();
     let band = (MIDDLE_BAND + BANDS_A_DOUBLING * doublings).floor();
-    band.clamp(0.0, (BANDS - 1) as f64) as usize
+    band.clamp(0.0, (BINS - 1) as f64) as usize
 }
 
 /// Whose answers a tally counts: those to one service's requests, by one endpoint of the new version
--- a/crates/firdock-policy/src/rollout/verdict.rs
+++ b/crates/firdock-policy/src/rollout/verdict.rs
@@ -10,7 +10,7 @@
 
 use firdock_core::ServiceId;
 
-use super::evidence::{BANDS, Evidence, Tally};
+use super::evidence::{BINS, Evidence, Tally};
 
 /// Part of the old version's answers that may count as slow: answers are slow from the band on that has
 /// no more of them in it and beyond. With 0.15 looked at besides, 4 in 100 more of the slow versions were
@@ -73,7 +73,7 @@
         let failed = f64::from(tally.failed) + lost;
         Self {
             answers: whole + failed,
-            bad: f64::from(tally.from_band(slow)) + failed,
+            bad: f64::from(tally.count_from_bin(slow)) + failed,
         }
     }
 
@@ -148,17 +148,17 @@
 /// Gives the band from which on answers to a service's requests are slow.
 fn slow_band(old: Option<&Tally>) -> usize {
     let Some(old) = old.filter(|t| t.whole() >= SLOW_LEAST) else {
-        return BANDS;
+        return BINS;
     };
     let most = SLOW_PART * f64::from(old.whole());
-    let slow = |band: &usize| f64::from(old.from_band(*band)) <= most;
-    (0..=BANDS).find(slow).unwrap_or(BANDS)
+    let slow = |band: &usize| f64::from(old.count_from_bin(*band)) <= most;
+    (0..=BINS).find(slow).unwrap_or(BINS)
 }
 
 /// Gives what the evidence says against a version; `None` where it says nothing. The new version has so
 /// many `endpoints` that take work.
 #[must_use]
-pub fn find(evidence: &Evidence, endpoints: usize) -> Option<Finding> {
+pub fn evaluate(evidence: &Evidence, endpoints: usize) -> Option<Finding> {
     let mut services: BTreeMap<&str, Compared<'_>> = BTreeMap::new();
     let mut all = Compared::default();
     for ((service, endpoint), tally) in &evidence.tallies {
--- a/crates/firdock-policy/src/system/admit.rs
+++ b/crates/firdock-policy/src/system/admit.rs
@@ -126,7 +126,7 @@
     let row = row.with_service(&s.declared, charge);
     let mut row = tries::with_first_try(s, now, row);
     row.rank = fair::rank(t, now, &row);
-    t.dispatch_rates.note_arrival(row.pool_key(), row.rank);
+    t.dispatch_rates.record_arrival(row.pool_key(), row.rank);
     let queue = &mut t.services.get_mut(service).queue;
     queue.push(account, row.arrived, id);
     t.requests.insert(row);
--- a/crates/firdock-policy/src/system/early.rs
+++ b/crates/firdock-policy/src/system/early.rs
@@ -58,9 +58,9 @@
         return fair::is_behind(row);
     }
     let pace = if t.settings.account_shares.is_on() {
-        t.dispatch_rates.sent_from(row.pool_key(), row.rank)
+        t.dispatch_rates.rate_from(row.pool_key(), row.rank)
     } else {
-        t.dispatch_rates.left_to(row.pool_key(), row.rank)
+        t.dispatch_rates.rate_left_to(row.pool_key(), row.rank)
     };
     let Some(pace) = pace else {
         return false;
--- a/crates/firdock-policy/src/system/end.rs
+++ b/crates/firdock-policy/src/system/end.rs
@@ -89,7 +89,7 @@
         limit::give_back(t, &row);
     }
     if let Some(claim) = row.new.key.filter(|_| row.minted.is_some()) {
-        t.keys.end(now, claim.hash, id, outcome);
+        t.keys.record_outcome(now, claim.hash, id, outcome);
     }
     t.ended += 1;
     *t.stats.outcomes.entry(outcome).or_default() += 1;
--- a/crates/firdock-policy/src/system/fair.rs
+++ b/crates/firdock-policy/src/system/fair.rs
@@ -139,7 +139,7 @@
         let account = t.accounts.get_mut(row.account);
         account
             .work
-            .add(now, row.pool_key(), row.declared_rank, secs);
+            .add_done(now, row.pool_key(), row.declared_rank, secs);
     }
 }
 
@@ -198,7 +198,7 @@
     let account = t.accounts.get_mut(row.account);
     account
         .work
-        .ask(now, row.pool_key(), row.declared_rank, secs);
+        .add_asked(now, row.pool_key(), row.declared_rank, secs);
 }
 
 /// Gives the rank that a request has: the declared one, or the last of its account's rank.
@@ -262,7 +262,7 @@
     }
     let accounts = t.accounts.iter();
     let mut rows: Vec<AccountWork> = accounts
-        .flat_map(|(_, a)| a.work.told(now, &a.name))
+        .flat_map(|(_, a)| a.work.reports(now, &a.name))
         .collect();
     rows.sort_by(|a, b| b.asked.max(b.done).total_cmp(&a.asked.max(a.done)));
     rows
--- a/crates/firdock-policy/src/system/health.rs
+++ b/crates/firdock-policy/src/system/health.rs
@@ -22,7 +22,7 @@
         own_backlog,
     });
     if report.gap {
-        e.cache.note_gap(now);
+        e.cache.record_gap(now);
     }
     for block in &report.added {
         e.cache.add(now, *block);
--- a/crates/firdock-policy/src/system/key.rs
+++ b/crates/firdock-policy/src/system/key.rs
@@ -125,7 +125,7 @@
 /// Takes another member's transfer.
 pub fn take_transfer(t: &mut Tables, now: Time, transfer: &KeyTransfer) {
     let me = t.settings.member.incarnation;
-    t.transfers.take(now, me, transfer, t.settings.max_keys);
+    t.transfers.merge(now, me, transfer, t.settings.max_keys);
 }
 
 fn first_sight(t: &Tables, now: Time, claim: &KeyClaim, since: Option<LogTime>) -> Decision {
--- a/crates/firdock-policy/src/system/limit.rs
+++ b/crates/firdock-policy/src/system/limit.rs
@@ -35,13 +35,13 @@
         return Some(0.0);
     };
     if let Some(others) = known_others {
-        bucket.begin(1.0 / (1.0 + others as f64));
+        bucket.add_start_units(1.0 / (1.0 + others as f64));
     }
-    bucket.fill(now, part);
+    bucket.refill(now, part);
     let cost = bucket.cost(new.tokens());
-    bucket.ask(now, cost);
-    let allowed = small || bucket.part_allows(now, phase);
-    (allowed && bucket.take(cost)).then_some(cost)
+    bucket.record_demand(now, cost);
+    let allowed = small || bucket.own_part_allows(now, phase);
+    (allowed && bucket.try_take(cost)).then_some(cost)
 }
 
 /// Gives a number from 0 to 1 by an instance's name.
@@ -63,7 +63,7 @@
 /// Gives a request's charge back, since it ran nowhere.
 pub fn give_back(t: &mut Tables, row: &RequestRow) {
     if let Some(bucket) = &mut t.accounts.get_mut(row.account).bucket {
-        bucket.give_back(row.charge);
+        bucket.refund(row.charge);
     }
 }
 
@@ -116,7 +116,7 @@
         (told.units, told.asked) = (rest.units, rest.asked);
         true
     });
-    let rises = t.site_use.take(now, &others);
+    let rises = t.site_use.merge(now, &others);
     if t.is_single_group() {
         // Each tells all the others of its own use.
         return;
@@ -129,8 +129,8 @@
 /// Takes out of a bucket by how much others' use of its account rose.
 fn charge_rise(accounts: &mut Accounts, now: Time, rise: &AccountUse) {
     if let Some(bucket) = bucket_of(accounts, &rise.account) {
-        bucket.take_peer(rise.units);
-        bucket.ask_peer(now, rise.asked);
+        bucket.deduct_peer_use(rise.units);
+        bucket.record_peer_demand(now, rise.asked);
     }
 }
 
@@ -154,7 +154,7 @@
 pub fn used(t: &Tables, now: Time) -> Vec<AccountUse> {
     let rows = t.accounts.iter().filter_map(|(_, a)| {
         let bucket = a.bucket?;
-        let recent = bucket.asked > 0.0 && bucket.touched + REPORT_AFTER_USE > now;
+        let recent = bucket.asked > 0.0 && bucket.last_asked + REPORT_AFTER_USE > now;
         recent.then(|| AccountUse {
             account: a.name.clone(),
             units: bucket.used,
--- a/crates/firdock-policy/src/system/news.rs
+++ b/crates/firdock-policy/src/system/news.rs
@@ -19,7 +19,7 @@
         t.stats.stale_news += 1;
         return;
     };
-    match e.news {
+    match e.update {
         DispatchUpdate::Refused { unreachable } => refused(t, now, e.id, at, unreachable, out),
         DispatchUpdate::Lapsed => lapsed(t, now, e.id, out),
         DispatchUpdate::Withheld => withheld(t, now, e.id),
--- a/crates/firdock-policy/src/system/notice.rs
+++ b/crates/firdock-policy/src/system/notice.rs
@@ -25,13 +25,13 @@
             leaving: false,
             ..told.notice
         };
-        e.notices.take(&NoticeReport {
+        e.notices.merge(&NoticeReport {
             notice,
             ..told.clone()
         });
         return;
     }
-    let new = e.notices.take(told);
+    let new = e.notices.merge(told);
     let counts = t.stats.notices.entry(e.declared.pool.clone()).or_default();
     counts.leaving += u64::from(new.leaving);
     counts.backoffs += u64::from(told.notice.backoff.is_some());
--- a/crates/firdock-policy/src/system/paced.rs
+++ b/crates/firdock-policy/src/system/paced.rs
@@ -21,32 +21,32 @@
     };
     let e = t.endpoints.get_mut(at);
     if e.reported_pace
-        .newest()
+        .latest()
         .is_some_and(|(_, at)| at >= told.read)
     {
         return;
     }
-    let before = e.reported_pace.take(told.pace, told.read);
-    let own = e.reported_pace.own().unwrap_or(1.0);
+    let before = e.reported_pace.update(told.pace, told.read);
+    let own = e.reported_pace.baseline().unwrap_or(1.0);
     *t.stats
         .pace_reports
         .entry(e.declared.pool.clone())
         .or_default() += 1;
-    let pool = t.pool_latencies.tell(&e.declared.pool);
-    pool.take(told.pace, told.read, own, before);
+    let pool = t.pool_latencies.get_or_insert(&e.declared.pool);
+    pool.learn_pace(told.pace, told.read, own, before);
 }
 
 /// Gives what is known of the pool of an endpoint whose figures are told and true.
 pub fn pool_of<'a>(t: &'a Tables, e: &EndpointRow) -> Option<&'a PoolLatency> {
     t.pool_latencies
         .get(&e.declared.pool)
-        .filter(|_| e.reported_pace.is_true())
+        .filter(|_| e.reported_pace.is_trusted())
 }
 
 /// Learns from a first token or byte by the pace that was told with it.
 pub fn learn_first(t: &mut Tables, now: Time, at: usize, work: f64, took: Duration) {
     let e = t.endpoints.get_mut(at);
-    let Some((pace, read)) = e.reported_pace.newest() else {
+    let Some((pace, read)) = e.reported_pace.latest() else {
         return;
     };
     let Some(pool) = t.pool_latencies.get_mut(&e.declared.pool) else {
@@ -62,9 +62,9 @@
     }
     if pool.can_judge() {
         e.reported_pace
-            .learn_off(pool.first_secs(work, pace), took.as_secs_f64());
+            .learn_error(pool.first_token_secs(work, pace), took.as_secs_f64());
     }
-    if e.reported_pace.is_true() {
+    if e.reported_pace.is_trusted() {
         pool.learn_first(work, pace, took);
     }
 }
@@ -78,8 +78,8 @@
     let secs = took.as_secs_f64();
     let Some(pace) = e
         .reported_pace
-        .over(now, secs, pool)
-        .filter(|_| e.reported_pace.is_true())
+        .mean_over(now, secs, pool)
+        .filter(|_| e.reported_pace.is_trusted())
     else {
         return;
     };
--- a/crates/firdock-policy/src/system/place.rs
+++ b/crates/firdock-policy/src/system/place.rs
@@ -273,7 +273,7 @@
     row.proof = Proof::Whole;
     row.breaking = None;
     t.stats.dispatches += 1;
-    t.dispatch_rates.note(row.pool_key(), row.rank);
+    t.dispatch_rates.record_dispatch(row.pool_key(), row.rank);
     t.retry_budgets.earn(row.pool_key(), &t.settings, most);
     out.push(Action::Dispatch(Dispatch {
         id,
--- a/crates/firdock-policy/src/system/rollout/decide.rs
+++ b/crates/firdock-policy/src/system/rollout/decide.rs
@@ -92,7 +92,7 @@
     };
     let progress = row.progress(now, &seen);
     row.ratio = allowance::watched_ratio(progress, t.settings.rollouts);
-    match verdict::find(&seen, endpoints) {
+    match verdict::evaluate(&seen, endpoints) {
         Some(finding) if finding.bad && row.stage < Stage::Halted => {
             advance(t, pool, Stage::Halted);
             ask(t, now, pool, Stage::RolledBack, &tell(&finding), out);
@@ -131,7 +131,7 @@
 
 /// Tells whether everything may move to the new version now.
 fn may_move(t: &Tables, now: Time, pool: &str, progress: Progress) -> bool {
-    let due = allowance::may_move(progress, t.settings.rollouts);
+    let due = allowance::may_move_all(progress, t.settings.rollouts);
     let alone = progress.elapsed >= ALONE_PATIENCE && !has_old(t, pool);
     (due || alone) && is_ready(t, pool) && hears_most(t, now)
 }
@@ -141,10 +141,10 @@
     let Some(row) = t.rollouts.rows.get_mut(pool) else {
         return;
     };
-    if row.asked == Some(stage) {
+    if row.requested_record == Some(stage) {
         return;
     }
-    row.asked = Some(stage);
+    row.requested_record = Some(stage);
     out.push(Action::Record(RolloutRecord {
         pool: row.declared.pool.clone(),
         order: row.declared.order,
--- a/crates/firdock-policy/src/system/rollout/evidence.rs
+++ b/crates/firdock-policy/src/system/rollout/evidence.rs
@@ -38,7 +38,7 @@
     let took = now.saturating_sub(row.dispatched);
     let expected = expected_secs(&t.endpoints.get(at).declared, row, output);
     let stretch = took.as_secs_f64() / expected;
-    count(t, id, at, |tally| tally.answer(stretch));
+    count(t, id, at, |tally| tally.record_answer(stretch));
 }
 
 /// Counts an answer that broke off or never came.
@@ -97,7 +97,7 @@
     for evidence in seen {
         let row = t.rollouts.find_mut(&evidence.pool, evidence.order);
         if let Some(row) = row {
-            row.take_peer(name, start, evidence);
+            row.merge_peer_evidence(name, start, evidence);
         }
     }
 }
@@ -110,7 +110,7 @@
     for evidence in word.seen {
         let row = t.rollouts.find_mut(&evidence.pool, evidence.order);
         if let Some(row) = row {
-            row.take_group(word.zone.clone(), evidence);
+            row.merge_group_evidence(word.zone.clone(), evidence);
         }
     }
 }
@@ -121,7 +121,7 @@
 pub fn told(t: &Tables, now: Time) -> RolloutReport {
     let mut told = RolloutReport::default();
     for row in t.rollouts.rows.values() {
-        told.words.push(row.word(now));
+        told.statuses.push(row.status(now));
         if !row.stage.is_recorded() {
             told.own.push(row.own.clone());
             told.group.push(row.group_evidence());
--- a/crates/firdock-policy/src/system/rollout/versions.rs
+++ b/crates/firdock-policy/src/system/rollout/versions.rs
@@ -64,7 +64,7 @@
 fn first_ratio(bounds: Rollouts) -> f64 {
     let nothing = allowance::Progress {
         elapsed: Time::ZERO,
-        unsure: Time::ZERO,
+        uncertainty: Time::ZERO,
         time: Time::ZERO,
         sent: 0,
         exposed: 0,
--- a/crates/firdock-policy/src/system/suspect.rs
+++ b/crates/firdock-policy/src/system/suspect.rs
@@ -172,7 +172,7 @@
 pub fn hear(t: &mut Tables, now: Time, told: Vec<SuspectReport>, out: &mut Vec<Action>) {
     for one in told {
         let id = one.content.id;
-        if t.suspects.hear(now, one) {
+        if t.suspects.merge_report(now, one) {
             act(t, now, id, out);
         }
     }
@@ -180,7 +180,7 @@
 
 fn blame(t: &mut Tables, now: Time, run: &BlamedRun, at: Time, out: &mut Vec<Action>) {
     t.stats.blamed += 1;
-    if t.suspects.add(now, run, at) {
+    if t.suspects.record_exit(now, run, at) {
         act(t, now, run.content.id, out);
     }
 }
@@ -210,6 +210,6 @@
     for id in held {
         refuse(t, now, id, out);
     }
-    let told = t.suspects.get(content).map(|s| s.told(now));
+    let told = t.suspects.get(content).map(|s| s.report(now));
     out.extend(told.map(Action::Quarantine));
 }
--- a/crates/firdock-policy/src/table/dispatch_rates.rs
+++ b/crates/firdock-policy/src/table/dispatch_rates.rs
@@ -29,14 +29,14 @@
 
 impl DispatchRates {
     /// Notes a dispatch.
-    pub fn note(&mut self, pool: &str, rank: TierRank) {
+    pub fn record_dispatch(&mut self, pool: &str, rank: TierRank) {
         let pool = self.pool(pool);
         pool.dispatched += 1;
         pool.sent[usize::from(rank)] += 1;
     }
 
     /// Notes an arrival.
-    pub fn note_arrival(&mut self, pool: &str, rank: TierRank) {
+    pub fn record_arrival(&mut self, pool: &str, rank: TierRank) {
         self.pool(pool).arrived[usize::from(rank)] += 1;
     }
 
@@ -60,7 +60,7 @@
     /// Gives the dispatches a second that are left to a rank, after those of higher ranks that
     /// arrive meanwhile and go first; `None` where nothing was seen yet.
     #[must_use]
-    pub fn left_to(&self, pool: &str, rank: TierRank) -> Option<f64> {
+    pub fn rate_left_to(&self, pool: &str, rank: TierRank) -> Option<f64> {
         let pace = self.pools.get(pool)?;
         let rate = pace.rate.max(f64::from(pace.dispatched));
         let higher: f64 = pace.arrivals[..usize::from(rank)].iter().sum();
@@ -72,7 +72,7 @@
     /// Requests of lower ranks give way to this one, so that it can have all of these. Arrivals of higher
     /// ranks that are refused take none of them.
     #[must_use]
-    pub fn sent_from(&self, pool: &str, rank: TierRank) -> Option<f64> {
+    pub fn rate_from(&self, pool: &str, rank: TierRank) -> Option<f64> {
         let pace = self.pools.get(pool)?;
         let at = usize::from(rank);
         let smoothed: f64 = pace.sends[at..].iter().sum();
--- a/crates/firdock-policy/src/table/endpoint.rs
+++ b/crates/firdock-policy/src/table/endpoint.rs
@@ -305,7 +305,7 @@
     #[must_use]
     pub fn keeps_notices(&self, now: Time) -> bool {
         let kept = self.absent_since.is_some_and(|at| at + NOTICE_KEEP > now);
-        kept && !self.replaced && self.notices.hold(now)
+        kept && !self.replaced && self.notices.any_in_effect(now)
     }
 
     /// Notes a failure and ejects the endpoint for a while, longer for each failure in a row.
--- a/crates/firdock-policy/src/table/group.rs
+++ b/crates/firdock-policy/src/table/group.rs
@@ -22,7 +22,7 @@
 
 impl Groups {
     /// Takes a lead's word over.
-    pub fn take(&mut self, now: Time, told: GroupDemand) {
+    pub fn update(&mut self, now: Time, told: GroupDemand) {
         if self.rows.len() >= MAX_ZONES && !self.rows.contains_key(&told.zone) {
             // Those that are still there tell at the next heartbeat.
             self.rows.clear();
--- a/crates/firdock-policy/src/table/key.rs
+++ b/crates/firdock-policy/src/table/key.rs
@@ -75,7 +75,7 @@
     }
 
     /// Notes how the request of a key ended; one that did not run frees the key.
-    pub fn end(&mut self, now: Time, hash: u64, id: RequestId, outcome: Outcome) {
+    pub fn record_outcome(&mut self, now: Time, hash: u64, id: RequestId, outcome: Outcome) {
         let Some(row) = self.rows.get_mut(&hash).filter(|r| r.id == id) else {
             return;
         };
--- a/crates/firdock-policy/src/table/limit.rs
+++ b/crates/firdock-policy/src/table/limit.rs
@@ -46,7 +46,7 @@
     /// Units that callers asked this instance for since its start.
     pub asked: f64,
     /// When this instance was last asked.
-    pub touched: Time,
+    pub last_asked: Time,
     /// What it had let pass and was asked for before it was told of this time.
     pub before: UseTotals,
     /// Asked for lately here, and everywhere else as others tell.
@@ -100,20 +100,20 @@
     }
 
     /// Notes what a request that arrived asks for.
-    pub fn ask(&mut self, now: Time, units: f64) {
-        if self.touched + REPORT_AFTER_USE <= now {
+    pub fn record_demand(&mut self, now: Time, units: f64) {
+        if self.last_asked + REPORT_AFTER_USE <= now {
             self.before = UseTotals {
                 units: self.used,
                 asked: self.asked,
             };
         }
         self.asked += units;
-        self.touched = now;
+        self.last_asked = now;
         self.own.add(now, units);
     }
 
     /// Notes what callers asked other instances for.
-    pub fn ask_peer(&mut self, now: Time, units: f64) {
+    pub fn record_peer_demand(&mut self, now: Time, units: f64) {
         self.others.add(now, units.max(0.0));
     }
 
@@ -123,7 +123,7 @@
     /// What others let pass is known late. If all went by the common level alone, all would let
     /// everything pass at once when it rises above nothing, and nothing for seconds after. `phase`,
     /// from 0 to 1, sets the instances' parts apart, so that they do not fill at one moment.
-    pub fn part_allows(&mut self, now: Time, phase: f64) -> bool {
+    pub fn own_part_allows(&mut self, now: Time, phase: f64) -> bool {
         let (own, others) = (self.own.at(now), self.others.at(now));
         let share = own / (own + others).max(f64::MIN_POSITIVE);
         let most = self.limit.burst * share;
@@ -142,14 +142,14 @@
     }
 
     /// Gives the bucket once what an instance may let pass at its start, of which it has this part.
-    pub fn begin(&mut self, part: f64) {
+    pub fn add_start_units(&mut self, part: f64) {
         if !std::mem::replace(&mut self.begun, true) {
             self.level += self.limit.per_second * START_SECS * part;
         }
     }
 
     /// Fills the bucket up to `now`; `part` is the part of the limit that this instance may use.
-    pub fn fill(&mut self, now: Time, part: f64) {
+    pub fn refill(&mut self, now: Time, part: f64) {
         let secs = now.saturating_sub(self.filled).as_secs_f64();
         let most = (self.limit.burst * part).max(self.level.min(0.0));
         self.level = (self.level + self.limit.per_second * part * secs).min(most);
@@ -160,7 +160,7 @@
     ///
     /// A bucket that is not overdrawn lets one request through, however large: a limit bounds the
     /// rate, and must not keep out what is larger than the burst for ever.
-    pub fn take(&mut self, cost: f64) -> bool {
+    pub fn try_take(&mut self, cost: f64) -> bool {
         if self.level < 0.0 {
             return false;
         }
@@ -172,7 +172,7 @@
     }
 
     /// Gives the cost of a request back that ran nowhere.
-    pub fn give_back(&mut self, cost: f64) {
+    pub fn refund(&mut self, cost: f64) {
         self.level += cost;
         self.part_level += cost;
         self.used -= cost;
@@ -189,7 +189,7 @@
     }
 
     /// Takes out what a peer let pass.
-    pub fn take_peer(&mut self, units: f64) {
+    pub fn deduct_peer_use(&mut self, units: f64) {
         self.level -= units;
     }
 
--- a/crates/firdock-policy/src/table/notices.rs
+++ b/crates/firdock-policy/src/table/notices.rs
@@ -31,7 +31,7 @@
     /// A back-off lasts until the latest end that was asked for: answers pass each other on their ways,
     /// and nothing is sent during one, so that the answer that is read last is not known to be the
     /// endpoint's last word.
-    pub fn take(&mut self, told: &NoticeReport) -> Notice {
+    pub fn merge(&mut self, told: &NoticeReport) -> Notice {
         let new = Notice {
             leaving: told.notice.leaving && self.leaving_since.is_none(),
             backoff: told.notice.backoff.filter(|_| self.extends(told)),
@@ -62,7 +62,7 @@
 
     /// Tells whether anything that was said still holds.
     #[must_use]
-    pub fn hold(&self, now: Time) -> bool {
+    pub fn any_in_effect(&self, now: Time) -> bool {
         self.leaving_since.is_some() || self.backoffs.values().any(|b| b.until > now)
     }
 
--- a/crates/firdock-policy/src/table/pool_latency.rs
+++ b/crates/firdock-policy/src/table/pool_latency.rs
@@ -53,7 +53,7 @@
     }
 
     /// Gives a pool that a server told a pace of.
-    pub fn tell(&mut self, pool: &PoolId) -> &mut PoolLatency {
+    pub fn get_or_insert(&mut self, pool: &PoolId) -> &mut PoolLatency {
         self.pools.entry(pool.clone()).or_default()
     }
 }
@@ -97,7 +97,7 @@
 
 impl PoolLatency {
     /// Takes a figure of a server whose own speed is `own`, and the figure before it.
-    pub fn take(&mut self, pace: Pace, read: Time, own: f64, before: Option<(f64, Time)>) {
+    pub fn learn_pace(&mut self, pace: Pace, read: Time, own: f64, before: Option<(f64, Time)>) {
         self.slowest += (FORGET_SLOWEST * (own - self.slowest)).max(own - self.slowest);
         if let Some((figure, at)) = before {
             let apart = read.saturating_sub(at).as_secs_f64();
@@ -108,13 +108,13 @@
 
     /// Gives the pace of the slow servers, which is assumed of one that told none yet.
     #[must_use]
-    pub fn slowest(&self) -> f64 {
-        self.slowest * self.slow_phases.mean()
+    pub fn slowest_pace(&self) -> f64 {
+        self.slowest * self.slow_phases.mean_factor()
     }
 
     /// Gives the seconds to a first token that `work` prompt tokens come before, at a pace.
     #[must_use]
-    pub fn first_secs(&self, work: f64, pace: f64) -> f64 {
+    pub fn first_token_secs(&self, work: f64, pace: f64) -> f64 {
         self.line.at(work * pace)
     }
 
--- a/crates/firdock-policy/src/table/prefix_cache.rs
+++ b/crates/firdock-policy/src/table/prefix_cache.rs
@@ -39,13 +39,13 @@
     }
 
     /// Notes that events were missed: only what was noted lately still counts.
-    pub fn note_gap(&mut self, now: Time) {
+    pub fn record_gap(&mut self, now: Time) {
         self.floor = now.saturating_sub(GAP_AGE);
     }
 
     /// Counts the leading blocks of `chain` that are believed to be cached.
     #[must_use]
-    pub fn matched(&self, now: Time, chain: &[BlockHash]) -> usize {
+    pub fn matched_blocks(&self, now: Time, chain: &[BlockHash]) -> usize {
         chain.iter().take_while(|b| self.believes(now, **b)).count()
     }
 
--- a/crates/firdock-policy/src/table/reported_pace.rs
+++ b/crates/firdock-policy/src/table/reported_pace.rs
@@ -35,7 +35,7 @@
     /// Takes a figure that was read at a time; one that is older than the newest is left out.
     ///
     /// Gives the figure and the time before it; `None` also where this one is left out.
-    pub fn take(&mut self, pace: Pace, read: Time) -> Option<(f64, Time)> {
+    pub fn update(&mut self, pace: Pace, read: Time) -> Option<(f64, Time)> {
         let before = self.newest;
         if before.is_some_and(|(_, at)| at >= read) {
             return None;
@@ -56,13 +56,13 @@
 
     /// Gives the server's own speed: its least figure lately; `None` before any was told.
     #[must_use]
-    pub fn own(&self) -> Option<f64> {
+    pub fn baseline(&self) -> Option<f64> {
         self.newest.map(|_| self.least.0.min(self.least.1))
     }
 
     /// Gives the newest figure and when it was read.
     #[must_use]
-    pub fn newest(&self) -> Option<(f64, Time)> {
+    pub fn latest(&self) -> Option<(f64, Time)> {
         self.newest
     }
 
@@ -70,11 +70,11 @@
     ///
     /// The newest figure fades towards the usual one at the rate at which figures change in the pool.
     #[must_use]
-    pub fn over(&self, now: Time, secs: f64, pool: &PoolLatency) -> Option<f64> {
+    pub fn mean_over(&self, now: Time, secs: f64, pool: &PoolLatency) -> Option<f64> {
         let (figure, at) = self.newest?;
-        let usual = self.own()? * pool.slow_phases.mean();
+        let usual = self.baseline()? * pool.slow_phases.mean_factor();
         let age = now.saturating_sub(at).as_secs_f64();
-        let rate = pool.slow_phases.rate();
+        let rate = pool.slow_phases.decay_rate();
         let faded = (figure - usual) * (-rate * age).exp();
         let span = (rate * secs).max(f64::MIN_POSITIVE);
         Some(usual + faded * (1.0 - (-span).exp()) / span)
@@ -82,16 +82,16 @@
 
     /// Gives the chance that this is a slow moment of the server.
     #[must_use]
-    pub fn slow_now(&self, now: Time, pool: &PoolLatency) -> f64 {
-        let Some(((figure, at), own)) = self.newest.zip(self.own()) else {
-            return pool.slow_phases.slow_part();
+    pub fn slow_probability(&self, now: Time, pool: &PoolLatency) -> f64 {
+        let Some(((figure, at), own)) = self.newest.zip(self.baseline()) else {
+            return pool.slow_phases.slow_fraction();
         };
         let age = now.saturating_sub(at).as_secs_f64();
-        pool.slow_phases.slow_after(figure / own, age)
+        pool.slow_phases.slow_probability_after(figure / own, age)
     }
 
     /// Learns how far the figures are off from a time that was reckoned by them.
-    pub fn learn_off(&mut self, reckoned: f64, observed: f64) {
+    pub fn learn_error(&mut self, reckoned: f64, observed: f64) {
         let off = (observed / reckoned.max(f64::MIN_POSITIVE)).ln();
         self.samples = self.samples.saturating_add(1);
         self.off += OFF_WEIGHT * (off.clamp(-MOST_OFF, MOST_OFF) - self.off);
@@ -101,7 +101,7 @@
     ///
     /// One that does not is reckoned by what its own answers took, like one that tells nothing.
     #[must_use]
-    pub fn is_true(&self) -> bool {
+    pub fn is_trusted(&self) -> bool {
         self.samples < OFF_SAMPLES || self.off.abs() < UNTRUE
     }
 }
--- a/crates/firdock-policy/src/table/rollout.rs
+++ b/crates/firdock-policy/src/table/rollout.rs
@@ -20,7 +20,7 @@
     /// The earliest time at which the order may have come.
     pub began: Time,
     /// How much later it may have come.
-    pub unsure: Duration,
+    pub uncertainty: Duration,
     /// How far it is.
     pub stage: Stage,
     /// Part of the pool's requests that the new version gets while it is watched.
@@ -38,7 +38,7 @@
     /// What other groups saw, as their leads tell.
     groups: BTreeMap<ZoneId, Evidence>,
     /// Last record that was asked for.
-    pub asked: Option<Stage>,
+    pub requested_record: Option<Stage>,
     /// When it was last looked at.
     pub looked: Time,
 }
@@ -53,14 +53,14 @@
             ended: evidence(),
             declared,
             began: now.saturating_sub(unsure),
-            unsure,
+            uncertainty: unsure,
             stage: Stage::Watching,
             ratio,
             sent: BTreeMap::new(),
             canaries: BTreeSet::new(),
             peers: BTreeMap::new(),
             groups: BTreeMap::new(),
-            asked: None,
+            requested_record: None,
             looked: Time::ZERO,
         }
     }
@@ -75,7 +75,7 @@
     }
 
     /// Takes what a peer of the own group saw, since the start of its process.
-    pub fn take_peer(&mut self, name: &str, incarnation: Uuid, evidence: Evidence) {
+    pub fn merge_peer_evidence(&mut self, name: &str, incarnation: Uuid, evidence: Evidence) {
         if self.peers.len() >= MAX_PEERS && !self.peers.contains_key(name) {
             return;
         }
@@ -89,7 +89,7 @@
     }
 
     /// Takes what another group saw; a word that was overtaken tells of less.
-    pub fn take_group(&mut self, zone: ZoneId, evidence: Evidence) {
+    pub fn merge_group_evidence(&mut self, zone: ZoneId, evidence: Evidence) {
         let known = self.groups.entry(zone).or_default();
         if evidence.sent >= known.sent {
             *known = evidence;
@@ -122,7 +122,7 @@
     pub fn progress(&self, now: Time, seen: &Evidence) -> Progress {
         Progress {
             elapsed: self.age(now),
-            unsure: self.unsure,
+            uncertainty: self.uncertainty,
             time: self.declared.time(),
             sent: seen.sent,
             exposed: seen.exposed,
@@ -137,7 +137,7 @@
 
     /// Gives what peers are told.
     #[must_use]
-    pub fn word(&self, now: Time) -> RolloutStatus {
+    pub fn status(&self, now: Time) -> RolloutStatus {
         RolloutStatus {
             pool: self.declared.pool.clone(),
             order: self.declared.order,
--- a/crates/firdock-policy/src/table/service.rs
+++ b/crates/firdock-policy/src/table/service.rs
@@ -44,7 +44,7 @@
     /// far shorter than the mean.
     pub output_log: f64,
     /// Longest time that a caller left a request of it, which is that of a first try.
-    pub longest_left: Duration,
+    pub longest_timeout: Duration,
     /// Arrivals since the demand was last told.
     pub arrivals: u32,
     /// Arrivals a second, smoothed.
@@ -64,7 +64,7 @@
             live: 0,
             output: FIRST_GUESS,
             output_log: FIRST_GUESS.ln(),
-            longest_left: Duration::ZERO,
+            longest_timeout: Duration::ZERO,
             arrivals: 0,
             rate: 0.0,
         }
@@ -78,8 +78,8 @@
         let Some(left) = left else {
             return Duration::ZERO;
         };
-        self.longest_left = self.longest_left.max(left);
-        self.longest_left.saturating_sub(left)
+        self.longest_timeout = self.longest_timeout.max(left);
+        self.longest_timeout.saturating_sub(left)
     }
 
     /// Learns the length of an answer.
--- a/crates/firdock-policy/src/table/share.rs
+++ b/crates/firdock-policy/src/table/share.rs
@@ -60,12 +60,12 @@
     }
 
     /// Adds work that callers asked for.
-    pub fn ask(&mut self, now: Time, pool: &str, rank: TierRank, secs: f64) {
+    pub fn add_asked(&mut self, now: Time, pool: &str, rank: TierRank, secs: f64) {
         self.of(pool, rank).asked.add(now, secs);
     }
 
     /// Adds work that is done, or takes back what was not.
-    pub fn add(&mut self, now: Time, pool: &str, rank: TierRank, secs: f64) {
+    pub fn add_done(&mut self, now: Time, pool: &str, rank: TierRank, secs: f64) {
         self.of(pool, rank).done.add(now, secs);
     }
 
@@ -91,7 +91,7 @@
     }
 
     /// Gives what it asked for and had lately, as other groups are told.
-    pub fn told(&self, now: Time, account: &str) -> impl Iterator<Item = AccountWork> {
+    pub fn reports(&self, now: Time, account: &str) -> impl Iterator<Item = AccountWork> {
         let ranks = |(pool, ranks)| iter::repeat(pool).zip::<&BTreeMap<TierRank, Used>>(ranks);
         let told = self.pools.iter().flat_map(ranks);
         let told = told.map(move |(pool, (rank, used))| AccountWork {
@@ -116,7 +116,7 @@
 
 impl ReportedWork {
     /// Takes a lead's word over, in place of its last one.
-    pub fn take(&mut self, now: Time, zone: ZoneId, work: Vec<AccountWork>) {
+    pub fn update(&mut self, now: Time, zone: ZoneId, work: Vec<AccountWork>) {
         if self.zones.len() >= MAX_ZONES && !self.zones.contains_key(&zone) {
             // Those that are still there tell at the next heartbeat.
             self.zones.clear();
--- a/crates/firdock-policy/src/table/slow_phases.rs
+++ b/crates/firdock-policy/src/table/slow_phases.rs
@@ -71,32 +71,32 @@
 
     /// Gives the rate at which a figure loses its meaning, a second.
     #[must_use]
-    pub fn rate(&self) -> f64 {
+    pub fn decay_rate(&self) -> f64 {
         self.turns_slow.per_sec() + self.turns_back.per_sec()
     }
 
     /// Gives how many times as long as usual work takes in a slow moment.
     #[must_use]
-    pub fn ratio(&self) -> f64 {
+    pub fn slow_factor(&self) -> f64 {
         self.ratio.max(1.0)
     }
 
     /// Gives the part of the time that is slow.
     #[must_use]
-    pub fn slow_part(&self) -> f64 {
-        self.turns_slow.per_sec() / self.rate()
+    pub fn slow_fraction(&self) -> f64 {
+        self.turns_slow.per_sec() / self.decay_rate()
     }
 
     /// Gives how many times its own least time a server takes in the mean.
     #[must_use]
-    pub fn mean(&self) -> f64 {
-        1.0 + self.slow_part() * (self.ratio() - 1.0)
+    pub fn mean_factor(&self) -> f64 {
+        1.0 + self.slow_fraction() * (self.slow_factor() - 1.0)
     }
 
     /// Gives the chance that a slow moment falls into a time of `secs` that begins in one with the
     /// chance `begins`.
     #[must_use]
-    pub fn chance(&self, begins: f64, secs: f64) -> f64 {
+    pub fn slow_probability_within(&self, begins: f64, secs: f64) -> f64 {
         let none = (1.0 - begins) * (-self.turns_slow.per_sec() * secs).exp();
         1.0 - none
     }
@@ -104,9 +104,9 @@
     /// Gives the chance that a moment is a slow one `age` seconds after a figure over the server's own
     /// speed.
     #[must_use]
-    pub fn slow_after(&self, figure: f64, age: f64) -> f64 {
+    pub fn slow_probability_after(&self, figure: f64, age: f64) -> f64 {
         let slow = f64::from(u8::from(figure >= SLOW_FROM));
-        let share = self.slow_part();
-        share + (slow - share) * (-self.rate() * age).exp()
+        let share = self.slow_fraction();
+        share + (slow - share) * (-self.decay_rate() * age).exp()
     }
 }
--- a/crates/firdock-policy/src/table/suspects.rs
+++ b/crates/firdock-policy/src/table/suspects.rs
@@ -143,7 +143,7 @@
 
     /// Gives what other instances are told of it.
     #[must_use]
-    pub fn told(&self, now: Time) -> SuspectReport {
+    pub fn report(&self, now: Time) -> SuspectReport {
         let told = |e: &End| ToldEnd {
             start: e.start.clone(),
             sent_ago: now.saturating_sub(e.sent),
@@ -203,7 +203,7 @@
     }
 
     /// Notes that an endpoint ended with a request on board; tells whether that is new.
-    pub fn add(&mut self, now: Time, of: &BlamedRun, at: Time) -> bool {
+    pub fn record_exit(&mut self, now: Time, of: &BlamedRun, at: Time) -> bool {
         let end = End {
             start: of.start.clone(),
             sent: of.sent,
@@ -219,13 +219,13 @@
         let id = new.content.id;
         let changed = self.change(now, new, vec![end]);
         if changed {
-            self.note_seen(now, id);
+            self.mark_own_change(now, id);
         }
         changed
     }
 
     /// Notes that this instance saw a change itself, of which it tells all others.
-    fn note_seen(&mut self, now: Time, id: ContentId) {
+    fn mark_own_change(&mut self, now: Time, id: ContentId) {
         self.revision.own += 1;
         if let Some(row) = self.rows.get_mut(&id) {
             row.seen = Some(now);
@@ -233,7 +233,7 @@
     }
 
     /// Takes what another instance tells of a suspect; tells whether any of it is new.
-    pub fn hear(&mut self, now: Time, told: SuspectReport) -> bool {
+    pub fn merge_report(&mut self, now: Time, told: SuspectReport) -> bool {
         let ends = told.ends.into_iter().take(MOST_ENDS).map(|e| End {
             start: e.start,
             sent: now.saturating_sub(e.sent_ago.max(e.ended_ago)),
@@ -257,7 +257,7 @@
             }
         }
         if !self.rows.contains_key(&id) {
-            self.make_room(&new.account);
+            self.evict_if_full(&new.account);
         }
         let row = self.rows.entry(id).or_insert(new);
         let added = ends.into_iter().map(|end| row.add(end));
@@ -288,7 +288,7 @@
         if changed {
             row.changed = now;
             self.revision.all += 1;
-            self.note_seen(now, id);
+            self.mark_own_change(now, id);
         }
         changed
     }
@@ -303,22 +303,22 @@
 
     /// Gives what is told of suspects with a heartbeat: what this instance saw lately, and others by turns.
     #[must_use]
-    pub fn told(&self, now: Time, turn: usize) -> Vec<SuspectReport> {
+    pub fn reports(&self, now: Time, turn: usize) -> Vec<SuspectReport> {
         let is_new = |s: &&Suspect| s.seen.is_some_and(|seen| seen + NEW_FOR > now);
         let (new, others): (Vec<&Suspect>, Vec<&Suspect>) = self.rows.values().partition(is_new);
         let start = turn * BY_TURNS % others.len().max(1);
         let turns = others.iter().cycle().skip(start);
         let turns = turns.take(BY_TURNS.min(others.len()));
-        let told = foremost(new).into_iter().chain(turns.copied());
-        told.map(|s| s.told(now)).collect()
+        let told = most_important(new).into_iter().chain(turns.copied());
+        told.map(|s| s.report(now)).collect()
     }
 
     /// Gives what is new and was heard from others: the leads of groups tell it on.
     #[must_use]
     pub fn reports_to_forward(&self, now: Time) -> Vec<SuspectReport> {
         let is_new = |s: &&Suspect| s.changed + NEW_FOR > now && s.seen != Some(s.changed);
-        let heard = foremost(self.rows.values().filter(is_new).collect());
-        heard.into_iter().map(|s| s.told(now)).collect()
+        let heard = most_important(self.rows.values().filter(is_new).collect());
+        heard.into_iter().map(|s| s.report(now)).collect()
     }
 
     /// Gives what an instance is told that was not heard before: all that counts, quarantine first.
@@ -326,11 +326,11 @@
     pub fn all_reports(&self, now: Time, most: usize) -> Vec<SuspectReport> {
         let mut rows: Vec<&Suspect> = self.rows.values().filter(|s| !s.is_cleared()).collect();
         rows.sort_by_key(|s| s.quarantined_since().is_none());
-        rows.into_iter().take(most).map(|s| s.told(now)).collect()
+        rows.into_iter().take(most).map(|s| s.report(now)).collect()
     }
 
     /// Makes room for one more suspect of an account.
-    fn make_room(&mut self, account: &AccountId) {
+    fn evict_if_full(&mut self, account: &AccountId) {
         let of_account = self.rows.values().filter(|s| s.account == *account).count();
         let own = of_account >= MOST_OF_ACCOUNT;
         if !own && self.rows.len() < MOST {
@@ -347,7 +347,7 @@
 }
 
 /// Gives as many suspects as one heartbeat tells of, the foremost ones.
-fn foremost(mut suspects: Vec<&Suspect>) -> Vec<&Suspect> {
+fn most_important(mut suspects: Vec<&Suspect>) -> Vec<&Suspect> {
     suspects.sort_by_key(|s| Reverse((s.counted().len(), s.changed)));
     suspects.truncate(MOST_NEW);
     suspects
--- a/crates/firdock-policy/src/table/transfer.rs
+++ b/crates/firdock-policy/src/table/transfer.rs
@@ -32,7 +32,7 @@
     }
 
     /// Takes a transfer to `me`, unless its keys do not fit: it would count as complete without them.
-    pub fn take(&mut self, now: Time, me: Uuid, transfer: &KeyTransfer, max_keys: usize) {
+    pub fn merge(&mut self, now: Time, me: Uuid, transfer: &KeyTransfer, max_keys: usize) {
         if self.keys.len() + transfer.keys.len() > max_keys || transfer.known.len() > MAX_TRANSFERS
         {
             return;
--- a/crates/firdock-policy/src/table/view.rs
+++ b/crates/firdock-policy/src/table/view.rs
@@ -80,7 +80,7 @@
     }
 
     /// Notes that the log was read up to its end.
-    pub fn read(&mut self, reading: LogReading) {
+    pub fn record_read(&mut self, reading: LogReading) {
         if self.reading.is_none_or(|r| r.sent <= reading.sent) {
             self.reading = Some(reading);
         }
--- a/crates/firdock-policy/src/usage.rs
+++ b/crates/firdock-policy/src/usage.rs
@@ -114,7 +114,7 @@
             return;
         }
         let heard = self.groups.entry(zone.to_owned()).or_default();
-        for rise in heard.take(now, word) {
+        for rise in heard.merge(now, word) {
             self.to_group.add(&rise);
         }
     }
@@ -136,14 +136,14 @@
     }
 
     /// Begins to count for the group, unless this instance does already; `beginning` is made for this.
-    pub fn begin(&mut self, beginning: impl FnOnce() -> Uuid) {
+    pub fn start(&mut self, beginning: impl FnOnce() -> Uuid) {
         if self.began.is_none() {
             self.began = Some(beginning());
         }
     }
 
     /// Forgets everything, since others count for the group.
-    pub fn end(&mut self) {
+    pub fn reset(&mut self) {
         if self.began.is_some() {
             *self = Self::default();
         }
--- a/crates/firdock-policy/src/usage/merged_counts.rs
+++ b/crates/firdock-policy/src/usage/merged_counts.rs
@@ -35,7 +35,7 @@
     /// What a teller counted before it was first heard is not known to be new: where it was not heard from
     /// its beginning, its first word on each account says nothing. What it counts from then on is new, as
     /// far as no other teller told of it before.
-    pub fn take(&mut self, now: Time, word: &UseCounts) -> Vec<AccountUse> {
+    pub fn merge(&mut self, now: Time, word: &UseCounts) -> Vec<AccountUse> {
         self.tellers.retain(|_, t| t.heard + FORGET_AFTER > now);
         let teller = self
             .tellers
--- a/crates/firdock-policy/tests/policy/allowance.rs
+++ b/crates/firdock-policy/tests/policy/allowance.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use firdock_core::settings::Rollouts;
-use firdock_policy::rollout::allowance::{Progress, may_move, watched_ratio};
+use firdock_policy::rollout::allowance::{Progress, may_move_all, watched_ratio};
 
 /// Pause between two looks at the evidence.
 const LOOK: Duration = Duration::from_millis(50);
@@ -40,7 +40,7 @@
     while elapsed < TIME {
         let progress = Progress {
             elapsed,
-            unsure: UNSURE,
+            uncertainty: UNSURE,
             time: TIME,
             sent: sent as u64,
             exposed: exposed as u64,
@@ -48,7 +48,7 @@
         let left = TIME.saturating_sub(elapsed);
         let third = (elapsed.as_secs_f64() / TIME.as_secs_f64() * 3.0) as usize;
         let rate = rates[third.min(2)];
-        if may_move(progress, bounds()) {
+        if may_move_all(progress, bounds()) {
             let end = rate * left.as_secs_f64();
             return Trial {
                 left,
--- a/crates/firdock-policy/tests/policy/buffers.rs
+++ b/crates/firdock-policy/tests/policy/buffers.rs
@@ -44,7 +44,7 @@
             cut.extend(buffers.hold(now, id, EVENT));
             assert!(buffers.bytes() <= BUDGET);
             let taken = if id == FAST { EVENT } else { 25 };
-            buffers.take(now, id, taken);
+            buffers.consume(now, id, taken);
         }
     }
     assert!(!cut.contains(&FAST), "who reads is not cut");
@@ -78,7 +78,7 @@
 fn an_answer_that_is_whole_is_kept_as_long_as_others_can_be_cut() {
     let mut buffers = opened(1_000, &[(1, "a"), (2, "a")]);
     buffers.hold(at(0), 1, 900);
-    buffers.note_whole(1);
+    buffers.mark_complete(1);
     let cut = buffers.hold(at(20_000), 2, 200);
     assert_eq!(cut, [2], "the endpoint's work for 1 is done");
     assert_eq!(buffers.bytes(), 900);
@@ -89,7 +89,7 @@
     let mut buffers = opened(1_000, &[(1, "a"), (2, "a"), (3, "a")]);
     buffers.hold(at(0), 1, 400);
     buffers.hold(at(4_000), 2, 350);
-    buffers.take(at(5_000), 1, 400);
+    buffers.consume(at(5_000), 1, 400);
     buffers.hold(at(5_000), 1, 400);
     assert_eq!(buffers.hold(at(6_000), 3, 300), [2]);
 }
@@ -98,11 +98,11 @@
 fn a_caller_who_stops_reading_for_good_is_cut_though_there_is_room() {
     let mut buffers = opened(BUDGET, &[(1, "a"), (2, "a"), (3, "a")]);
     buffers.hold(at(0), 1, 100);
-    buffers.note_whole(1);
+    buffers.mark_complete(1);
     buffers.hold(at(0), 2, 100);
     let stall = CALLER_STALL.as_millis() as u64;
     let nearly = at(stall - 1);
-    buffers.take(nearly, 2, 1);
+    buffers.consume(nearly, 2, 1);
     assert!(buffers.cut_stalled(nearly, CALLER_STALL).is_empty());
     assert_eq!(buffers.cut_stalled(at(stall), CALLER_STALL), [1]);
     assert_eq!(
@@ -120,7 +120,7 @@
     buffers.hold(at(0), 1, 100);
     buffers.hold(at(0), 2, 100);
     assert!(buffers.became_late(at(5_000)).is_empty());
-    buffers.note_whole(1);
+    buffers.mark_complete(1);
     assert_eq!(buffers.became_late(at(5_000)), [1]);
     assert!(buffers.became_late(at(5_200)).is_empty());
 }
@@ -131,7 +131,7 @@
     buffers.hold(at(0), 1, 700);
     buffers.close(1);
     assert!(buffers.hold(at(1), 1, 700).is_empty(), "a late part");
-    buffers.take(at(1), 1, 700);
+    buffers.consume(at(1), 1, 700);
     buffers.close(1);
     assert_eq!(buffers.bytes(), 0);
 }
@@ -212,13 +212,13 @@
                     check_cut(&mut seen, &cut, now);
                 }
                 Step::Take(n) => {
-                    buffers.take(at(now), id, n);
+                    buffers.consume(at(now), id, n);
                     if let Some(row) = seen.get_mut(&id) {
                         row.bytes -= n.min(row.bytes);
                     }
                 }
                 Step::Whole => {
-                    buffers.note_whole(id);
+                    buffers.mark_complete(id);
                     if let Some(row) = seen.get_mut(&id) {
                         row.whole = true;
                     }
--- a/crates/firdock-policy/tests/policy/edge.rs
+++ b/crates/firdock-policy/tests/policy/edge.rs
@@ -138,7 +138,7 @@
         self.step(Event::Endpoint(EndpointEvent {
             id: id(n),
             dispatch,
-            news,
+            update: news,
         }))
     }
 
--- a/crates/firdock-policy/tests/policy/golden.rs
+++ b/crates/firdock-policy/tests/policy/golden.rs
@@ -60,7 +60,7 @@
         self.step(Event::Endpoint(EndpointEvent {
             id: id(n),
             dispatch,
-            news,
+            update: news,
         }))
     }
 
--- a/crates/firdock-policy/tests/policy/limits.rs
+++ b/crates/firdock-policy/tests/policy/limits.rs
@@ -113,7 +113,7 @@
 
 /// A lead's counts of what all let pass.
 fn counted(count: f64, beginning: u128) -> Event {
-    Event::SiteUsed(UseCounts {
+    Event::SiteUseReported(UseCounts {
         lead: "lead".to_owned(),
         began: Uuid::from_u128(beginning),
         fresh: false,
@@ -261,7 +261,7 @@
         })
         .collect();
     let mut lead = UseAggregator::default();
-    lead.begin(|| Uuid::from_u128(1));
+    lead.start(|| Uuid::from_u128(1));
     let mut told: Vec<Event> = Vec::new();
     let mut passed = vec![0.0; secs as usize];
     for round in 0..secs * 50 {
@@ -285,7 +285,7 @@
         for edge in &edges {
             lead.add_member_report(edge.now, &own_use(edge));
         }
-        told.extend(lead.report_for_group("lead").map(Event::SiteUsed));
+        told.extend(lead.report_for_group("lead").map(Event::SiteUseReported));
         if let Some(word) = told.len().checked_sub(lag + 1).map(|at| told[at].clone()) {
             for edge in &mut edges {
                 edge.step(word.clone());
--- a/crates/firdock-policy/tests/policy/notices.rs
+++ b/crates/firdock-policy/tests/policy/notices.rs
@@ -23,7 +23,7 @@
 const BROKE: DispatchUpdate = DispatchUpdate::Broke { delivered: 0 };
 
 fn told(endpoint: &str, notice: Notice, read: Time) -> Event {
-    Event::Noticed(NoticeReport {
+    Event::NoticeReported(NoticeReport {
         endpoint: endpoint.to_owned(),
         member: String::new(),
         notice,
--- a/crates/firdock-policy/tests/policy/paced.rs
+++ b/crates/firdock-policy/tests/policy/paced.rs
@@ -22,7 +22,7 @@
 
 fn told(edge: &mut Edge, endpoint: &str, hundredths: u32) {
     let read = edge.now;
-    edge.step(Event::Paced(PaceReport {
+    edge.step(Event::PaceReported(PaceReport {
         endpoint: endpoint.to_owned(),
         pace: pace(hundredths),
         read,
@@ -129,10 +129,10 @@
 #[test]
 fn an_older_figure_that_comes_late_is_left_out() {
     let mut seen = ReportedPace::default();
-    seen.take(pace(68), millis(1_000));
-    seen.take(pace(300), millis(900));
-    assert_eq!(seen.newest().map(|(_, at)| at), Some(millis(1_000)));
-    assert!(seen.own().is_some_and(|own| own < 0.7));
+    seen.update(pace(68), millis(1_000));
+    seen.update(pace(300), millis(900));
+    assert_eq!(seen.latest().map(|(_, at)| at), Some(millis(1_000)));
+    assert!(seen.baseline().is_some_and(|own| own < 0.7));
 }
 
 /// Redraws each half second are faster than answers of seconds: a figure of now says much of a prompt and
@@ -144,15 +144,18 @@
         let at = millis(1_000 + 100 * n);
         let slow = (n / 5) % 7 == 0;
         let figure = pace(if slow { 250 } else { 100 });
-        let before = seen.take(figure, at);
-        let own = seen.own().expect("a figure was told");
-        pool.take(figure, at, own, before);
+        let before = seen.update(figure, at);
+        let own = seen.baseline().expect("a figure was told");
+        pool.learn_pace(figure, at, own, before);
     }
     let now = millis(1_000 + 100 * 1_999 + 50);
-    seen.take(pace(250), now);
-    let over = |secs: f64, later: u64| seen.over(now + millis(later), secs, &pool).expect("told");
+    seen.update(pace(250), now);
+    let over = |secs: f64, later: u64| {
+        seen.mean_over(now + millis(later), secs, &pool)
+            .expect("told")
+    };
     assert!(over(0.05, 0) > 2.2, "{}", over(0.05, 0));
-    let usual = pool.slow_phases.mean();
+    let usual = pool.slow_phases.mean_factor();
     assert!((1.1..1.4).contains(&usual), "{usual}");
     assert!(over(8.0, 0) < usual + 0.2, "{}", over(8.0, 0));
     assert!(over(0.05, 2_000) < usual + 0.1, "{}", over(0.05, 2_000));
@@ -170,7 +173,7 @@
     }
     for (tokens, pace) in [(6_600.0, 0.68), (6_600.0, 3.0), (40_000.0, 1.0)] {
         let expected = 0.04 + pace * (usual(tokens) - 0.04);
-        let got = pool.first_secs(tokens, pace);
+        let got = pool.first_token_secs(tokens, pace);
         assert!((got / expected - 1.0).abs() < 0.2, "{got} for {expected}");
     }
 }
--- a/crates/firdock-policy/tests/policy/rollout.rs
+++ b/crates/firdock-policy/tests/policy/rollout.rs
@@ -291,11 +291,11 @@
     seen.sent = 1_000;
     seen.exposed = 40;
     for _ in 0..200 {
-        seen.tally("safe", "").answer(1.0);
+        seen.tally("safe", "").record_answer(1.0);
     }
     for endpoint in ["new-0", "new-1", "new-2"] {
         for _ in 0..5 {
-            seen.tally("safe", endpoint).answer(1.0);
+            seen.tally("safe", endpoint).record_answer(1.0);
             seen.tally("safe", endpoint).failed += 1;
         }
     }
--- a/crates/firdock-policy/tests/policy/scene.rs
+++ b/crates/firdock-policy/tests/policy/scene.rs
@@ -183,7 +183,7 @@
         self.step(Event::Endpoint(EndpointEvent {
             id: id(n),
             dispatch,
-            news,
+            update: news,
         }))
     }
 }
--- a/crates/firdock-policy/tests/policy/shares/load.rs
+++ b/crates/firdock-policy/tests/policy/shares/load.rs
@@ -230,9 +230,11 @@
                 cached: 0,
                 output: 10,
             };
-            let actions = self
-                .edge
-                .step(Event::Endpoint(EndpointEvent { id, dispatch, news }));
+            let actions = self.edge.step(Event::Endpoint(EndpointEvent {
+                id,
+                dispatch,
+                update: news,
+            }));
             self.note(&actions);
         }
     }
--- a/crates/firdock-policy/tests/policy/sums.rs
+++ b/crates/firdock-policy/tests/policy/sums.rs
@@ -41,7 +41,7 @@
 
 fn lead() -> UseAggregator {
     let mut sums = UseAggregator::default();
-    sums.begin(|| Uuid::from_u128(7));
+    sums.start(|| Uuid::from_u128(7));
     sums
 }
 
@@ -158,7 +158,7 @@
 fn what_two_leads_tell_counts_once_and_goes_on_where_one_falls() {
     let mut heard = MergedCounts::default();
     let mut take = |lead: &str, beginning: u128, count: f64| {
-        let rises = heard.take(START, &counts(lead, beginning, count));
+        let rises = heard.merge(START, &counts(lead, beginning, count));
         units(&rises).iter().sum::<f64>()
     };
     // The second began to count later, and lags behind the first.
@@ -184,15 +184,18 @@
         counts: Vec::new(),
         ..counts("first", 1, 0.0)
     };
-    assert!(heard.take(START, &fresh).is_empty());
-    assert_eq!(units(&heard.take(START, &counts("first", 1, 40.0))), [40.0]);
+    assert!(heard.merge(START, &fresh).is_empty());
+    assert_eq!(
+        units(&heard.merge(START, &counts("first", 1, 40.0))),
+        [40.0]
+    );
     // The one that takes over began later: it goes on from there.
     let second = UseCounts {
         lead: "second".to_owned(),
         ..fresh
     };
-    assert!(heard.take(START, &second).is_empty());
-    assert_eq!(units(&heard.take(START, &counts("second", 1, 2.0))), [2.0]);
+    assert!(heard.merge(START, &second).is_empty());
+    assert_eq!(units(&heard.merge(START, &counts("second", 1, 2.0))), [2.0]);
 }
 
 #[test]
@@ -318,7 +321,7 @@
                     told.units -= own;
                     told.asked -= own;
                 }
-                let rises = heard.take(now, &word);
+                let rises = heard.merge(now, &word);
                 one.others += units(&rises).iter().sum::<f64>();
             }
         }
--- a/crates/firdock-policy/tests/policy/suspects/evidence.rs
+++ b/crates/firdock-policy/tests/policy/suspects/evidence.rs
@@ -104,7 +104,7 @@
             .arrives(with_body(n, "once", "hot"))
             .expect("it is sent");
         if n.is_multiple_of(2) {
-            pool.edge.step(Event::Noticed(NoticeReport {
+            pool.edge.step(Event::NoticeReported(NoticeReport {
                 endpoint: endpoint.clone(),
                 member: String::new(),
                 notice: Notice {
--- a/crates/firdock-policy/tests/policy/suspects/words.rs
+++ b/crates/firdock-policy/tests/policy/suspects/words.rs
@@ -124,7 +124,12 @@
     }
     for (n, deadly) in (100..).zip(["deadly", "another", "a third"]) {
         assert!(pool.ends_one(with_body(n, "once", deadly)));
-        let told = pool.edge.scheduler.tables().suspects.told(pool.edge.now, 0);
+        let told = pool
+            .edge
+            .scheduler
+            .tables()
+            .suspects
+            .reports(pool.edge.now, 0);
         let is_told = |body: &str| told.iter().any(|t| t.content.id == content(body).id);
         assert!(is_told(deadly), "{deadly} is told at once");
         assert!(told.len() >= 60, "{} are told of", told.len());
@@ -140,7 +145,7 @@
         edge.step(peer("p", vec![told]));
     }
     let suspects = &edge.scheduler.tables().suspects;
-    assert!(suspects.told(edge.now, 0).len() <= 2, "by turns alone");
+    assert!(suspects.reports(edge.now, 0).len() <= 2, "by turns alone");
     assert_eq!(suspects.reports_to_forward(edge.now).len(), 8);
 }
 
@@ -152,7 +157,12 @@
         pool.ends_one(with_body(n, "once", "deadly"));
     }
     let id = content("deadly").id;
-    let words = pool.edge.scheduler.tables().suspects.told(pool.edge.now, 0);
+    let words = pool
+        .edge
+        .scheduler
+        .tables()
+        .suspects
+        .reports(pool.edge.now, 0);
     pool.edge.step(Event::Released(id, pool.edge.now));
     assert!(!is_quarantined(&pool.edge, "deadly"));
     pool.edge.step(peer("late", words));
--- a/crates/firdock-policy/tests/policy/world.rs
+++ b/crates/firdock-policy/tests/policy/world.rs
@@ -444,7 +444,7 @@
             held: t.requests.held_by_rank().to_vec(),
             demand: Vec::new(),
             draining: t.draining,
-            suspects: t.suspects.told(self.now, 0),
+            suspects: t.suspects.reports(self.now, 0),
             ..PeerUpdate::default()
         };
         for to in (0..NODES).filter(|to| *to != from) {
@@ -465,7 +465,7 @@
     Event::Endpoint(EndpointEvent {
         id: dispatch.id,
         dispatch: dispatch.dispatch,
-        news,
+        update: news,
     })
 }
 
--- a/crates/firdock-policy/tests/policy/world/message.rs
+++ b/crates/firdock-policy/tests/policy/world/message.rs
@@ -98,7 +98,7 @@
         let known = endpoints.find(&dispatch.endpoint);
         let notices = known.map(|at| &endpoints.get(at).notices);
         assert!(
-            notices.is_none_or(|n| !n.hold(self.now)),
+            notices.is_none_or(|n| !n.any_in_effect(self.now)),
             "{} is written to {}, which wants nothing",
             dispatch.id,
             dispatch.endpoint
@@ -137,7 +137,7 @@
             },
             read: self.now,
         };
-        let event = Event::Noticed(told);
+        let event = Event::NoticeReported(told);
         self.send(millis(0), Message::Event(i, incarnation, event));
     }
 
@@ -201,7 +201,7 @@
 
     pub(super) fn step(&mut self, i: usize, event: Event) {
         let ended = match &event {
-            Event::Endpoint(e) if matches!(e.news, DispatchUpdate::Ended { .. }) => Some(e.id),
+            Event::Endpoint(e) if matches!(e.update, DispatchUpdate::Ended { .. }) => Some(e.id),
             Event::HandOver(HandOverEvent::Ended(id)) => Some(*id),
             _ => None,
         };
@@ -244,7 +244,11 @@
             Action::GiveUpDispatch { id, dispatch } => {
                 self.given_up.insert((incarnation, id, dispatch));
                 let news = DispatchUpdate::Broke { delivered: 0 };
-                let event = Event::Endpoint(EndpointEvent { id, dispatch, news });
+                let event = Event::Endpoint(EndpointEvent {
+                    id,
+                    dispatch,
+                    update: news,
+                });
                 let delay = self.lag();
                 self.send(delay, Message::Event(i, incarnation, event));
             }
--- a/crates/firdock-standin/src/measure/baseline.rs
+++ b/crates/firdock-standin/src/measure/baseline.rs
@@ -148,7 +148,7 @@
         let Some(live) = self.live.get(&e.id).filter(|l| l.dispatch == e.dispatch) else {
             return;
         };
-        match e.news {
+        match e.update {
             DispatchUpdate::Refused { .. } => self.place(e.id, out),
             DispatchUpdate::Broke { .. } => {
                 if self
--- a/crates/firdock-standin/src/measure/run.rs
+++ b/crates/firdock-standin/src/measure/run.rs
@@ -112,7 +112,7 @@
 fn ended_request(event: &Event) -> Option<RequestId> {
     match event {
         Event::HandOver(HandOverEvent::Ended(id)) => Some(*id),
-        Event::Endpoint(e) if matches!(e.news, DispatchUpdate::Ended { .. }) => Some(e.id),
+        Event::Endpoint(e) if matches!(e.update, DispatchUpdate::Ended { .. }) => Some(e.id),
         _ => None,
     }
 }
@@ -321,7 +321,7 @@
         let event = EndpointEvent {
             id: dispatch.id,
             dispatch: dispatch.dispatch,
-            news,
+            update: news,
         };
         self.later(i, Event::Endpoint(event));
     }
--- a/crates/firdock-standin/src/rollouts/run.rs
+++ b/crates/firdock-standin/src/rollouts/run.rs
@@ -122,7 +122,7 @@
         if fails {
             tally.failed += 1;
         } else {
-            tally.answer(stretch);
+            tally.record_answer(stretch);
         }
     }
 
@@ -168,7 +168,7 @@
         let heard = old_news.map(|(_, e)| e.clone()).unwrap_or_default();
         let progress = Progress {
             elapsed: now.saturating_sub(known_from) + UNSURE,
-            unsure: UNSURE,
+            uncertainty: UNSURE,
             time: case.time,
             sent: heard.sent,
             exposed: heard.exposed,
--- a/crates/firdock-standin/src/rollouts/way.rs
+++ b/crates/firdock-standin/src/rollouts/way.rs
@@ -2,7 +2,7 @@
 
 use firdock_core::settings::Rollouts;
 use firdock_policy::rollout::allowance::{self, Progress};
-use firdock_policy::rollout::evidence::BANDS;
+use firdock_policy::rollout::evidence::BINS;
 use firdock_policy::rollout::{Evidence, Tally, verdict};
 
 /// What to do next.
@@ -54,9 +54,9 @@
         seen: &Evidence,
         endpoints: usize,
     ) -> Decision {
-        match verdict::find(seen, endpoints) {
+        match verdict::evaluate(seen, endpoints) {
             Some(finding) if finding.bad => Decision::Halt,
-            None if allowance::may_move(progress, bounds) => Decision::Move,
+            None if allowance::may_move_all(progress, bounds) => Decision::Move,
             _ => Decision::Watch,
         }
     }
@@ -75,7 +75,7 @@
 /// How much greater than the old version's it may be.
 const MOST_WORSE: f64 = 0.1;
 /// Band of answers that took four times as long as expected, and beyond.
-const SLOW_BAND: usize = BANDS / 2;
+const SLOW_BAND: usize = BINS / 2;
 
 impl Way for Steps {
     fn name(&self) -> &'static str {
@@ -119,7 +119,7 @@
     for (_, tally) in seen.tallies.iter().filter(of) {
         all.add(tally);
     }
-    let bad = f64::from(all.failed + all.lost + all.from_band(SLOW_BAND));
+    let bad = f64::from(all.failed + all.lost + all.count_from_bin(SLOW_BAND));
     let answers = f64::from(all.failed + all.lost + all.whole());
     (bad / answers.max(1.0), answers)
 }
