--- a/crates/firdock-node/src/driver.rs
+++ b/crates/firdock-node/src/driver.rs
@@ -209,7 +209,7 @@
                 restarts::note(log, lines, now, self.scheduler.tables(), catalog);
                 self.parts.site.set(catalog);
             }
-            Event::Fresh(at) => self.parts.site.set_fresh(*at),
+            Event::ConfigConfirmed(at) => self.parts.site.set_fresh(*at),
             Event::Endpoint(news) => self.note_news(news),
             Event::CallerLeft(id) => self.note_caller_left(*id),
             Event::Looked(look) => self.decisions.looked(self.parts.clock.now(), look),
--- a/crates/firdock-node/src/peer/beacon/take.rs
+++ b/crates/firdock-node/src/peer/beacon/take.rs
@@ -239,7 +239,7 @@
         };
         let heard = self.reads.hear(now, &teller, told);
         if let Some(at) = heard.fresh {
-            self.tell(Event::Fresh(at)).await;
+            self.tell(Event::ConfigConfirmed(at)).await;
         }
         let starts = self.reads.is_large() && !self.reads.is_known();
         let question = if heard.ask_state && !starts {
--- a/crates/firdock-node/src/peer/heartbeat.rs
+++ b/crates/firdock-node/src/peer/heartbeat.rs
@@ -77,7 +77,7 @@
         };
         let leaving = rows(true)
             .chain(rows(false))
-            .filter(|e| e.leaving_first_hand(now));
+            .filter(|e| e.is_leaving_known_directly(now));
         Self {
             zone: t.settings.zone.clone(),
             held: t.requests.held_by_rank().to_vec(),
--- a/crates/firdock-node/src/placement.rs
+++ b/crates/firdock-node/src/placement.rs
@@ -93,7 +93,7 @@
                 | Event::PeersKnown(_)
                 | Event::GroupDemand(_)
                 | Event::GroupWork(_)
-                | Event::Fresh(_)
+                | Event::ConfigConfirmed(_)
         ) {
             self.coordinator.observe(now, event.clone());
         }
--- a/crates/firdock-node/src/placement/coordinator.rs
+++ b/crates/firdock-node/src/placement/coordinator.rs
@@ -126,7 +126,7 @@
         match event {
             Event::Config(_) if self.members.is_empty() => self.config = Some(event),
             // The next one comes with the next heartbeat.
-            Event::Fresh(_) if self.members.is_empty() => {}
+            Event::ConfigConfirmed(_) if self.members.is_empty() => {}
             event => self.step(now, event),
         }
     }
--- a/crates/firdock-node/src/source.rs
+++ b/crates/firdock-node/src/source.rs
@@ -144,7 +144,7 @@
         if reads.config_at == Time::ZERO || reads.version == 0 {
             return Ok(());
         }
-        self.send(Event::Fresh(reads.config_at)).await
+        self.send(Event::ConfigConfirmed(reads.config_at)).await
     }
 
     /// Counts a call to the store, and writes a line about it.
--- a/crates/firdock-node/src/telemetry/beliefs.rs
+++ b/crates/firdock-node/src/telemetry/beliefs.rs
@@ -70,7 +70,7 @@
     }
 
     fn note_freshness(&mut self, now: Time, t: &Tables) {
-        let Some(until) = t.fresh_until() else {
+        let Some(until) = t.config_valid_until() else {
             return;
         };
         let fresh = until > now;
--- a/crates/firdock-node/src/telemetry/decisions.rs
+++ b/crates/firdock-node/src/telemetry/decisions.rs
@@ -327,7 +327,8 @@
 
 /// Gives the age of the configuration in milliseconds; `None` if it was never known to be the newest.
 pub(super) fn config_age(t: &Tables, now: Time) -> Option<u64> {
-    t.fresh_at.map(|at| millis(now.saturating_sub(at)))
+    t.config_confirmed_at
+        .map(|at| millis(now.saturating_sub(at)))
 }
 
 /// Gives the pace that an endpoint told last, in hundredths of the usual time.
--- a/crates/firdock-node/src/telemetry/endpoints.rs
+++ b/crates/firdock-node/src/telemetry/endpoints.rs
@@ -58,7 +58,7 @@
                 word.age_millis = e.notices.backoff("", now).map(|b| since(b.since));
                 word.left_millis = Some(millis(until.saturating_sub(now)));
             }
-            _ if !e.is_well() => word.state = "ejected",
+            _ if !e.is_healthy() => word.state = "ejected",
             _ => {}
         }
         word
--- a/crates/firdock-node/tests/node/peers.rs
+++ b/crates/firdock-node/tests/node/peers.rs
@@ -370,7 +370,10 @@
         let firdock_node::Input::Event(event) = input else {
             continue;
         };
-        assert!(!matches!(event, Event::Fresh(_)), "an old version is fresh");
+        assert!(
+            !matches!(event, Event::ConfigConfirmed(_)),
+            "an old version is fresh"
+        );
         heard += u32::from(matches!(event, Event::Peer(_)));
     }
     assert!(heard > 0, "no heartbeat came");
--- a/crates/firdock-policy/src/cost.rs
+++ b/crates/firdock-policy/src/cost.rs
@@ -183,7 +183,7 @@
 #[must_use]
 pub fn zone_penalty_secs(mechanisms: Mechanisms, zone: &ZoneId, endpoint: &EndpointRow) -> f64 {
     let near = endpoint.declared.zone == *zone || endpoint.declared.zone.is_empty();
-    match (mechanisms.near_first && !near, endpoint.is_engine()) {
+    match (mechanisms.prefer_own_zone && !near, endpoint.is_engine()) {
         (false, _) => 0.0,
         (true, true) => FAR_ENGINE_SECS,
         (true, false) => FAR_PLAIN_SECS,
--- a/crates/firdock-policy/src/event.rs
+++ b/crates/firdock-policy/src/event.rs
@@ -77,7 +77,8 @@
     /// The leads of all groups hear so many instances, this one among them.
     Reach(usize),
     /// The configuration in force was the newest at this time.
-    Fresh(Time),
+    #[serde(rename = "fresh")]
+    ConfigConfirmed(Time),
     /// Whether an instance answers that places this instance's requests on engines.
     Coordinated(bool),
     /// The coordinator gave a request a place on an engine.
--- a/crates/firdock-policy/src/request.rs
+++ b/crates/firdock-policy/src/request.rs
@@ -193,7 +193,7 @@
     /// Whether the endpoint of the present dispatch answered that it failed.
     pub failure: EndpointFailure,
     /// What the end of the present dispatch's answer proves.
-    pub proof: Proof,
+    pub completion_proof: CompletionProof,
     /// How the present dispatch comes to break, if it does.
     pub breaking: Option<BreakCause>,
     /// How far its placement by a coordinator is.
@@ -216,12 +216,12 @@
 
 /// What the end of an answer proves.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum Proof {
+pub enum CompletionProof {
     /// That the answer is whole, and so that its endpoint lives.
     #[default]
-    Whole,
+    Proven,
     /// Nothing: an endpoint that ends may end its answer so as well.
-    Nothing,
+    Unproven,
 }
 
 /// What of an answer has reached the caller.
@@ -275,7 +275,7 @@
             predicted: Time::ZERO,
             resumed_from: 0,
             failure: EndpointFailure::None,
-            proof: Proof::Whole,
+            completion_proof: CompletionProof::Proven,
             breaking: None,
             placement: PlacementState::NotRequested,
             declined: Vec::new(),
--- a/crates/firdock-policy/src/scheduler.rs
+++ b/crates/firdock-policy/src/scheduler.rs
@@ -71,7 +71,9 @@
             Event::GroupDemand(group) => t.groups.update(now, group),
             Event::GroupWork(group) => t.reported_work.update(now, group.zone, group.work),
             Event::Reach(count) => t.reachable = Some(ReachableInstances { at: now, count }),
-            Event::Fresh(at) => t.fresh_at = t.fresh_at.max(Some(at)),
+            Event::ConfigConfirmed(at) => {
+                t.config_confirmed_at = t.config_confirmed_at.max(Some(at))
+            }
             Event::Coordinated(answers) => coordinate::set(t, now, answers),
             Event::Granted(grant) => coordinate::granted(t, now, &grant, out),
             Event::NotGranted(id, verdict) => coordinate::not_granted(t, now, id, verdict, out),
--- a/crates/firdock-policy/src/settings.rs
+++ b/crates/firdock-policy/src/settings.rs
@@ -28,7 +28,7 @@
     /// Broken streams are resumed on another engine.
     pub resume: bool,
     /// Requests wait a little for an endpoint that has their prefix cached.
-    pub waiting: bool,
+    pub wait_for_cache: bool,
     /// Requests that can no longer be answered in time go after those that can.
     pub late_last: bool,
     /// Held requests go to peers when this instance is full or stops.
@@ -38,9 +38,9 @@
     /// The choice of an endpoint goes by the time to the first token more than by the whole.
     pub first_token: bool,
     /// Engines are shared by whole places that add up over all instances.
-    pub whole_places: bool,
+    pub integer_budgets: bool,
     /// Endpoints in the own availability zone are preferred.
-    pub near_first: bool,
+    pub prefer_own_zone: bool,
 }
 
 impl Mechanisms {
@@ -52,24 +52,24 @@
         demand_shares: true,
         ejection: true,
         resume: true,
-        waiting: true,
+        wait_for_cache: true,
         late_last: true,
         hand_over: true,
         early_refusal: false,
         first_token: false,
-        whole_places: false,
-        near_first: false,
+        integer_budgets: false,
+        prefer_own_zone: false,
     };
 
     /// What serves at the edge of a platform, where callers try another instance by themselves.
     pub const EDGE: Self = Self {
         affinity: false,
-        waiting: false,
+        wait_for_cache: false,
         hand_over: false,
         early_refusal: true,
         first_token: true,
-        whole_places: true,
-        near_first: true,
+        integer_budgets: true,
+        prefer_own_zone: true,
         ..Self::ALL
     };
 }
@@ -132,13 +132,13 @@
     /// Broken dispatches in a row after which an endpoint is ejected.
     pub eject_after: u32,
     /// Age of the configuration beyond which requests with a key are refused.
-    pub fresh_limit: Option<Duration>,
+    pub max_config_age: Option<Duration>,
     /// Age at which a peer's news is stale.
     pub peer_stale_after: Duration,
     /// Grace after a key changed owner (G in `docs/design/keys.md`).
     pub key_grace: Duration,
     /// Time for which a key is remembered.
-    pub key_keep: Duration,
+    pub key_retention: Duration,
     /// Keys remembered at once.
     pub max_keys: usize,
     /// How much a version may be tried before it is known to be good.
@@ -172,10 +172,10 @@
             eject_ratio: settings.endpoints.eject_ratio,
             await_peers: false,
             eject_after: 1,
-            fresh_limit: settings.freshness.serve(),
+            max_config_age: settings.freshness.serve(),
             peer_stale_after: settings.peers.stale_after(),
             key_grace: settings.keys.grace(),
-            key_keep: settings.keys.keep(),
+            key_retention: settings.keys.keep(),
             max_keys: settings.keys.max_keys,
             rollouts: settings.rollouts,
             mechanisms: Mechanisms::ALL,
@@ -190,7 +190,7 @@
     pub fn with_coordination(mut self) -> Self {
         self.coordinates = true;
         // Freshness is looked at where a request is sent.
-        self.fresh_limit = None;
+        self.max_config_age = None;
         self
     }
 
--- a/crates/firdock-policy/src/suspect.rs
+++ b/crates/firdock-policy/src/suspect.rs
@@ -39,7 +39,7 @@
 
 /// A run whose connection ended early: its endpoint may have ended, and under it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct BlamedRun {
+pub struct BrokenRun {
     /// Start of the endpoint.
     pub start: StartId,
     /// What was asked for.
--- a/crates/firdock-policy/src/system/demand.rs
+++ b/crates/firdock-policy/src/system/demand.rs
@@ -15,13 +15,13 @@
 
 /// Takes the rates of arrivals, dispatches and ends, once a period.
 pub fn take_rates(t: &mut Tables, now: Time) {
-    let period = now.saturating_sub(t.rates_taken);
+    let period = now.saturating_sub(t.rates_updated_at);
     if period < RATE_PERIOD {
         return;
     }
     let secs = period.as_secs_f64();
-    t.rates_taken = now;
-    smooth(&mut t.end_rate, &mut t.ended, secs);
+    t.rates_updated_at = now;
+    smooth(&mut t.answer_rate, &mut t.answered, secs);
     t.dispatch_rates.end_period(secs);
     for (_, s) in t.services.iter_mut() {
         smooth(&mut s.rate, &mut s.arrivals, secs);
--- a/crates/firdock-policy/src/system/expire.rs
+++ b/crates/firdock-policy/src/system/expire.rs
@@ -91,7 +91,7 @@
     let wait = |r: &RequestRow| t.services.get(r.service).tier.wait();
     let late = held_where(t, |r| r.arrived + wait(r) <= now);
     shed::lowest_first(t, now, late, waited, out);
-    let limit = now.saturating_sub(t.settings.key_keep);
+    let limit = now.saturating_sub(t.settings.key_retention);
     t.transfers.expire(limit);
     for id in t.keys.expire(limit) {
         out.push(Action::Forget { id });
--- a/crates/firdock-policy/src/system/health.rs
+++ b/crates/firdock-policy/src/system/health.rs
@@ -39,7 +39,7 @@
     };
     let e = t.endpoints.get_mut(at);
     e.missed += 1;
-    if e.missed >= MISSED_REPORTS && e.health == Health::Well {
+    if e.missed >= MISSED_REPORTS && e.health == Health::Healthy {
         eject(t, now, at);
     }
 }
@@ -57,7 +57,7 @@
 pub fn broke(t: &mut Tables, now: Time, at: usize) {
     let e = t.endpoints.get_mut(at);
     e.broken += 1;
-    let probing = e.health != Health::Well;
+    let probing = e.health != Health::Healthy;
     if probing || e.broken >= t.settings.eject_after {
         eject(t, now, at);
     }
@@ -88,7 +88,7 @@
 
 fn is_out(t: &Tables, now: Time, at: usize) -> bool {
     match t.endpoints.get(at).health {
-        Health::Well => false,
+        Health::Healthy => false,
         Health::Ejected(until) => until > now,
         Health::Probing => true,
     }
--- a/crates/firdock-policy/src/system/key.rs
+++ b/crates/firdock-policy/src/system/key.rs
@@ -85,7 +85,7 @@
 
 /// Tells whether every earlier owner transferred its keys, and this one was not among them.
 fn transferred(t: &Tables, key: u64, log_now: LogTime) -> bool {
-    let horizon = log_now.saturating_sub(t.settings.key_keep);
+    let horizon = log_now.saturating_sub(t.settings.key_retention);
     let me = t.settings.member.incarnation;
     let ownership_periods = t.views.ownership_periods(key, horizon);
     !t.transfers.contains(key)
@@ -138,10 +138,10 @@
     let wait = if claim.minted.is_some() {
         grace
     } else {
-        t.settings.key_keep
+        t.settings.key_retention
     };
     let doubtful = since.is_some_and(|s| minted < s + wait) && !transferred(t, claim.hash, log_now);
-    if doubtful || minted + t.settings.key_keep < log_now {
+    if doubtful || minted + t.settings.key_retention < log_now {
         return unknown(Reason::KeyUncertain, Some(RETRY_AFTER));
     }
     if minted >= read + grace {
--- a/crates/firdock-policy/src/system/limit.rs
+++ b/crates/firdock-policy/src/system/limit.rs
@@ -85,7 +85,7 @@
     for used in &news.used {
         let before = match peer.used.get(&used.account) {
             Some(known) if same => *known,
-            None if same && (older || !peer.followed) => used.totals(),
+            None if same && (older || !peer.has_full_use) => used.totals(),
             _ => UseTotals::default(),
         };
         let rise = used.totals().minus(before).named(used.account.clone());
--- a/crates/firdock-policy/src/system/look.rs
+++ b/crates/firdock-policy/src/system/look.rs
@@ -38,7 +38,7 @@
     let state = at.and_then(|at| t.endpoints.get_mut(at).look.take());
     if look.found == Found::Ended {
         // It gets nothing for a while, and what broke there was on board.
-        if let Some(at) = at.filter(|at| t.endpoints.get(*at).is_well()) {
+        if let Some(at) = at.filter(|at| t.endpoints.get(*at).is_healthy()) {
             health::eject(t, now, at);
         }
         suspect::endpoint_ended(t, now, &look.start, out);
--- a/crates/firdock-policy/src/system/news.rs
+++ b/crates/firdock-policy/src/system/news.rs
@@ -6,7 +6,7 @@
 use crate::action::Action;
 use crate::event::{BreakCause, DispatchUpdate, EndpointEvent};
 use crate::request::{
-    DeliveredPart, EndpointFailure, Phase, PlacementState, Proof, RequestRow, Verdict,
+    CompletionProof, DeliveredPart, EndpointFailure, Phase, PlacementState, RequestRow, Verdict,
 };
 use crate::stats::WasteCause;
 use crate::table::Tables;
@@ -154,7 +154,7 @@
 /// Notes that the answer's end proves nothing.
 fn unproven(t: &mut Tables, id: RequestId) {
     if let Some(row) = t.requests.get_mut(id) {
-        row.proof = Proof::Nothing;
+        row.completion_proof = CompletionProof::Unproven;
     }
 }
 
@@ -212,7 +212,9 @@
     let Some(row) = t.requests.get(id) else {
         return;
     };
-    let content = row.content_id().filter(|_| row.proof == Proof::Whole);
+    let content = row
+        .content_id()
+        .filter(|_| row.completion_proof == CompletionProof::Proven);
     let service = row.service;
     let first = row.first.unwrap_or(now);
     let fresh = output.saturating_sub(1);
--- a/crates/firdock-policy/src/system/place.rs
+++ b/crates/firdock-policy/src/system/place.rs
@@ -12,7 +12,7 @@
 use super::suspect::{self, Gate};
 use super::{coordinate, end, fair, key, rollout};
 use crate::action::{Action, Dispatch};
-use crate::request::{EndpointFailure, Phase, Proof, RequestRow};
+use crate::request::{CompletionProof, EndpointFailure, Phase, RequestRow};
 use crate::table::Tables;
 use crate::table::endpoint::{EndpointRow, Health, UnavailableReason};
 use crate::time::Time;
@@ -183,7 +183,7 @@
 /// Only a key can be taken away from a caller, so that public services go on.
 fn fresh_by(t: &Tables, row: &RequestRow) -> Option<Time> {
     let public = t.services.get(row.service).declared.public;
-    t.fresh_until().filter(|_| !public)
+    t.config_valid_until().filter(|_| !public)
 }
 
 /// Tells whether every endpoint that takes the request has had it.
@@ -270,7 +270,7 @@
     row.predicted = choice.estimate.first();
     row.resumed_from = row.delivered;
     row.failure = EndpointFailure::None;
-    row.proof = Proof::Whole;
+    row.completion_proof = CompletionProof::Proven;
     row.breaking = None;
     t.stats.dispatches += 1;
     t.dispatch_rates.record_dispatch(row.pool_key(), row.rank);
--- a/crates/firdock-policy/src/system/place/choice.rs
+++ b/crates/firdock-policy/src/system/place/choice.rs
@@ -129,7 +129,7 @@
     let target = t.services.get(row.service).tier.target();
     let early = now.saturating_sub(row.arrived) < target.mul_f64(WAIT_LIMIT);
     let calm = t.requests.held() <= WAIT_HELD;
-    t.settings.mechanisms.waiting && early && calm && !row.new.blocks.is_empty()
+    t.settings.mechanisms.wait_for_cache && early && calm && !row.new.blocks.is_empty()
 }
 
 /// Tells whether an endpoint may take the request at all.
--- a/crates/firdock-policy/src/system/rollout/versions.rs
+++ b/crates/firdock-policy/src/system/rollout/versions.rs
@@ -56,7 +56,7 @@
 /// Gives how long ago an order that is new here may have come: after the time when the configuration
 /// without it was the newest.
 fn unsure(t: &Tables, now: Time) -> Duration {
-    let before = t.fresh_at.map(|at| now.saturating_sub(at));
+    let before = t.config_confirmed_at.map(|at| now.saturating_sub(at));
     before.unwrap_or_default().min(MOST_UNSURE)
 }
 
@@ -119,7 +119,7 @@
     let Some(since) = e.held_since else {
         return true;
     };
-    t.rollouts.of(&e.declared.pool).is_some() || t.fresh_at.is_none_or(|at| at > since)
+    t.rollouts.of(&e.declared.pool).is_some() || t.config_confirmed_at.is_none_or(|at| at > since)
 }
 
 /// Where a request stands in the roll-out of its pool.
--- a/crates/firdock-policy/src/system/share.rs
+++ b/crates/firdock-policy/src/system/share.rs
@@ -94,8 +94,8 @@
 /// Sets the budgets again if they have not been set for a while: between instances, they change no
 /// faster than demand is told.
 pub fn refresh_budgets(t: &mut Tables, now: Time) {
-    if t.budgets_set + BUDGET_PERIOD <= now {
-        t.budgets_set = now;
+    if t.budgets_updated_at + BUDGET_PERIOD <= now {
+        t.budgets_updated_at = now;
         set_budgets(t, now);
     }
 }
@@ -154,8 +154,8 @@
     }
 
     fn budget(&self, on: Mechanisms, places: f64, e: &EndpointRow, shares: &[f64]) -> u32 {
-        if on.whole_places && e.is_engine() {
-            return self.whole_places(shares, places * f64::from(e.declared.slots), e);
+        if on.integer_budgets && e.is_engine() {
+            return self.integer_budgets(shares, places * f64::from(e.declared.slots), e);
         }
         rounded_places(e, shares[0])
     }
@@ -178,7 +178,7 @@
     }
 
     /// Gives this instance whole places; those nearby get the last ones sooner.
-    fn whole_places(&self, shares: &[f64], places: f64, e: &EndpointRow) -> u32 {
+    fn integer_budgets(&self, shares: &[f64], places: f64, e: &EndpointRow) -> u32 {
         let part = |(row, share): (&'_ Sharer, &f64)| {
             let near = row.zone == e.declared.zone;
             Part {
@@ -188,7 +188,7 @@
             }
         };
         let parts: Vec<Part> = self.rows.iter().zip(shares).map(part).collect();
-        whole_places(&parts, 0, places, e)
+        integer_budgets(&parts, 0, places, e)
     }
 }
 
@@ -219,7 +219,7 @@
 /// Each gets the whole part of its share. The places that are left go by weighted rendezvous: to
 /// the sharers with the greatest numbers that are drawn from the names and weighted by what they
 /// still lack. All instances draw alike, without talking.
-fn whole_places(parts: &[Part], own: usize, places: f64, e: &EndpointRow) -> u32 {
+fn integer_budgets(parts: &[Part], own: usize, places: f64, e: &EndpointRow) -> u32 {
     let whole = |part: &Part| (places * part.share).floor();
     let left = places - parts.iter().map(whole).sum::<f64>();
     let key = rendezvous::hash_key(e.declared.name.as_bytes());
--- a/crates/firdock-policy/src/system/share/crowd.rs
+++ b/crates/firdock-policy/src/system/share/crowd.rs
@@ -85,7 +85,7 @@
 
     /// Gives this instance's budget on an endpoint by a draw of its own.
     pub(super) fn budget(&self, on: Mechanisms, places: f64, e: &EndpointRow, share: f64) -> u32 {
-        if !(on.whole_places && e.is_engine()) {
+        if !(on.integer_budgets && e.is_engine()) {
             return rounded_places(e, share);
         }
         let part = places * f64::from(e.declared.slots) * share;
--- a/crates/firdock-policy/src/system/share/group.rs
+++ b/crates/firdock-policy/src/system/share/group.rs
@@ -8,7 +8,7 @@
 
 use firdock_core::{PoolId, ZoneId};
 
-use super::{Part, whole_places};
+use super::{Part, integer_budgets};
 use crate::system::demand::on_endpoint;
 use crate::system::rollout;
 use crate::table::Tables;
@@ -82,7 +82,7 @@
             };
             let parts: Vec<Part> = shares.map(part).collect();
             let places = f64::from(e.declared.slots);
-            budgets.push((*at, whole_places(&parts, own, places, e)));
+            budgets.push((*at, integer_budgets(&parts, own, places, e)));
         }
     }
     budgets
--- a/crates/firdock-policy/src/system/suspect.rs
+++ b/crates/firdock-policy/src/system/suspect.rs
@@ -10,7 +10,7 @@
 use crate::action::Action;
 use crate::event::BreakCause;
 use crate::request::{Phase, RequestRow, Verdict};
-use crate::suspect::{BlamedRun, SuspectReport};
+use crate::suspect::{BrokenRun, SuspectReport};
 use crate::table::Tables;
 use crate::table::endpoint::EndpointRow;
 use crate::time::Time;
@@ -111,8 +111,8 @@
     }
 }
 
-fn blamed(t: &Tables, now: Time, row: &RequestRow, at: usize) -> Option<(BreakCause, BlamedRun)> {
-    let run = BlamedRun {
+fn blamed(t: &Tables, now: Time, row: &RequestRow, at: usize) -> Option<(BreakCause, BrokenRun)> {
+    let run = BrokenRun {
         start: t.endpoints.get(at).start_id.clone(),
         content: Arc::clone(row.new.content.as_ref()?),
         account: row.new.account.clone(),
@@ -178,7 +178,7 @@
     }
 }
 
-fn blame(t: &mut Tables, now: Time, run: &BlamedRun, at: Time, out: &mut Vec<Action>) {
+fn blame(t: &mut Tables, now: Time, run: &BrokenRun, at: Time, out: &mut Vec<Action>) {
     t.stats.blamed += 1;
     if t.suspects.record_exit(now, run, at) {
         act(t, now, run.content.id, out);
--- a/crates/firdock-policy/src/table.rs
+++ b/crates/firdock-policy/src/table.rs
@@ -83,17 +83,17 @@
     /// Whether [`crate::Action::Drained`] has been given.
     pub drained: bool,
     /// Requests answered since the rate was last taken.
-    pub ended: u32,
+    pub answered: u32,
     /// Requests that end a second, smoothed.
-    pub end_rate: f64,
+    pub answer_rate: f64,
     /// When the budgets on endpoints were last set.
-    pub budgets_set: Time,
+    pub budgets_updated_at: Time,
     /// How fast the endpoints of each pool take requests.
     pub dispatch_rates: dispatch_rates::DispatchRates,
     /// Pools whose servers tell how long work takes there now.
     pub pool_latencies: pool_latency::PoolLatencies,
     /// When the rates were last taken.
-    pub rates_taken: Time,
+    pub rates_updated_at: Time,
     /// Second tries that the budgets still allow.
     pub retry_budgets: retry::RetryBudgets,
     /// Other instances that are known of, whether heard from or not; `None` before anyone told.
@@ -109,7 +109,7 @@
     /// How many instances the leads of all groups heard last.
     pub reachable: Option<ReachableInstances>,
     /// When the configuration in force was last known to be the newest.
-    pub fresh_at: Option<Time>,
+    pub config_confirmed_at: Option<Time>,
     /// Whether a coordinator places this instance's requests on engines.
     pub coordinated: bool,
     /// Roll-outs of pools.
@@ -166,9 +166,9 @@
 
     /// Gives until when requests with a key may be sent by the configuration in force.
     #[must_use]
-    pub fn fresh_until(&self) -> Option<Time> {
-        let limit = self.settings.fresh_limit?;
-        Some(self.fresh_at.map_or(Time::ZERO, |at| at + limit))
+    pub fn config_valid_until(&self) -> Option<Time> {
+        let limit = self.settings.max_config_age?;
+        Some(self.config_confirmed_at.map_or(Time::ZERO, |at| at + limit))
     }
 
     /// Makes empty tables.
@@ -189,12 +189,12 @@
             views,
             draining: false,
             drained: false,
-            ended: 0,
-            end_rate: 0.0,
-            budgets_set: Time::ZERO,
+            answered: 0,
+            answer_rate: 0.0,
+            budgets_updated_at: Time::ZERO,
             dispatch_rates: dispatch_rates::DispatchRates::default(),
             pool_latencies: pool_latency::PoolLatencies::default(),
-            rates_taken: Time::ZERO,
+            rates_updated_at: Time::ZERO,
             retry_budgets: retry::RetryBudgets::new(),
             known_peers: None,
             backoffs_until: Time::ZERO,
@@ -202,7 +202,7 @@
             reported_work: share::ReportedWork::default(),
             levels: share::Levels::default(),
             reachable: None,
-            fresh_at: None,
+            config_confirmed_at: None,
             coordinated: false,
             rollouts: rollout::Rollouts::default(),
             suspects: suspects::Suspects::default(),
--- a/crates/firdock-policy/src/table/endpoint.rs
+++ b/crates/firdock-policy/src/table/endpoint.rs
@@ -66,7 +66,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Health {
     /// Takes work.
-    Well,
+    Healthy,
     /// Takes no work until the time given.
     Ejected(Time),
     /// Takes one request at a time until one succeeds.
@@ -179,7 +179,7 @@
             listed_leaving: false,
             reported_leaving: false,
             peer_leaving: None,
-            health: Health::Well,
+            health: Health::Healthy,
             failures: 0,
             broken: 0,
             look: None,
@@ -253,15 +253,15 @@
 
     /// Tells whether this instance knows of the leaving by itself, and may tell peers.
     #[must_use]
-    pub fn leaving_first_hand(&self, now: Time) -> bool {
+    pub fn is_leaving_known_directly(&self, now: Time) -> bool {
         let source = self.leaving_source(now);
         source.is_some_and(|s| s != LeavingSource::Peer)
     }
 
     /// Tells whether nothing that was seen of it speaks against it.
     #[must_use]
-    pub fn is_well(&self) -> bool {
-        self.health == Health::Well
+    pub fn is_healthy(&self) -> bool {
+        self.health == Health::Healthy
     }
 
     /// Tells whether it may get work of an instance now, or why not.
@@ -320,7 +320,7 @@
     pub fn recover(&mut self) {
         self.failures = 0;
         self.broken = 0;
-        self.health = Health::Well;
+        self.health = Health::Healthy;
     }
 
     /// Learns from the time to the first token of a dispatch that had `work` prompt tokens before it.
--- a/crates/firdock-policy/src/table/ends.rs
+++ b/crates/firdock-policy/src/table/ends.rs
@@ -6,7 +6,7 @@
 
 use firdock_core::StartId;
 
-use crate::suspect::BlamedRun;
+use crate::suspect::BrokenRun;
 use crate::time::Time;
 
 /// Time between a run that breaks and the news that its endpoint has ended: an entry lapses after some
@@ -20,14 +20,14 @@
 /// Ends and broken runs of the last seconds, in whichever order they become known.
 #[derive(Debug, Default)]
 pub struct Ends {
-    runs: VecDeque<BlamedRun>,
+    runs: VecDeque<BrokenRun>,
     ended: BTreeMap<StartId, Time>,
 }
 
 impl Ends {
     /// Takes a run that broke with its connection; gives when its endpoint ended, if that is known, and
     /// keeps the run otherwise.
-    pub fn take_run(&mut self, now: Time, run: &BlamedRun) -> Option<Time> {
+    pub fn take_run(&mut self, now: Time, run: &BrokenRun) -> Option<Time> {
         self.sweep(now);
         let ended = self.ended.get(&run.start).copied();
         if ended.is_none() {
@@ -40,7 +40,7 @@
     }
 
     /// Takes it that an endpoint's process has ended; gives the runs that broke there.
-    pub fn take_end(&mut self, now: Time, start: &StartId) -> Vec<BlamedRun> {
+    pub fn take_end(&mut self, now: Time, start: &StartId) -> Vec<BrokenRun> {
         self.sweep(now);
         if self.ended.len() < MOST_ENDS {
             self.ended.entry(start.clone()).or_insert(now);
@@ -49,8 +49,8 @@
     }
 
     /// Gives the runs that broke at an endpoint, and keeps them no more.
-    pub fn take_runs(&mut self, start: &StartId) -> Vec<BlamedRun> {
-        let (there, others): (Vec<BlamedRun>, Vec<BlamedRun>) =
+    pub fn take_runs(&mut self, start: &StartId) -> Vec<BrokenRun> {
+        let (there, others): (Vec<BrokenRun>, Vec<BrokenRun>) =
             self.runs.drain(..).partition(|r| r.start == *start);
         self.runs = others.into();
         there
--- a/crates/firdock-policy/src/table/peer.rs
+++ b/crates/firdock-policy/src/table/peer.rs
@@ -50,7 +50,7 @@
     /// What it has let pass of limited accounts since that start, where instances are few.
     pub used: BTreeMap<AccountId, UseTotals>,
     /// Whether that holds all accounts that it told of since that start.
-    pub followed: bool,
+    pub has_full_use: bool,
     /// Requests of this instance that are with it.
     pub handed_over: u32,
 }
@@ -68,7 +68,7 @@
             draining: false,
             incarnation: Uuid::nil(),
             used: BTreeMap::new(),
-            followed: true,
+            has_full_use: true,
             handed_over: 0,
         }
     }
@@ -82,10 +82,10 @@
         self.draining = news.draining;
         if self.incarnation != news.incarnation {
             self.used.clear();
-            self.followed = true;
+            self.has_full_use = true;
         }
         self.incarnation = news.incarnation;
-        self.followed &= follows;
+        self.has_full_use &= follows;
         if follows {
             let used = news.used.iter().map(|u| (u.account.clone(), u.totals()));
             self.used.extend(used);
--- a/crates/firdock-policy/src/table/suspects.rs
+++ b/crates/firdock-policy/src/table/suspects.rs
@@ -10,7 +10,7 @@
 
 use firdock_core::{AccountId, Content, ContentId, ServiceId, StartId};
 
-use crate::suspect::{BlamedRun, SuspectReport, ToldEnd};
+use crate::suspect::{BrokenRun, SuspectReport, ToldEnd};
 use crate::time::Time;
 
 /// Ends that put a request into quarantine. One or two may be chance: a server that ends for another
@@ -203,7 +203,7 @@
     }
 
     /// Notes that an endpoint ended with a request on board; tells whether that is new.
-    pub fn record_exit(&mut self, now: Time, of: &BlamedRun, at: Time) -> bool {
+    pub fn record_exit(&mut self, now: Time, of: &BrokenRun, at: Time) -> bool {
         let end = End {
             start: of.start.clone(),
             sent: of.sent,
--- a/crates/firdock-policy/tests/policy/coordinate.rs
+++ b/crates/firdock-policy/tests/policy/coordinate.rs
@@ -137,7 +137,7 @@
         verdict(&actions),
         Some((Outcome::NotRun, Reason::StateStale))
     );
-    edge.step(Event::Fresh(edge.now));
+    edge.step(Event::ConfigConfirmed(edge.now));
     edge.arrive(request(2, "once", "free"));
     edge.now += millis(4_100);
     assert!(verdict(&edge.step(Event::Timer)).is_some());
--- a/crates/firdock-policy/tests/policy/edge.rs
+++ b/crates/firdock-policy/tests/policy/edge.rs
@@ -25,7 +25,7 @@
     let mut s = settings(name).with_mechanisms(Mechanisms::EDGE);
     s.max_held = 1_000;
     s.retry_slack = Some(30.0);
-    s.fresh_limit = Some(millis(4_000));
+    s.max_config_age = Some(millis(4_000));
     s.with_eject_after(3).with_await_peers()
 }
 
@@ -114,7 +114,7 @@
         };
         let catalog = Catalog::new(1).with_resources(resources);
         edge.step(Event::Config(Arc::new(catalog)));
-        edge.step(Event::Fresh(edge.now));
+        edge.step(Event::ConfigConfirmed(edge.now));
         edge
     }
 
@@ -199,7 +199,7 @@
     let mut edge = Edge::new(edge_settings("a"), resources());
     edge.arrive(request(1, "safe", "free"));
     assert_eq!(verdict(&edge.after(millis(4_900))), None);
-    edge.step(Event::Fresh(edge.now));
+    edge.step(Event::ConfigConfirmed(edge.now));
     let actions = edge.after(millis(101));
     assert_eq!(
         verdict(&actions),
@@ -236,10 +236,10 @@
     edge.now += millis(10_000);
     let stale = edge.tell(1, 1, DispatchUpdate::Lapsed);
     assert_eq!(verdict(&stale), Some((Outcome::NotRun, Reason::StateStale)));
-    edge.step(Event::Fresh(edge.now));
+    edge.step(Event::ConfigConfirmed(edge.now));
     let mut edge = Edge::new(edge_settings("a"), resources());
     edge.arrive(request(1, "once", "free"));
-    edge.step(Event::Fresh(edge.now + millis(1)));
+    edge.step(Event::ConfigConfirmed(edge.now + millis(1)));
     let again = dispatched(&edge.tell(1, 1, DispatchUpdate::Lapsed));
     assert_eq!((first.len(), again.len()), (1, 1));
 }
@@ -329,7 +329,7 @@
     // A pace of about two dispatches a second, with all places taken.
     for n in 0..40 {
         edge.now += millis(500);
-        edge.step(Event::Fresh(edge.now));
+        edge.step(Event::ConfigConfirmed(edge.now));
         edge.arrive(request(n, "safe", "free"));
         edge.step(Event::Timer);
         edge.end(n);
--- a/crates/firdock-policy/tests/policy/failures.rs
+++ b/crates/firdock-policy/tests/policy/failures.rs
@@ -18,7 +18,7 @@
 
 fn arrived() -> Edge {
     let mut edge = Edge::new(edge_settings("a"), resources());
-    edge.step(Event::Fresh(edge.now));
+    edge.step(Event::ConfigConfirmed(edge.now));
     edge.arrive(request(1, "safe", "free"));
     edge
 }
@@ -53,12 +53,12 @@
     let mut alone = resources();
     alone.retain(|r| !format!("{r:?}").contains("\"e2\""));
     let mut edge = Edge::new(edge_settings("a"), alone);
-    edge.step(Event::Fresh(edge.now));
+    edge.step(Event::ConfigConfirmed(edge.now));
     edge.arrive(request(1, "safe", "free"));
     let mut actions = fails(&mut edge, 1);
     for _ in 0..600 {
         edge.now += millis(10);
-        edge.step(Event::Fresh(edge.now));
+        edge.step(Event::ConfigConfirmed(edge.now));
         actions.extend(edge.step(Event::Timer));
     }
     assert!(is_passed(&actions), "{actions:?}");
--- a/crates/firdock-policy/tests/policy/limits.rs
+++ b/crates/firdock-policy/tests/policy/limits.rs
@@ -20,7 +20,7 @@
     let mut served = 0;
     for n in 0..400 {
         edge.now += millis(25);
-        edge.step(Event::Fresh(edge.now));
+        edge.step(Event::ConfigConfirmed(edge.now));
         let actions = edge.arrive(request(n, "safe", "limited"));
         match verdict(&actions) {
             None => {
@@ -74,7 +74,7 @@
     let mut served = 0;
     for n in 0..count {
         edge.now += pause;
-        edge.step(Event::Fresh(edge.now));
+        edge.step(Event::ConfigConfirmed(edge.now));
         for event in told {
             edge.step(event.clone());
         }
@@ -102,11 +102,11 @@
     edge.step(peer(5_000.0, 1));
     edge.now += millis(1_000);
     edge.step(peer(5_000.0, 1));
-    edge.step(Event::Fresh(edge.now));
+    edge.step(Event::ConfigConfirmed(edge.now));
     assert_eq!(verdict(&edge.arrive(request(1, "safe", "limited"))), None);
     edge.now += millis(1_000);
     edge.step(peer(5_300.0, 1));
-    edge.step(Event::Fresh(edge.now));
+    edge.step(Event::ConfigConfirmed(edge.now));
     let refused = verdict(&edge.arrive(request(2, "safe", "limited")));
     assert_eq!(refused, Some((Outcome::NotRun, Reason::RateLimited)));
 }
@@ -130,7 +130,7 @@
     edge.step(Event::Reach(40));
     let arrive = |edge: &mut Edge, n: u64, pause: u64| {
         edge.now += millis(pause);
-        edge.step(Event::Fresh(edge.now));
+        edge.step(Event::ConfigConfirmed(edge.now));
         edge.step(Event::Reach(40));
         verdict(&edge.arrive(request(n, "safe", "limited")))
     };
@@ -163,7 +163,7 @@
     let mut edge = Edge::new(edge_settings("a"), resources());
     edge.step(peer(5_000.0, 1));
     edge.now += millis(1_000);
-    edge.step(Event::Fresh(edge.now));
+    edge.step(Event::ConfigConfirmed(edge.now));
     edge.step(peer(300.0, 2));
     let refused = verdict(&edge.arrive(request(1, "safe", "limited")));
     assert_eq!(refused, Some((Outcome::NotRun, Reason::RateLimited)));
@@ -228,7 +228,7 @@
         };
         edge.step(Event::Peer(first));
         edge.now += millis(1_000);
-        edge.step(Event::Fresh(edge.now));
+        edge.step(Event::ConfigConfirmed(edge.now));
         edge.step(Event::Peer(told(peer, 900_000.0)));
         let new = verdict(&edge.arrive(request(1, "safe", "limited")));
         assert_eq!(new.is_none(), passes, "began at {secs} s");
@@ -241,7 +241,7 @@
     let mut told = Vec::new();
     for (n, pause) in [1_000, 1_000, 4_900, 5_100].into_iter().enumerate() {
         edge.now += millis(pause);
-        edge.step(Event::Fresh(edge.now));
+        edge.step(Event::ConfigConfirmed(edge.now));
         edge.arrive(request(n as u64, "safe", "limited"));
         let used = used_limits(edge.scheduler.tables(), edge.now);
         told.push((used[0].units, used[0].before.units));
@@ -267,7 +267,7 @@
     for round in 0..secs * 50 {
         for (n, edge) in edges.iter_mut().enumerate() {
             edge.now += millis(20);
-            edge.step(Event::Fresh(edge.now));
+            edge.step(Event::ConfigConfirmed(edge.now));
             edge.step(Event::Reach(instances));
             if (round + n as u64).is_multiple_of(5) {
                 let at = round * 1_000 + n as u64;
@@ -331,7 +331,7 @@
 fn a_request_that_ran_nowhere_is_given_back_to_its_accounts_limit() {
     let mut edge = Edge::new(edge_settings("a"), resources());
     edge.now += millis(1_000);
-    edge.step(Event::Fresh(edge.now));
+    edge.step(Event::ConfigConfirmed(edge.now));
     for n in 1..=3 {
         assert_eq!(verdict(&edge.arrive(request(n, "once", "limited"))), None);
         let first = edge.tell(n, 1, REFUSED);
--- a/crates/firdock-policy/tests/policy/notices.rs
+++ b/crates/firdock-policy/tests/policy/notices.rs
@@ -70,7 +70,7 @@
 
 /// Where requests go that come at once, each ended as soon as all are here.
 fn reached(edge: &mut Edge, numbers: std::ops::Range<u64>) -> Vec<String> {
-    edge.step(Event::Fresh(edge.now));
+    edge.step(Event::ConfigConfirmed(edge.now));
     let mut actions: Vec<Action> = Vec::new();
     for n in numbers {
         actions.extend(edge.arrive(request(n, "safe", "free")));
@@ -223,7 +223,7 @@
     }
     assert_eq!(
         (row(&edge, "e1").health, row(&edge, "e1").broken),
-        (Health::Well, 0)
+        (Health::Healthy, 0)
     );
 }
 
@@ -303,7 +303,7 @@
     let mut queue: Vec<Action> = Vec::new();
     while edge.now < began + millis(3_500) {
         edge.now += millis(25);
-        edge.step(Event::Fresh(edge.now));
+        edge.step(Event::ConfigConfirmed(edge.now));
         queue.extend(edge.step(Event::Timer));
         if edge.now <= began + millis(3_000) {
             sent += 1;
--- a/crates/firdock-policy/tests/policy/paced.rs
+++ b/crates/firdock-policy/tests/policy/paced.rs
@@ -87,7 +87,7 @@
         edge.tell(1_000 + n, 1, TOKENS);
         edge.now += Time::from_secs_f64(slow * 384.0 * 0.008);
         edge.tell(1_000 + n, 1, ended(tokens, 385));
-        edge.step(Event::Fresh(edge.now));
+        edge.step(Event::ConfigConfirmed(edge.now));
     }
 }
 
@@ -235,7 +235,7 @@
     edge.now += millis(1);
     told(edge, "e1", 68);
     told(edge, "e2", 300);
-    edge.step(Event::Fresh(edge.now));
+    edge.step(Event::ConfigConfirmed(edge.now));
 }
 
 #[test]
@@ -289,7 +289,7 @@
         edge.tell(n, 1, TOKENS);
         edge.now += Time::from_secs_f64(slow * 384.0 * 0.008);
         edge.tell(n, 1, ended(4_000, 385));
-        edge.step(Event::Fresh(edge.now));
+        edge.step(Event::ConfigConfirmed(edge.now));
     }
     edge
 }
@@ -356,7 +356,7 @@
         edge.now += millis(20);
         told(&mut edge, &at, 100);
         edge.end(n);
-        edge.step(Event::Fresh(edge.now));
+        edge.step(Event::ConfigConfirmed(edge.now));
     }
     place(&mut edge, request(100, "safe", "free"));
     let row = edge.scheduler.tables().requests.get(id(100));
--- a/crates/firdock-policy/tests/policy/restart.rs
+++ b/crates/firdock-policy/tests/policy/restart.rs
@@ -144,7 +144,7 @@
     let fresh = row(&d, &name);
     assert_eq!(
         (fresh.health, fresh.failures, fresh.broken),
-        (Health::Well, 0, 0)
+        (Health::Healthy, 0, 0)
     );
     // The row of the earlier start goes with the next configuration, since nothing is there any more.
     let rows = d.scheduler.tables().endpoints.len();
--- a/crates/firdock-policy/tests/policy/rollout.rs
+++ b/crates/firdock-policy/tests/policy/rollout.rs
@@ -117,7 +117,7 @@
     fn second(&mut self, bad: impl Fn(u64, &str) -> bool) {
         for _ in 0..100 {
             self.edge.now += PAUSE;
-            let fresh = Event::Fresh(self.edge.now);
+            let fresh = Event::ConfigConfirmed(self.edge.now);
             self.edge.step(fresh);
             let actions = self.edge.step(Event::Timer);
             self.note(&actions);
@@ -251,7 +251,7 @@
             .and_then(|r| r.canaries.first().copied());
         for _ in 0..100 {
             site.edge.now += PAUSE;
-            let fresh = Event::Fresh(site.edge.now);
+            let fresh = Event::ConfigConfirmed(site.edge.now);
             site.edge.step(fresh);
             let actions = site.edge.step(Event::Timer);
             site.note(&actions);
@@ -372,7 +372,7 @@
         site.edge.end(sent.0);
     }
     // Without an order by then, they are as good as any: more than the old ones have places for come.
-    let fresh = Event::Fresh(site.edge.now);
+    let fresh = Event::ConfigConfirmed(site.edge.now);
     site.edge.step(fresh);
     for _ in 0..100 * (ENGINES + 1) {
         site.send("safe");
--- a/crates/firdock-policy/tests/policy/scene.rs
+++ b/crates/firdock-policy/tests/policy/scene.rs
@@ -29,7 +29,7 @@
     name.clone_into(&mut s.member.name);
     s.max_held = 6;
     s.key_grace = Duration::from_secs(2);
-    s.key_keep = Duration::from_mins(1);
+    s.key_retention = Duration::from_mins(1);
     s
 }
 
--- a/crates/firdock-policy/tests/policy/suspects.rs
+++ b/crates/firdock-policy/tests/policy/suspects.rs
@@ -102,7 +102,7 @@
     }
 
     fn arrives(&mut self, new: NewRequest) -> Option<(u32, String)> {
-        self.edge.step(Event::Fresh(self.edge.now));
+        self.edge.step(Event::ConfigConfirmed(self.edge.now));
         let actions = self.edge.arrive(new);
         self.sent(actions)
     }
@@ -245,7 +245,7 @@
     let mut version = 1;
     while edge.now < began + millis(20_500) {
         edge.now += millis(20);
-        edge.step(Event::Fresh(edge.now));
+        edge.step(Event::ConfigConfirmed(edge.now));
         queue.extend(edge.step(Event::Timer));
         // Starts that are due, in place of what ended.
         if names
--- a/crates/firdock-policy/tests/policy/suspects/evidence.rs
+++ b/crates/firdock-policy/tests/policy/suspects/evidence.rs
@@ -131,7 +131,7 @@
 fn broken_connections_to_endpoints_that_live_convict_nothing() {
     let mut edge = before(8);
     for n in 1..=9 {
-        edge.step(Event::Fresh(edge.now));
+        edge.step(Event::ConfigConfirmed(edge.now));
         let sent = dispatched(&edge.arrive(with_body(n, "once", "hot")));
         edge.now += RUN;
         if n.is_multiple_of(3) {
@@ -196,7 +196,7 @@
 fn an_end_counts_once_in_whichever_order_it_becomes_known() {
     let mut edge = before(1);
     for n in 1..=2 {
-        edge.step(Event::Fresh(edge.now));
+        edge.step(Event::ConfigConfirmed(edge.now));
         edge.arrive(with_body(n, "once", "deadly"));
     }
     edge.now += RUN;
@@ -248,7 +248,7 @@
 fn a_look_that_began_before_a_break_is_made_again() {
     let mut edge = before(1);
     for n in 1..=3 {
-        edge.step(Event::Fresh(edge.now));
+        edge.step(Event::ConfigConfirmed(edge.now));
         edge.arrive(with_body(n, "once", &format!("b{n}")));
     }
     let looks = |actions: &[Action]| {
--- a/crates/firdock-standin/src/measure/plan.rs
+++ b/crates/firdock-standin/src/measure/plan.rs
@@ -135,7 +135,7 @@
                 ..all
             },
             Self::NoWaiting => Mechanisms {
-                waiting: false,
+                wait_for_cache: false,
                 ..all
             },
             _ => all,
