--- a/crates/firdock-policy/src/system/demand.rs
+++ b/crates/firdock-policy/src/system/demand.rs
@@ -21,7 +21,7 @@
     }
     let secs = period.as_secs_f64();
     t.rates_updated_at = now;
-    smooth(&mut t.answer_rate, &mut t.answered, secs);
+    smooth(&mut t.finish_rate, &mut t.finished, secs);
     t.dispatch_rates.end_period(secs);
     for (_, s) in t.services.iter_mut() {
         smooth(&mut s.rate, &mut s.arrivals, secs);
--- a/crates/firdock-policy/src/system/end.rs
+++ b/crates/firdock-policy/src/system/end.rs
@@ -91,7 +91,7 @@
     if let Some(claim) = row.new.key.filter(|_| row.minted.is_some()) {
         t.keys.record_outcome(now, claim.hash, id, outcome);
     }
-    t.answered += 1;
+    t.finished += 1;
     *t.stats.outcomes.entry(outcome).or_default() += 1;
     Some(row)
 }
@@ -184,7 +184,7 @@
 
 /// Estimates when the queue will have room, and an endpoint of the request takes any.
 fn retry_after(t: &Tables, now: Time, row: &RequestRow) -> Duration {
-    let wait = t.requests.held() as f64 / t.answer_rate.max(1.0);
+    let wait = t.requests.held() as f64 / t.finish_rate.max(1.0);
     let room = Duration::from_secs_f64(wait).clamp(RETRY_TIMES.0, RETRY_TIMES.1);
     let open = backoff::retry_after(t, now, row).unwrap_or_default();
     room.max(open)
--- a/crates/firdock-policy/src/table.rs
+++ b/crates/firdock-policy/src/table.rs
@@ -83,9 +83,9 @@
     /// Whether [`crate::Action::Drained`] has been given.
     pub drained: bool,
     /// Requests answered since the rate was last taken.
-    pub answered: u32,
+    pub finished: u32,
     /// Requests that end a second, smoothed.
-    pub answer_rate: f64,
+    pub finish_rate: f64,
     /// When the budgets on endpoints were last set.
     pub budgets_updated_at: Time,
     /// How fast the endpoints of each pool take requests.
@@ -189,8 +189,8 @@
             views,
             draining: false,
             drained: false,
-            answered: 0,
-            answer_rate: 0.0,
+            finished: 0,
+            finish_rate: 0.0,
             budgets_updated_at: Time::ZERO,
             dispatch_rates: dispatch_rates::DispatchRates::default(),
             pool_latencies: pool_latency::PoolLatencies::default(),
