--- a/crates/firdock-node/src/driver.rs
+++ b/crates/firdock-node/src/driver.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 use firdock_core::RequestId;
-use firdock_policy::event::{DispatchNews, EndpointEvent, HandOverEvent};
+use firdock_policy::event::{DispatchUpdate, EndpointEvent, HandOverEvent};
 use firdock_policy::{Action, Event, Policy as _, Scheduler, Time};
 use slog::{Logger, warn};
 use tokio::runtime::Handle;
@@ -209,11 +209,11 @@
                 restarts::note(log, lines, now, self.scheduler.tables(), catalog);
                 self.parts.site.set(catalog);
             }
-            Event::Fresh(at) => self.parts.site.set_fresh(*at),
+            Event::ConfigConfirmed(at) => self.parts.site.set_fresh(*at),
             Event::Endpoint(news) => self.note_news(news),
             Event::CallerLeft(id) => self.note_caller_left(*id),
             Event::LivenessChecked(look) => self.decisions.looked(self.parts.clock.now(), look),
-            Event::Noticed(told) => self.decisions.noticed(self.parts.clock.now(), told),
+            Event::NoticeReported(told) => self.decisions.noticed(self.parts.clock.now(), told),
             _ => {}
         }
         self.apply(event);
@@ -236,31 +236,31 @@
             return;
         };
         let now = self.parts.clock.now();
-        if let DispatchNews::Ended { .. } | DispatchNews::Broke { .. } = event.news {
+        if let DispatchUpdate::Ended { .. } | DispatchUpdate::Broke { .. } = event.update {
             let end = live.exchange.delivered().end;
             if let Some(end) = end {
                 self.parts.metrics.count_answer_end(end);
             }
         }
-        let failed = match event.news {
-            DispatchNews::Ended { .. } => {
+        let failed = match event.update {
+            DispatchUpdate::Ended { .. } => {
                 self.parts.metrics.observe_answer(now, row);
                 self.decisions
                     .answered(now, self.scheduler.tables(), row, &live.exchange);
                 return;
             }
-            DispatchNews::Started { .. }
-            | DispatchNews::Tokens { .. }
-            | DispatchNews::Failed
-            | DispatchNews::FailureKept
-            | DispatchNews::Unproven
-            | DispatchNews::Unresumable
-            | DispatchNews::Breaking(_) => return,
-            DispatchNews::Refused { unreachable: true } => "unreachable",
-            DispatchNews::Refused { unreachable: false } => "refused",
-            DispatchNews::Lapsed => "lapsed",
-            DispatchNews::Withheld => "withheld",
-            DispatchNews::Broke { .. } => "broke",
+            DispatchUpdate::Started { .. }
+            | DispatchUpdate::Tokens { .. }
+            | DispatchUpdate::Failed
+            | DispatchUpdate::FailureKept
+            | DispatchUpdate::Unproven
+            | DispatchUpdate::Unresumable
+            | DispatchUpdate::Breaking(_) => return,
+            DispatchUpdate::Refused { unreachable: true } => "unreachable",
+            DispatchUpdate::Refused { unreachable: false } => "refused",
+            DispatchUpdate::Lapsed => "lapsed",
+            DispatchUpdate::Withheld => "withheld",
+            DispatchUpdate::Broke { .. } => "broke",
         };
         self.decisions
             .dispatch_failed(now, self.scheduler.tables(), row, failed, &live.exchange);
--- a/crates/firdock-node/src/endpoint/relay/plain.rs
+++ b/crates/firdock-node/src/endpoint/relay/plain.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use firdock_policy::event::DispatchNews;
+use firdock_policy::event::DispatchUpdate;
 
 use tokio::time::timeout;
 
@@ -53,7 +53,7 @@
         return;
     };
     run.delivered().failure = Some(WholeAnswer { head, body });
-    run.tell(DispatchNews::FailureKept).await;
+    run.tell(DispatchUpdate::FailureKept).await;
 }
 
 /// What was read of a body.
@@ -86,7 +86,7 @@
     head: AnswerHead,
     bytes: Bytes,
 ) -> Result<(), DispatchError> {
-    run.tell(DispatchNews::Started { head_sent: true }).await;
+    run.tell(DispatchUpdate::Started { head_sent: true }).await;
     run.pass(Part::Head(head)).await?;
     if bytes.is_empty() {
         return Ok(());
--- a/crates/firdock-node/src/peer/beacon.rs
+++ b/crates/firdock-node/src/peer/beacon.rs
@@ -19,8 +19,8 @@
 use firdock_core::Offset;
 use firdock_policy::event::{AccountWork, Member, PoolDemand};
 use firdock_policy::rollout::{Evidence, Stage};
-use firdock_policy::sums::UseSums;
 use firdock_policy::table::suspects::Revision;
+use firdock_policy::usage::UseAggregator;
 use firdock_policy::{Event, Time};
 use firdock_wire::PROTOCOL;
 use firdock_wire::message::{Beacon, datagram};
@@ -101,7 +101,7 @@
     /// Instances that are asked first at the start.
     pub seeds: Vec<SocketAddr>,
     /// Counts of what all instances let pass of limits, where this one leads.
-    pub sums: Mutex<UseSums>,
+    pub sums: Mutex<UseAggregator>,
     /// Answers of which parts came.
     pub partial_replies: Mutex<PartialReplies>,
     /// Way to the scheduler.
@@ -326,7 +326,7 @@
             site_known: lead.site_size as u32,
             group_demand: write_demand(&lead.group_demand),
             power: self.directory.millicores(),
-            rollouts: write_words(&self_status.rollouts.words),
+            rollouts: write_words(&self_status.rollouts.statuses),
             rollout_seen: write_seen(&self_status.rollouts.own),
             group_rollout_seen: write_seen(&lead.group_seen),
             group_work: write_work(&lead.group_work),
--- a/crates/firdock-node/src/peer/beacon/take.rs
+++ b/crates/firdock-node/src/peer/beacon/take.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use firdock_policy::event::{GroupDemand, GroupEvidence, GroupWork, PeerNews, UseCounts};
+use firdock_policy::event::{GroupDemand, GroupEvidence, GroupWork, PeerUpdate, UseCounts};
 use firdock_policy::{Event, Time};
 use firdock_wire::PROTOCOL;
 use firdock_wire::message::{
@@ -159,7 +159,7 @@
         news.seen = read_seen(beacon.rollout_seen);
         let near = self.directory.is_own_zone(&news.zone);
         if near {
-            self.sums().hear_member(now, &news.own_use());
+            self.sums().add_member_report(now, &news.own_use());
         }
         if !beacon.use_began.is_empty() {
             let told = if near {
@@ -174,9 +174,9 @@
                 counts: read_uses(told),
             };
             if near {
-                self.tell(Event::SiteUsed(counts)).await;
+                self.tell(Event::SiteUseReported(counts)).await;
             } else {
-                self.sums().hear_group(now, &news.zone, &counts);
+                self.sums().add_group_report(now, &news.zone, &counts);
             }
         }
         if outcome != Some(HeartbeatOutcome::Untracked) {
@@ -233,7 +233,7 @@
 
     /// Takes what a peer read; it is asked for what it has newer, and for its clock where its word
     /// counts.
-    async fn take_reads(&self, news: &PeerNews, told: ReadState, from: SocketAddr) {
+    async fn take_reads(&self, news: &PeerUpdate, told: ReadState, from: SocketAddr) {
         let now = self.clock.now();
         let teller = PeerProcess {
             name: news.name.clone(),
@@ -241,7 +241,7 @@
         };
         let merged = self.reads.merge_report(now, &teller, told);
         if let Some(at) = merged.fresh {
-            self.tell(Event::Fresh(at)).await;
+            self.tell(Event::ConfigConfirmed(at)).await;
         }
         let starts = self.reads.is_large() && !self.reads.is_known();
         let question = if merged.ask_state && !starts {
--- a/crates/firdock-node/src/peer/beacon/usage.rs
+++ b/crates/firdock-node/src/peer/beacon/usage.rs
@@ -3,7 +3,7 @@
 use std::sync::{MutexGuard, PoisonError};
 
 use firdock_policy::event::{PeerUse, UseCounts};
-use firdock_policy::sums::UseSums;
+use firdock_policy::usage::UseAggregator;
 use firdock_policy::{Event, Time};
 use firdock_wire::message::Beacon;
 use uuid::Uuid;
@@ -45,22 +45,22 @@
     /// that its counts are known when the lead falls.
     pub(super) async fn count_use(&self, tick: usize, now: Time) -> (ToldUse, ToldUse) {
         if self.directory.is_single_group() || !self.directory.is_reporter(now) {
-            self.sums().end();
+            self.sums().reset();
             return Default::default();
         }
         let me = &self.member.name;
         let (group, site) = {
             let mut sums = self.sums();
-            sums.begin(Uuid::now_v7);
-            sums.hear_member(now, &self.own_use());
+            sums.start(Uuid::now_v7);
+            sums.add_member_report(now, &self.own_use());
             sums.sweep(now);
             if !self.directory.is_lead(now) && !tick.is_multiple_of(TELL_EVERY) {
                 return Default::default();
             }
-            (sums.take_for_leads(me), sums.take_for_group(me))
+            (sums.report_for_leads(me), sums.report_for_group(me))
         };
         if let Some(counts) = site.clone() {
-            self.tell(Event::SiteUsed(counts)).await;
+            self.tell(Event::SiteUseReported(counts)).await;
         }
         let for_group = site.map_or(ToldUse::Nothing, ToldUse::Site);
         let for_leads = group.map_or(ToldUse::Nothing, ToldUse::Group);
@@ -76,7 +76,7 @@
         }
     }
 
-    pub(super) fn sums(&self) -> MutexGuard<'_, UseSums> {
+    pub(super) fn sums(&self) -> MutexGuard<'_, UseAggregator> {
         self.sums.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/firdock-node/src/peer/book/group.rs
+++ b/crates/firdock-node/src/peer/book/group.rs
@@ -13,7 +13,7 @@
 use firdock_core::{InstanceId, ZoneId};
 use firdock_policy::Time;
 use firdock_policy::event::PoolDemand;
-use firdock_policy::table::SMALL_SITE;
+use firdock_policy::table::SINGLE_GROUP_LIMIT;
 
 use super::{Entries, Entry, Millicores, PeerDirectory, PeerRecord, known_peer};
 
@@ -268,7 +268,7 @@
 
     /// Tells the same by those that are known here, if these are all.
     fn is_single_group_of(&self, entries: &Entries) -> bool {
-        entries.len() < SMALL_SITE && !self.is_partial_at(entries.len())
+        entries.len() < SINGLE_GROUP_LIMIT && !self.is_partial_at(entries.len())
     }
 
     /// Tells whether an availability zone is this instance's.
--- a/crates/firdock-node/src/peer/heartbeat.rs
+++ b/crates/firdock-node/src/peer/heartbeat.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use firdock_core::{InstanceId, Offset, ZoneId};
-use firdock_policy::event::{AccountUse, AccountWork, PeerNews, PoolDemand};
-use firdock_policy::rollout::{Stage, ToldRollouts};
-use firdock_policy::suspect::ToldSuspect;
+use firdock_policy::event::{AccountUse, AccountWork, PeerUpdate, PoolDemand};
+use firdock_policy::rollout::{RolloutReport, Stage};
+use firdock_policy::suspect::SuspectReport;
 use firdock_policy::table::Tables;
 use firdock_policy::table::suspects::Revision;
 use firdock_policy::{Time, limit_usage, pool_demand, rollout_report};
@@ -50,15 +50,15 @@
     /// What this instance let pass of the limits in use.
     pub(super) used: Vec<AccountUse>,
     /// What it knows of roll-outs.
-    pub(super) rollouts: ToldRollouts,
+    pub(super) rollouts: RolloutReport,
     /// What endpoints did lately for accounts, by what this instance placed for its group.
     pub(super) work: Vec<AccountWork>,
     /// Requests under which endpoints ended, as far as they are told with each heartbeat.
-    suspects: Vec<ToldSuspect>,
+    suspects: Vec<SuspectReport>,
     /// Those that others saw, which leads tell on.
-    heard_suspects: Vec<ToldSuspect>,
+    heard_suspects: Vec<SuspectReport>,
     /// All of those that count, for who was not heard before.
-    all_suspects: Vec<ToldSuspect>,
+    all_suspects: Vec<SuspectReport>,
     /// When all of this was taken.
     taken: Time,
     /// How often they changed, by which changes are told at once.
@@ -77,7 +77,7 @@
         };
         let leaving = rows(true)
             .chain(rows(false))
-            .filter(|e| e.leaving_first_hand(now));
+            .filter(|e| e.is_leaving_known_directly(now));
         Self {
             zone: t.settings.zone.clone(),
             held: t.requests.held_by_rank().to_vec(),
@@ -95,10 +95,10 @@
             used: limit_usage(t, now),
             rollouts: rollout_report(t, now),
             work: Vec::new(),
-            suspects: t.suspects.told(now, turn_at(now)),
-            heard_suspects: t.suspects.heard_told(now),
+            suspects: t.suspects.reports(now, turn_at(now)),
+            heard_suspects: t.suspects.reports_to_forward(now),
             taken: now,
-            all_suspects: t.suspects.all_told(now, MAX_SUSPECTS),
+            all_suspects: t.suspects.all_reports(now, MAX_SUSPECTS),
             suspected: t.suspects.revision(),
         }
     }
@@ -141,7 +141,7 @@
 
     /// Gives how far roll-outs are, by their orders.
     pub(super) fn stages(&self) -> Vec<(Offset, Stage)> {
-        let words = self.rollouts.words.iter();
+        let words = self.rollouts.statuses.iter();
         words.map(|w| (w.order, w.stage)).collect()
     }
 
@@ -219,8 +219,8 @@
 
 /// Makes a peer's news from its message, cut to what is bounded.
 #[must_use]
-pub fn peer_news(name: &str, beat: Heartbeat) -> PeerNews {
-    PeerNews {
+pub fn peer_news(name: &str, beat: Heartbeat) -> PeerUpdate {
+    PeerUpdate {
         name: name.to_owned(),
         zone: beat.zone,
         held: beat.held.into_iter().take(MAX_RANKS).collect(),
@@ -228,7 +228,7 @@
         draining: beat.draining,
         leaving: beat.leaving.into_iter().take(MAX_LEAVING).collect(),
         suspects: read_suspects(beat.suspects),
-        ..PeerNews::default()
+        ..PeerUpdate::default()
     }
 }
 
--- a/crates/firdock-node/src/placement/coordinator/apply_report.rs
+++ b/crates/firdock-node/src/placement/coordinator/apply_report.rs
@@ -4,9 +4,9 @@
 use std::net::SocketAddr;
 
 use firdock_core::{RequestId, StartId};
-use firdock_policy::event::{DispatchNews, EndpointEvent};
-use firdock_policy::load::PaceTold;
-use firdock_policy::notice::NoticeTold;
+use firdock_policy::event::{DispatchUpdate, EndpointEvent};
+use firdock_policy::load::PaceReport;
+use firdock_policy::notice::NoticeReport;
 use firdock_policy::request::Phase;
 use firdock_policy::{Event, NewRequest, Time};
 
@@ -50,7 +50,7 @@
         let event = EndpointEvent {
             id: update.id,
             dispatch,
-            news,
+            update: news,
         };
         self.step(now, Event::Endpoint(event));
         self.forget_if_ended(update.id);
@@ -58,23 +58,23 @@
 
     /// Takes what an engine told a member of its pace.
     pub(super) fn apply_pace(&mut self, now: Time, pace: EndpointPace) {
-        let told = PaceTold {
+        let told = PaceReport {
             endpoint: pace.endpoint,
             pace: pace.pace,
             read: now.saturating_sub(pace.age),
         };
-        self.step(now, Event::Paced(told));
+        self.step(now, Event::PaceReported(told));
     }
 
     /// Takes what an engine said of itself to a member, which alone may not send there now.
     pub(super) fn apply_notice(&mut self, now: Time, name: &str, notice: EndpointNotice) {
-        let told = NoticeTold {
+        let told = NoticeReport {
             endpoint: notice.endpoint,
             member: name.to_owned(),
             notice: notice.notice,
             read: now,
         };
-        self.step(now, Event::Noticed(told));
+        self.step(now, Event::NoticeReported(told));
     }
 
     /// Takes a request that runs and was placed by another coordinator, or by the member itself.
@@ -179,21 +179,21 @@
 }
 
 /// Gives what became of a request as news of its dispatch; `None` where it was dropped.
-fn dispatch_news(progress: Progress) -> Option<DispatchNews> {
+fn dispatch_news(progress: Progress) -> Option<DispatchUpdate> {
     Some(match progress {
         Progress::Dropped => return None,
-        Progress::FirstToken => DispatchNews::Tokens {
+        Progress::FirstToken => DispatchUpdate::Tokens {
             delivered: 1,
             cached: 0,
         },
-        Progress::Ended { prompt, output } => DispatchNews::Ended {
+        Progress::Ended { prompt, output } => DispatchUpdate::Ended {
             prompt,
             cached: 0,
             output,
         },
-        Progress::Broke => DispatchNews::Broke { delivered: 0 },
-        Progress::Refused => DispatchNews::Refused { unreachable: false },
-        Progress::Unreachable => DispatchNews::Refused { unreachable: true },
+        Progress::Broke => DispatchUpdate::Broke { delivered: 0 },
+        Progress::Refused => DispatchUpdate::Refused { unreachable: false },
+        Progress::Unreachable => DispatchUpdate::Refused { unreachable: true },
     })
 }
 
--- a/crates/firdock-node/src/placement/member.rs
+++ b/crates/firdock-node/src/placement/member.rs
@@ -7,9 +7,9 @@
 
 use firdock_core::{EndpointId, InstanceId, Outcome, RequestId, StartId, ZoneId};
 use firdock_policy::event::{EndpointEvent, Grant, Member};
-use firdock_policy::load::{Pace, PaceTold};
-use firdock_policy::notice::NoticeTold;
-use firdock_policy::request::{Phase, Placing};
+use firdock_policy::load::{Pace, PaceReport};
+use firdock_policy::notice::NoticeReport;
+use firdock_policy::request::{Phase, PlacementState};
 use firdock_policy::table::Tables;
 use firdock_policy::{Event, Time, Verdict};
 use slog::{Logger, info};
@@ -122,13 +122,13 @@
         let Some(row) = row.filter(|r| engine_of(t, r).is_some()) else {
             return;
         };
-        if let Some(progress) = progress(row, event.news) {
+        if let Some(progress) = progress(row, event.update) {
             self.tell(event.id, event.dispatch, progress);
         }
     }
 
     /// Notes what an engine told of its pace; it goes with the next report, which is never long off.
-    pub fn note_pace(&mut self, t: &Tables, told: &PaceTold) {
+    pub fn note_pace(&mut self, t: &Tables, told: &PaceReport) {
         let at = t.endpoints.find(&told.endpoint);
         let engine = at.is_some_and(|at| t.endpoints.get(at).is_engine());
         if engine && self.lead.is_some() {
@@ -138,7 +138,7 @@
     }
 
     /// Notes that an engine said something of itself; it goes with the next report, as its pace does.
-    pub fn note_notice(&mut self, told: &NoticeTold) {
+    pub fn note_notice(&mut self, told: &NoticeReport) {
         if self.lead.is_some() {
             self.noticed.insert(told.endpoint.clone());
         }
@@ -171,7 +171,7 @@
         } else {
             row.dispatch
         };
-        if row.placing == Placing::Asked || engine_of(t, row).is_some() {
+        if row.placement == PlacementState::Requested || engine_of(t, row).is_some() {
             self.tell(id, attempt, Progress::Dropped);
         }
     }
--- a/crates/firdock-node/src/placement/snapshot.rs
+++ b/crates/firdock-node/src/placement/snapshot.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeSet;
 
 use firdock_core::StartId;
-use firdock_policy::event::DispatchNews;
+use firdock_policy::event::DispatchUpdate;
 use firdock_policy::notice::Notice;
-use firdock_policy::request::{Phase, Placing, RequestRow};
+use firdock_policy::request::{Phase, PlacementState, RequestRow};
 use firdock_policy::table::Tables;
 use firdock_policy::table::endpoint::EndpointRow;
 use firdock_policy::{NewRequest, Time};
@@ -18,21 +18,21 @@
 }
 
 /// Gives what news of a dispatch mean for the request, if they are worth telling.
-pub fn progress(row: &RequestRow, news: DispatchNews) -> Option<Progress> {
+pub fn progress(row: &RequestRow, news: DispatchUpdate) -> Option<Progress> {
     Some(match news {
-        DispatchNews::Started { .. }
-        | DispatchNews::Failed
-        | DispatchNews::FailureKept
-        | DispatchNews::Unproven
-        | DispatchNews::Unresumable
-        | DispatchNews::Breaking(_) => return None,
-        DispatchNews::Tokens { .. } if row.first.is_some() => return None,
-        DispatchNews::Tokens { .. } => Progress::FirstToken,
-        DispatchNews::Ended { prompt, output, .. } => Progress::Ended { prompt, output },
-        DispatchNews::Broke { .. } => Progress::Broke,
-        DispatchNews::Refused { unreachable: false } => Progress::Refused,
-        DispatchNews::Refused { unreachable: true } => Progress::Unreachable,
-        DispatchNews::Lapsed | DispatchNews::Withheld => Progress::Dropped,
+        DispatchUpdate::Started { .. }
+        | DispatchUpdate::Failed
+        | DispatchUpdate::FailureKept
+        | DispatchUpdate::Unproven
+        | DispatchUpdate::Unresumable
+        | DispatchUpdate::Breaking(_) => return None,
+        DispatchUpdate::Tokens { .. } if row.first.is_some() => return None,
+        DispatchUpdate::Tokens { .. } => Progress::FirstToken,
+        DispatchUpdate::Ended { prompt, output, .. } => Progress::Ended { prompt, output },
+        DispatchUpdate::Broke { .. } => Progress::Broke,
+        DispatchUpdate::Refused { unreachable: false } => Progress::Refused,
+        DispatchUpdate::Refused { unreachable: true } => Progress::Unreachable,
+        DispatchUpdate::Lapsed | DispatchUpdate::Withheld => Progress::Dropped,
     })
 }
 
@@ -46,7 +46,7 @@
 
 /// Tells whether a request waits for the coordinator to place it.
 pub fn waits(row: &RequestRow) -> bool {
-    row.phase == Phase::Held && row.placing == Placing::Asked
+    row.phase == Phase::Held && row.placement == PlacementState::Requested
 }
 
 /// Gives a request that runs on an engine, and where; `None` for all others.
--- a/crates/firdock-node/src/telemetry/beliefs.rs
+++ b/crates/firdock-node/src/telemetry/beliefs.rs
@@ -70,7 +70,7 @@
     }
 
     fn note_freshness(&mut self, now: Time, t: &Tables) {
-        let Some(until) = t.fresh_until() else {
+        let Some(until) = t.config_valid_until() else {
             return;
         };
         let fresh = until > now;
@@ -120,9 +120,5 @@
 }
 
 fn peer_word(now: Time, t: &Tables, p: &PeerRow) -> &'static str {
-    if t.is_heard(p, now) {
-        "heard"
-    } else {
-        "silent"
-    }
+    if t.is_live(p, now) { "heard" } else { "silent" }
 }
--- a/crates/firdock-node/src/telemetry/decisions.rs
+++ b/crates/firdock-node/src/telemetry/decisions.rs
@@ -8,7 +8,7 @@
 use firdock_core::{EndpointId, Reason};
 use firdock_policy::action::Dispatch;
 use firdock_policy::event::{BreakCause, LivenessResult};
-use firdock_policy::notice::NoticeTold;
+use firdock_policy::notice::NoticeReport;
 use firdock_policy::request::{Phase, RequestRow};
 use firdock_policy::table::Tables;
 use firdock_policy::table::endpoint::EndpointRow;
@@ -116,7 +116,7 @@
     }
 
     /// Writes what an endpoint said of itself with an answer to this instance.
-    pub fn noticed(&self, now: Time, told: &NoticeTold) {
+    pub fn noticed(&self, now: Time, told: &NoticeReport) {
         if self.budget.allow(&self.log, now, LineKind::Notice) {
             info!(self.log, "endpoint notice";
                 "endpoint" => &told.endpoint,
@@ -327,18 +327,19 @@
 
 /// Gives the age of the configuration in milliseconds; `None` if it was never known to be the newest.
 pub(super) fn config_age(t: &Tables, now: Time) -> Option<u64> {
-    t.fresh_at.map(|at| millis(now.saturating_sub(at)))
+    t.config_confirmed_at
+        .map(|at| millis(now.saturating_sub(at)))
 }
 
 /// Gives the pace that an endpoint told last, in hundredths of the usual time.
 fn pace_told(e: &EndpointRow) -> Option<u64> {
-    e.told
-        .newest()
+    e.reported_pace
+        .latest()
         .map(|(pace, _)| (100.0 * pace).round() as u64)
 }
 
 /// Gives how long ago an endpoint told its pace, in milliseconds.
 fn pace_age(now: Time, e: &EndpointRow) -> Option<u64> {
-    let (_, read) = e.told.newest()?;
+    let (_, read) = e.reported_pace.latest()?;
     Some(millis(now.saturating_sub(read)))
 }
--- a/crates/firdock-policy/src/cost.rs
+++ b/crates/firdock-policy/src/cost.rs
@@ -3,7 +3,7 @@
 //! Cost = (waiting + uncached prompt) / prefill rate + expected output x token time, with rates
 //! learned from the endpoint's own answers (see `docs/design/routing.md`).
 
-mod told;
+mod reported_pace;
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 use crate::request::RequestRow;
 use crate::settings::Mechanisms;
 use crate::table::endpoint::EndpointRow;
-use crate::table::pool_pace::PoolPace;
+use crate::table::pool_latency::PoolLatency;
 use crate::table::service::ServiceRow;
 use crate::time::Time;
 
@@ -65,7 +65,7 @@
     /// What the choice goes by: the time to the end, with the prefill weighed in.
     pub score: f64,
     /// The part of it by which the answer would be late or cut there.
-    pub misfit: f64,
+    pub lateness_cost: f64,
 }
 
 impl Estimate {
@@ -84,21 +84,21 @@
     row: &RequestRow,
     service: &ServiceRow,
     endpoint: &EndpointRow,
-    told: Option<&PoolPace>,
+    told: Option<&PoolLatency>,
 ) -> Estimate {
     let told = told.filter(|_| mechanisms.learning);
     if !endpoint.is_engine() {
-        let by_pace = told.and_then(|pool| told::plain(now, endpoint, pool));
+        let by_pace = told.and_then(|pool| reported_pace::plain(now, endpoint, pool));
         return estimate_plain(mechanisms, endpoint, by_pace);
     }
     let uncached = uncached(now, mechanisms, row, endpoint);
     if let Some(pool) = told.filter(|_| mechanisms.first_token) {
-        return told::engine(now, row, service, endpoint, pool, uncached);
+        return reported_pace::engine(now, row, service, endpoint, pool, uncached);
     }
     let work = endpoint.waiting_tokens(now) + f64::from(uncached);
     let declared = &endpoint.declared;
     let (first_secs, token_secs) = if mechanisms.learning {
-        (endpoint.first_line.at(work), endpoint.token_secs)
+        (endpoint.first_token_fit.at(work), endpoint.token_secs)
     } else {
         (work / declared.prefill_rate, declared.token_secs())
     };
@@ -125,7 +125,7 @@
         first_secs,
         total_secs,
         score,
-        misfit: 0.0,
+        lateness_cost: 0.0,
     }
 }
 
@@ -158,7 +158,7 @@
         first_secs: secs,
         total_secs: secs,
         score: secs,
-        misfit: 0.0,
+        lateness_cost: 0.0,
     }
 }
 
@@ -181,9 +181,9 @@
 
 /// Gives what an endpoint in another availability zone costs in the choice, in seconds.
 #[must_use]
-pub fn far_secs(mechanisms: Mechanisms, zone: &ZoneId, endpoint: &EndpointRow) -> f64 {
+pub fn zone_penalty_secs(mechanisms: Mechanisms, zone: &ZoneId, endpoint: &EndpointRow) -> f64 {
     let near = endpoint.declared.zone == *zone || endpoint.declared.zone.is_empty();
-    match (mechanisms.near_first && !near, endpoint.is_engine()) {
+    match (mechanisms.prefer_own_zone && !near, endpoint.is_engine()) {
         (false, _) => 0.0,
         (true, true) => FAR_ENGINE_SECS,
         (true, false) => FAR_PLAIN_SECS,
@@ -205,7 +205,7 @@
     if !mechanisms.affinity {
         return prompt;
     }
-    let blocks = e.cache.matched(now, &row.new.blocks) as u32;
+    let blocks = e.cache.matched_blocks(now, &row.new.blocks) as u32;
     prompt.saturating_sub(blocks * BLOCK_TOKENS).max(1)
 }
 
--- a/crates/firdock-policy/src/lib.rs
+++ b/crates/firdock-policy/src/lib.rs
@@ -15,9 +15,9 @@
 mod scheduler;
 pub mod settings;
 pub mod stats;
-pub mod sums;
 pub mod suspect;
 mod system;
+pub mod usage;
 pub use system::fair_share::{
     FairShare, OVER_SHARE_FACTOR, PoolFairShares, ShareDemand, fair_shares_by_pool, max_min_shares,
 };
--- a/crates/firdock-policy/src/scheduler.rs
+++ b/crates/firdock-policy/src/scheduler.rs
@@ -8,7 +8,7 @@
     expire, fair_share, handover, health, invariants, key, limit, liveness, notice, pace_reports,
     place, rollout, shed, suspect,
 };
-use crate::table::{Reach, Tables};
+use crate::table::{ReachableInstances, Tables};
 use crate::time::Time;
 
 /// Something that decides; the scheduler here, and simpler baselines in measurements.
@@ -54,25 +54,27 @@
             Event::CallerLeft(id) => dispatch_updates::caller_left(t, now, id, out),
             Event::Endpoint(e) => dispatch_updates::handle_update(t, now, &e, out),
             Event::LivenessChecked(result) => liveness::handle_result(t, now, &result, out),
-            Event::Paced(told) => pace_reports::record(t, &told),
-            Event::Noticed(told) => notice::record(t, &told, out),
+            Event::PaceReported(told) => pace_reports::record(t, &told),
+            Event::NoticeReported(told) => notice::record(t, &told, out),
             Event::Report(report) => health::record_report(t, now, &report),
             Event::ReportMissed(name) => health::record_missed_report(t, now, &name),
             Event::Config(catalog) => config::apply(t, now, &catalog, out),
             Event::View(view) => key::apply_view(t, view, out),
             Event::KeyTransfer(transfer) => key::apply_transfer(t, now, &transfer),
-            Event::LogRead(reading) => t.views.read(reading),
+            Event::LogRead(reading) => t.views.record_read(reading),
             Event::Listed(rows) => health::apply_instance_list(t, &rows),
-            Event::Suspected(told) => suspect::merge_reports(t, now, told, out),
+            Event::SuspectsReported(told) => suspect::merge_reports(t, now, told, out),
             Event::Released(content, until) => suspect::release(t, now, content, until),
             Event::Peer(peer) => handover::apply_heartbeat(t, now, peer, out),
-            Event::SiteUsed(word) => limit::apply_site_use(t, now, &word),
+            Event::SiteUseReported(word) => limit::apply_site_use(t, now, &word),
             Event::PeerLost(name) => handover::mark_peer_lost(t, &name),
             Event::PeersKnown(count) => t.known_peers = Some(count),
-            Event::GroupDemand(group) => t.groups.take(now, group),
-            Event::GroupWork(group) => t.told_work.take(now, group.zone, group.work),
-            Event::Reach(count) => t.reach = Some(Reach { at: now, count }),
-            Event::Fresh(at) => t.fresh_at = t.fresh_at.max(Some(at)),
+            Event::GroupDemand(group) => t.groups.update(now, group),
+            Event::GroupWork(group) => t.reported_work.update(now, group.zone, group.work),
+            Event::Reach(count) => t.reachable = Some(ReachableInstances { at: now, count }),
+            Event::ConfigConfirmed(at) => {
+                t.config_confirmed_at = t.config_confirmed_at.max(Some(at))
+            }
             Event::Coordinated(answers) => coordinate::set_coordinated(t, now, answers),
             Event::Granted(grant) => coordinate::apply_grant(t, now, &grant, out),
             Event::NotGranted(id, verdict) => coordinate::apply_refusal(t, now, id, verdict, out),
--- a/crates/firdock-policy/src/suspect.rs
+++ b/crates/firdock-policy/src/suspect.rs
@@ -26,7 +26,7 @@
 
 /// A request under which endpoints ended, as one instance tells another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldSuspect {
+pub struct SuspectReport {
     /// What it asks for.
     pub content: Arc<Content>,
     /// Account that sends it.
@@ -40,7 +40,7 @@
 
 /// A run whose connection ended early: its endpoint may have ended, and under it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct BlamedRun {
+pub struct BrokenRun {
     /// Start of the endpoint.
     pub start: StartId,
     /// What was asked for.
--- a/crates/firdock-policy/src/system/budget/totals.rs
+++ b/crates/firdock-policy/src/system/budget/totals.rs
@@ -43,7 +43,7 @@
             unheard: 0,
             by_demand: t.settings.mechanisms.demand_shares,
         };
-        let heard = t.peers.iter().filter(|(_, p)| t.is_heard(p, now));
+        let heard = t.peers.iter().filter(|(_, p)| t.is_live(p, now));
         for (_, peer) in heard.filter(|(_, p)| !p.draining) {
             totals.count += 1;
             *totals.zones.entry(&peer.zone).or_default() += 1;
@@ -85,7 +85,7 @@
 
     /// Gives this instance's budget on an endpoint by a draw of its own.
     pub(super) fn budget(&self, on: Mechanisms, places: f64, e: &EndpointRow, share: f64) -> u32 {
-        if !(on.whole_places && e.is_engine()) {
+        if !(on.integer_budgets && e.is_engine()) {
             return rounded_places(e, share);
         }
         let part = places * f64::from(e.declared.slots) * share;
--- a/crates/firdock-policy/src/system/demand.rs
+++ b/crates/firdock-policy/src/system/demand.rs
@@ -6,8 +6,8 @@
 use firdock_core::PoolId;
 
 use crate::table::Tables;
+use crate::table::dispatch_rates::smooth;
 use crate::table::endpoint::EndpointRow;
-use crate::table::pace::smooth;
 use crate::time::Time;
 
 /// Time between two takings of rates.
@@ -15,14 +15,14 @@
 
 /// Takes the rates of arrivals, dispatches and ends, once a period.
 pub fn update_rates(t: &mut Tables, now: Time) {
-    let period = now.saturating_sub(t.rates_taken);
+    let period = now.saturating_sub(t.rates_updated_at);
     if period < RATE_PERIOD {
         return;
     }
     let secs = period.as_secs_f64();
-    t.rates_taken = now;
-    smooth(&mut t.end_rate, &mut t.ended, secs);
-    t.paces.end_period(secs);
+    t.rates_updated_at = now;
+    smooth(&mut t.finish_rate, &mut t.finished, secs);
+    t.dispatch_rates.end_period(secs);
     for (_, s) in t.services.iter_mut() {
         smooth(&mut s.rate, &mut s.arrivals, secs);
     }
--- a/crates/firdock-policy/src/system/dispatch_updates.rs
+++ b/crates/firdock-policy/src/system/dispatch_updates.rs
@@ -4,8 +4,10 @@
 
 use super::{fair_share, health, key, lifecycle, liveness, pace_reports, rollout, suspect};
 use crate::action::Action;
-use crate::event::{BreakCause, DispatchNews, EndpointEvent};
-use crate::request::{Failure, Passed, Phase, Placing, Proof, RequestRow, Verdict};
+use crate::event::{BreakCause, DispatchUpdate, EndpointEvent};
+use crate::request::{
+    CompletionProof, DeliveredPart, EndpointFailure, Phase, PlacementState, RequestRow, Verdict,
+};
 use crate::stats::WasteCause;
 use crate::table::Tables;
 use crate::time::Time;
@@ -17,25 +19,25 @@
         t.stats.stale_news += 1;
         return;
     };
-    match e.news {
-        DispatchNews::Refused { unreachable } => refused(t, now, e.id, at, unreachable, out),
-        DispatchNews::Lapsed => lapsed(t, now, e.id, out),
-        DispatchNews::Withheld => withheld(t, now, e.id),
-        DispatchNews::Started { head_sent } => started(t, e.id, at, head_sent),
-        DispatchNews::Tokens { delivered, cached } => tokens(t, now, e.id, at, delivered, cached),
-        DispatchNews::Ended {
+    match e.update {
+        DispatchUpdate::Refused { unreachable } => refused(t, now, e.id, at, unreachable, out),
+        DispatchUpdate::Lapsed => lapsed(t, now, e.id, out),
+        DispatchUpdate::Withheld => withheld(t, now, e.id),
+        DispatchUpdate::Started { head_sent } => started(t, e.id, at, head_sent),
+        DispatchUpdate::Tokens { delivered, cached } => tokens(t, now, e.id, at, delivered, cached),
+        DispatchUpdate::Ended {
             prompt,
             cached,
             output,
         } => {
             ended(t, now, e.id, at, prompt, cached, output);
         }
-        DispatchNews::Failed => rollout::failed(t, e.id),
-        DispatchNews::FailureKept => failure_kept(t, e.id),
-        DispatchNews::Unproven => unproven(t, e.id),
-        DispatchNews::Unresumable => unresumable(t, e.id),
-        DispatchNews::Breaking(cause) => breaking(t, now, e.id, at, cause, out),
-        DispatchNews::Broke { delivered } => broke(t, now, e.id, at, delivered, out),
+        DispatchUpdate::Failed => rollout::failed(t, e.id),
+        DispatchUpdate::FailureKept => failure_kept(t, e.id),
+        DispatchUpdate::Unproven => unproven(t, e.id),
+        DispatchUpdate::Unresumable => unresumable(t, e.id),
+        DispatchUpdate::Breaking(cause) => breaking(t, now, e.id, at, cause, out),
+        DispatchUpdate::Broke { delivered } => broke(t, now, e.id, at, delivered, out),
     }
 }
 
@@ -97,9 +99,9 @@
         return;
     };
     // The endpoint had the request, so another one is a second try that counts for the site.
-    let most = t.most_retries();
-    if t.retries.allow(row.pool_key(), most) {
-        t.retries.spend(row.pool_key(), most);
+    let most = t.max_retry_credit();
+    if t.retry_budgets.allow(row.pool_key(), most) {
+        t.retry_budgets.spend(row.pool_key(), most);
     } else {
         lifecycle::give_up(t, now, id, Reason::NoEndpoint, out);
     }
@@ -138,28 +140,28 @@
     lifecycle::set_phase(t, id, Phase::Running(at), false);
     let row = t.requests.get_mut(id).filter(|_| head_sent);
     if let Some(row) = row.filter(|row| !row.head_sent()) {
-        row.passed = Passed::Head;
+        row.delivered_part = DeliveredPart::Head;
     }
 }
 
 /// Notes that the endpoint's answer that it failed can be passed on.
 fn failure_kept(t: &mut Tables, id: RequestId) {
     if let Some(row) = t.requests.get_mut(id) {
-        row.failure = Failure::Kept;
+        row.failure = EndpointFailure::Buffered;
     }
 }
 
 /// Notes that the answer's end proves nothing.
 fn unproven(t: &mut Tables, id: RequestId) {
     if let Some(row) = t.requests.get_mut(id) {
-        row.proof = Proof::Nothing;
+        row.completion_proof = CompletionProof::Unproven;
     }
 }
 
 /// Notes that the answer can only go on where it began.
 fn unresumable(t: &mut Tables, id: RequestId) {
     if let Some(row) = t.requests.get_mut(id) {
-        row.passed = Passed::Unresumable;
+        row.delivered_part = DeliveredPart::Unresumable;
     }
 }
 
@@ -210,11 +212,13 @@
     let Some(row) = t.requests.get(id) else {
         return;
     };
-    let content = row.content_id().filter(|_| row.proof == Proof::Whole);
+    let content = row
+        .content_id()
+        .filter(|_| row.completion_proof == CompletionProof::Proven);
     let service = row.service;
     let first = row.first.unwrap_or(now);
     let fresh = output.saturating_sub(1);
-    if prompt > 0 && row.tried.len() == 1 && row.placing != Placing::Adopted {
+    if prompt > 0 && row.tried.len() == 1 && row.placement != PlacementState::Adopted {
         let took = now.saturating_sub(first);
         t.endpoints.get_mut(at).learn_tokens(fresh, took);
         pace_reports::learn_tokens(t, now, at, fresh, took);
@@ -269,9 +273,9 @@
         return;
     }
     if goes_on {
-        let most = t.most_retries();
+        let most = t.max_retry_credit();
         if let Some(row) = t.requests.get(id) {
-            t.retries.spend(row.pool_key(), most);
+            t.retry_budgets.spend(row.pool_key(), most);
         }
         t.stats.retries += 1;
         if let Some(row) = t.requests.get_mut(id) {
@@ -310,9 +314,9 @@
     let resumable = t.settings.mechanisms.resume
         && t.endpoints.get(at).is_engine()
         && (!service.streamed || service.resumable)
-        && row.passed != Passed::Unresumable;
-    let most = t.most_retries();
-    let allowed = t.retries.allow(row.pool_key(), most);
+        && row.delivered_part != DeliveredPart::Unresumable;
+    let most = t.max_retry_credit();
+    let allowed = t.retry_budgets.allow(row.pool_key(), most);
     let attempts = service.attempts as usize;
     let more = attempts == 0 || row.runs < attempts;
     let spared = suspect::may_repeat(t, row);
--- a/crates/firdock-policy/src/system/fair_share.rs
+++ b/crates/firdock-policy/src/system/fair_share.rs
@@ -141,7 +141,7 @@
         let account = t.accounts.get_mut(row.account);
         account
             .work
-            .add(now, row.pool_key(), row.declared_rank, secs);
+            .add_done(now, row.pool_key(), row.declared_rank, secs);
     }
 }
 
@@ -163,7 +163,9 @@
 
 fn done_up_to(t: &Tables, now: Time, account: usize, pool: &str, rank: TierRank) -> f64 {
     let row = t.accounts.get(account);
-    let told = t.told_work.of(now, t.settings.peer_stale, pool, &row.name);
+    let told = t
+        .reported_work
+        .of(now, t.settings.peer_stale_after, pool, &row.name);
     let elsewhere: f64 = told.filter(|w| w.rank <= rank).map(|w| w.done).sum();
     row.work.done(now, pool, rank) + elsewhere
 }
@@ -198,7 +200,7 @@
     let account = t.accounts.get_mut(row.account);
     account
         .work
-        .ask(now, row.pool_key(), row.declared_rank, secs);
+        .add_asked(now, row.pool_key(), row.declared_rank, secs);
 }
 
 /// Gives the rank that a request has: the declared one, or the last of its account's rank.
@@ -262,7 +264,7 @@
     }
     let accounts = t.accounts.iter();
     let mut rows: Vec<AccountWork> = accounts
-        .flat_map(|(_, a)| a.work.told(now, &a.name))
+        .flat_map(|(_, a)| a.work.reports(now, &a.name))
         .collect();
     rows.sort_by(|a, b| b.asked.max(b.done).total_cmp(&a.asked.max(a.done)));
     rows
--- a/crates/firdock-policy/src/system/health.rs
+++ b/crates/firdock-policy/src/system/health.rs
@@ -12,7 +12,7 @@
     };
     let e = t.endpoints.get_mut(at);
     e.missed = 0;
-    e.told_leaving = report.leaving;
+    e.reported_leaving = report.leaving;
     let own_backlog = e
         .report
         .map_or(0.0, |_| e.backlog.min(f64::from(report.backlog)));
@@ -22,7 +22,7 @@
         own_backlog,
     });
     if report.gap {
-        e.cache.note_gap(now);
+        e.cache.record_gap(now);
     }
     for block in &report.added {
         e.cache.add(now, *block);
@@ -39,7 +39,7 @@
     };
     let e = t.endpoints.get_mut(at);
     e.missed += 1;
-    if e.missed >= MISSED_REPORTS && e.health == Health::Well {
+    if e.missed >= MISSED_REPORTS && e.health == Health::Healthy {
         eject(t, now, at);
     }
 }
@@ -57,7 +57,7 @@
 pub fn record_broken_dispatch(t: &mut Tables, now: Time, at: usize) {
     let e = t.endpoints.get_mut(at);
     e.broken += 1;
-    let probing = e.health != Health::Well;
+    let probing = e.health != Health::Healthy;
     if probing || e.broken >= t.settings.eject_after {
         eject(t, now, at);
     }
@@ -88,7 +88,7 @@
 
 fn is_out(t: &Tables, now: Time, at: usize) -> bool {
     match t.endpoints.get(at).health {
-        Health::Well => false,
+        Health::Healthy => false,
         Health::Ejected(until) => until > now,
         Health::Probing => true,
     }
--- a/crates/firdock-policy/src/system/key.rs
+++ b/crates/firdock-policy/src/system/key.rs
@@ -85,11 +85,12 @@
 
 /// Tells whether every earlier owner transferred its keys, and this one was not among them.
 fn transferred(t: &Tables, key: u64, log_now: LogTime) -> bool {
-    let horizon = log_now.saturating_sub(t.settings.key_keep);
+    let horizon = log_now.saturating_sub(t.settings.key_retention);
     let me = t.settings.member.incarnation;
-    let tenures = t.views.tenures(key, horizon);
+    let ownership_periods = t.views.ownership_periods(key, horizon);
     !t.transfers.contains(key)
-        && tenures.is_some_and(|tenures| t.transfers.is_complete(me, &tenures))
+        && ownership_periods
+            .is_some_and(|ownership_periods| t.transfers.is_complete(me, &ownership_periods))
 }
 
 /// Takes a view over and transfers to the other members the keys that they own now.
@@ -124,7 +125,7 @@
 /// Takes another member's transfer.
 pub fn apply_transfer(t: &mut Tables, now: Time, transfer: &KeyTransfer) {
     let me = t.settings.member.incarnation;
-    t.transfers.take(now, me, transfer, t.settings.max_keys);
+    t.transfers.merge(now, me, transfer, t.settings.max_keys);
 }
 
 fn first_sight(t: &Tables, now: Time, claim: &KeyClaim, since: Option<LogTime>) -> Decision {
@@ -137,10 +138,10 @@
     let wait = if claim.minted.is_some() {
         grace
     } else {
-        t.settings.key_keep
+        t.settings.key_retention
     };
     let doubtful = since.is_some_and(|s| minted < s + wait) && !transferred(t, claim.hash, log_now);
-    if doubtful || minted + t.settings.key_keep < log_now {
+    if doubtful || minted + t.settings.key_retention < log_now {
         return unknown(Reason::KeyUncertain, Some(RETRY_AFTER));
     }
     if minted >= read + grace {
--- a/crates/firdock-policy/src/system/lifecycle.rs
+++ b/crates/firdock-policy/src/system/lifecycle.rs
@@ -8,7 +8,9 @@
 
 use super::{attempts, backoff, limit};
 use crate::action::Action;
-use crate::request::{Failure, NewRequest, Origin, Phase, Placing, RequestRow, Verdict};
+use crate::request::{
+    EndpointFailure, NewRequest, Origin, Phase, PlacementState, RequestRow, Verdict,
+};
 use crate::stats::{RefusalKey, WasteCause};
 use crate::table::Tables;
 use crate::time::Time;
@@ -37,7 +39,7 @@
         }
         t.accounts.get_mut(account).held += 1;
         if let Some(row) = t.requests.get_mut(id) {
-            row.placing = Placing::Open;
+            row.placement = PlacementState::NotRequested;
         }
     }
     leave_place(t, id, old, phase);
@@ -52,7 +54,7 @@
             release_prefill(t, id, e);
             t.endpoints.get_mut(e).running -= 1;
         }
-        (Phase::HandedOver(p), _) => t.peers.get_mut(p).handed -= 1,
+        (Phase::HandedOver(p), _) => t.peers.get_mut(p).handed_over -= 1,
         (Phase::Held, _) => {}
     }
 }
@@ -87,9 +89,9 @@
         limit::refund(t, &row);
     }
     if let Some(claim) = row.new.key.filter(|_| row.minted.is_some()) {
-        t.keys.end(now, claim.hash, id, outcome);
+        t.keys.record_outcome(now, claim.hash, id, outcome);
     }
-    t.ended += 1;
+    t.finished += 1;
     *t.stats.outcomes.entry(outcome).or_default() += 1;
     Some(row)
 }
@@ -132,7 +134,7 @@
         cut(t, now, id, verdict.reason, out);
         return;
     }
-    if row.failure == Failure::Kept && verdict.outcome == Outcome::Unknown {
+    if row.failure == EndpointFailure::Buffered && verdict.outcome == Outcome::Unknown {
         // The last endpoint that had it answered, so that more is known than that it may have run.
         finish(t, now, id, Outcome::Answered);
         out.push(Action::PassFailure { id });
@@ -182,7 +184,7 @@
 
 /// Estimates when the queue will have room, and an endpoint of the request takes any.
 fn retry_after(t: &Tables, now: Time, row: &RequestRow) -> Duration {
-    let wait = t.requests.held() as f64 / t.end_rate.max(1.0);
+    let wait = t.requests.held() as f64 / t.finish_rate.max(1.0);
     let room = Duration::from_secs_f64(wait).clamp(RETRY_TIMES.0, RETRY_TIMES.1);
     let open = backoff::retry_after(t, now, row).unwrap_or_default();
     room.max(open)
--- a/crates/firdock-policy/src/system/limit.rs
+++ b/crates/firdock-policy/src/system/limit.rs
@@ -5,11 +5,11 @@
 use firdock_core::{Outcome, Reason, rendezvous};
 use uuid::Uuid;
 
-use crate::event::{AccountUse, PeerNews, UseCounts, UseTotals};
+use crate::event::{AccountUse, PeerUpdate, UseCounts, UseTotals};
 use crate::request::{NewRequest, RequestRow, Verdict};
 use crate::table::account::Accounts;
-use crate::table::limit::{Bucket, TOLD_AFTER_USE};
-use crate::table::{Reach, Tables};
+use crate::table::limit::{Bucket, REPORT_AFTER_USE};
+use crate::table::{ReachableInstances, Tables};
 use crate::time::Time;
 
 /// Part of each limit that an instance uses before it knows how many others there are: a little more
@@ -28,20 +28,20 @@
         return Some(0.0);
     }
     let part = part_of_limits(t, now);
-    let small = t.is_small_site();
+    let small = t.is_single_group();
     let phase = phase(&t.settings.member.name);
     let known_others = t.known_peers.filter(|_| t.settings.await_peers);
     let Some(bucket) = &mut t.accounts.get_mut(account).bucket else {
         return Some(0.0);
     };
     if let Some(others) = known_others {
-        bucket.begin(1.0 / (1.0 + others as f64));
+        bucket.add_start_units(1.0 / (1.0 + others as f64));
     }
-    bucket.fill(now, part);
+    bucket.refill(now, part);
     let cost = bucket.cost(new.tokens());
-    bucket.ask(now, cost);
-    let allowed = small || bucket.part_allows(now, phase);
-    (allowed && bucket.take(cost)).then_some(cost)
+    bucket.record_demand(now, cost);
+    let allowed = small || bucket.own_part_allows(now, phase);
+    (allowed && bucket.try_take(cost)).then_some(cost)
 }
 
 /// Gives a number from 0 to 1 by an instance's name.
@@ -63,7 +63,7 @@
 /// Gives a request's charge back, since it ran nowhere.
 pub fn refund(t: &mut Tables, row: &RequestRow) {
     if let Some(bucket) = &mut t.accounts.get_mut(row.account).bucket {
-        bucket.give_back(row.charge);
+        bucket.refund(row.charge);
     }
 }
 
@@ -75,9 +75,9 @@
 /// What a peer used before this instance first heard of it is not known to be recent, so it does not
 /// count. Nor does what it used of an account before it first told of that, unless it began with
 /// this instance or later. A word that was overtaken has smaller totals, and is made up for by the next.
-pub fn apply_peer_use(t: &mut Tables, now: Time, news: &PeerNews) {
+pub fn apply_peer_use(t: &mut Tables, now: Time, news: &PeerUpdate) {
     let peer = t.peers.find(&news.name).map(|at| t.peers.get(at));
-    let Some(peer) = peer.filter(|p| p.heard > Time::ZERO) else {
+    let Some(peer) = peer.filter(|p| p.last_seen > Time::ZERO) else {
         return;
     };
     let same = peer.incarnation == news.incarnation;
@@ -85,7 +85,7 @@
     for used in &news.used {
         let before = match peer.used.get(&used.account) {
             Some(known) if same => *known,
-            None if same && (older || !peer.followed) => used.totals(),
+            None if same && (older || !peer.has_full_use) => used.totals(),
             _ => UseTotals::default(),
         };
         let rise = used.totals().minus(before).named(used.account.clone());
@@ -112,12 +112,12 @@
         let Some(bucket) = bucket_of(&mut t.accounts, &told.account) else {
             return false;
         };
-        let rest = told.totals().minus(bucket.most_used());
+        let rest = told.totals().minus(bucket.peak_usage());
         (told.units, told.asked) = (rest.units, rest.asked);
         true
     });
-    let rises = t.site_use.take(now, &others);
-    if t.is_small_site() {
+    let rises = t.site_use.merge(now, &others);
+    if t.is_single_group() {
         // Each tells all the others of its own use.
         return;
     }
@@ -129,8 +129,8 @@
 /// Takes out of a bucket by how much others' use of its account rose.
 fn charge_rise(accounts: &mut Accounts, now: Time, rise: &AccountUse) {
     if let Some(bucket) = bucket_of(accounts, &rise.account) {
-        bucket.take_peer(rise.units);
-        bucket.ask_peer(now, rise.asked);
+        bucket.deduct_peer_use(rise.units);
+        bucket.record_peer_demand(now, rise.asked);
     }
 }
 
@@ -154,7 +154,7 @@
 pub fn usage(t: &Tables, now: Time) -> Vec<AccountUse> {
     let rows = t.accounts.iter().filter_map(|(_, a)| {
         let bucket = a.bucket?;
-        let recent = bucket.asked > 0.0 && bucket.touched + TOLD_AFTER_USE > now;
+        let recent = bucket.asked > 0.0 && bucket.last_asked + REPORT_AFTER_USE > now;
         recent.then(|| AccountUse {
             account: a.name.clone(),
             units: bucket.used,
@@ -186,16 +186,16 @@
 /// Gives how many instances are heard, and how many are known of, this one among both.
 pub fn live_and_known(t: &Tables, now: Time) -> (usize, usize) {
     let known = 1 + t.peers_known();
-    let heard = match t.reach.filter(|_| !t.is_small_site()) {
+    let heard = match t.reachable.filter(|_| !t.is_single_group()) {
         Some(reach) => reached(t, now, reach).min(known),
-        None => 1 + t.peers.iter().filter(|(_, p)| t.is_heard(p, now)).count(),
+        None => 1 + t.peers.iter().filter(|(_, p)| t.is_live(p, now)).count(),
     };
     (heard, known)
 }
 
 /// Gives how many instances leads hear, this one alone where no lead told lately.
-fn reached(t: &Tables, now: Time, reach: Reach) -> usize {
-    if reach.at + t.settings.peer_stale > now {
+fn reached(t: &Tables, now: Time, reach: ReachableInstances) -> usize {
+    if reach.at + t.settings.peer_stale_after > now {
         reach.count
     } else {
         1
--- a/crates/firdock-policy/src/system/liveness.rs
+++ b/crates/firdock-policy/src/system/liveness.rs
@@ -38,7 +38,7 @@
     let state = at.and_then(|at| t.endpoints.get_mut(at).liveness_check.take());
     if result.found == Liveness::Ended {
         // It gets nothing for a while, and what broke there was on board.
-        if let Some(at) = at.filter(|at| t.endpoints.get(*at).is_well()) {
+        if let Some(at) = at.filter(|at| t.endpoints.get(*at).is_healthy()) {
             health::eject(t, now, at);
         }
         suspect::endpoint_ended(t, now, &result.start, out);
--- a/crates/firdock-policy/src/system/notice.rs
+++ b/crates/firdock-policy/src/system/notice.rs
@@ -1,7 +1,7 @@
 //! Notices of endpoints: kept with the start that gave them, counted, and in force up to the write.
 
 use crate::action::Action;
-use crate::notice::{Notice, NoticeTold};
+use crate::notice::{Notice, NoticeReport};
 use crate::request::Phase;
 use crate::system::handover::LEAVING_WORD;
 use crate::table::Tables;
@@ -9,7 +9,7 @@
 /// Takes what an endpoint said of itself; the word of a start that is over is passed over.
 ///
 /// What it said to another instance counts as that one's word.
-pub fn record(t: &mut Tables, told: &NoticeTold, out: &mut Vec<Action>) {
+pub fn record(t: &mut Tables, told: &NoticeReport, out: &mut Vec<Action>) {
     let Some(at) = t.endpoints.find_start(&told.endpoint) else {
         return;
     };
@@ -25,13 +25,13 @@
             leaving: false,
             ..told.notice
         };
-        e.notices.take(&NoticeTold {
+        e.notices.merge(&NoticeReport {
             notice,
             ..told.clone()
         });
         return;
     }
-    let new = e.notices.take(told);
+    let new = e.notices.merge(told);
     let counts = t.stats.notices.entry(e.declared.pool.clone()).or_default();
     counts.leaving += u64::from(new.leaving);
     counts.backoffs += u64::from(told.notice.backoff.is_some());
--- a/crates/firdock-policy/src/system/pace_reports.rs
+++ b/crates/firdock-policy/src/system/pace_reports.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 use crate::cost;
-use crate::load::PaceTold;
+use crate::load::PaceReport;
 use crate::table::Tables;
 use crate::table::endpoint::EndpointRow;
-use crate::table::pool_pace::PoolPace;
+use crate::table::pool_latency::PoolLatency;
 use crate::time::Time;
 
 /// How long before its dispatch a figure may have been read to count as told with an answer; it covers
@@ -15,33 +15,41 @@
 const MAX_FIGURE_AGE: Duration = Duration::from_millis(1_500);
 
 /// Takes the pace that a server told; one that is not known is passed over.
-pub fn record(t: &mut Tables, told: &PaceTold) {
+pub fn record(t: &mut Tables, told: &PaceReport) {
     let Some(at) = t.endpoints.find(&told.endpoint) else {
         return;
     };
     let e = t.endpoints.get_mut(at);
-    if e.told.newest().is_some_and(|(_, at)| at >= told.read) {
+    if e.reported_pace
+        .latest()
+        .is_some_and(|(_, at)| at >= told.read)
+    {
         return;
     }
-    let before = e.told.take(told.pace, told.read);
-    let own = e.told.own().unwrap_or(1.0);
-    *t.stats.paces.entry(e.declared.pool.clone()).or_default() += 1;
-    let pool = t.told.tell(&e.declared.pool);
-    pool.take(told.pace, told.read, own, before);
+    let before = e.reported_pace.update(told.pace, told.read);
+    let own = e.reported_pace.baseline().unwrap_or(1.0);
+    *t.stats
+        .pace_reports
+        .entry(e.declared.pool.clone())
+        .or_default() += 1;
+    let pool = t.pool_latencies.get_or_insert(&e.declared.pool);
+    pool.learn_pace(told.pace, told.read, own, before);
 }
 
 /// Gives what is known of the pool of an endpoint whose figures are told and true.
-pub fn trusted_pool_of<'a>(t: &'a Tables, e: &EndpointRow) -> Option<&'a PoolPace> {
-    t.told.get(&e.declared.pool).filter(|_| e.told.is_true())
+pub fn trusted_pool_of<'a>(t: &'a Tables, e: &EndpointRow) -> Option<&'a PoolLatency> {
+    t.pool_latencies
+        .get(&e.declared.pool)
+        .filter(|_| e.reported_pace.is_trusted())
 }
 
 /// Learns from a first token or byte by the pace that was told with it.
 pub fn learn_first(t: &mut Tables, now: Time, at: usize, work: f64, took: Duration) {
     let e = t.endpoints.get_mut(at);
-    let Some((pace, read)) = e.told.newest() else {
+    let Some((pace, read)) = e.reported_pace.latest() else {
         return;
     };
-    let Some(pool) = t.told.get_mut(&e.declared.pool) else {
+    let Some(pool) = t.pool_latencies.get_mut(&e.declared.pool) else {
         return;
     };
     if read + MAX_FIGURE_AGE + took < now {
@@ -53,10 +61,10 @@
         return;
     }
     if pool.can_judge() {
-        e.told
-            .learn_off(pool.first_secs(work, pace), took.as_secs_f64());
+        e.reported_pace
+            .learn_error(pool.first_token_secs(work, pace), took.as_secs_f64());
     }
-    if e.told.is_true() {
+    if e.reported_pace.is_trusted() {
         pool.learn_first(work, pace, took);
     }
 }
@@ -64,11 +72,15 @@
 /// Learns from the time that the tokens after the first took, by the server's pace meanwhile.
 pub fn learn_tokens(t: &mut Tables, now: Time, at: usize, tokens: u32, took: Duration) {
     let e = t.endpoints.get(at);
-    let Some(pool) = t.told.get_mut(&e.declared.pool) else {
+    let Some(pool) = t.pool_latencies.get_mut(&e.declared.pool) else {
         return;
     };
     let secs = took.as_secs_f64();
-    let Some(pace) = e.told.over(now, secs, pool).filter(|_| e.told.is_true()) else {
+    let Some(pace) = e
+        .reported_pace
+        .mean_over(now, secs, pool)
+        .filter(|_| e.reported_pace.is_trusted())
+    else {
         return;
     };
     if tokens > 0 {
--- a/crates/firdock-policy/src/system/place.rs
+++ b/crates/firdock-policy/src/system/place.rs
@@ -12,9 +12,9 @@
 use super::suspect::{self, Gate};
 use super::{coordinate, fair_share, key, lifecycle, rollout};
 use crate::action::{Action, Dispatch};
-use crate::request::{Failure, Phase, Proof, RequestRow};
+use crate::request::{CompletionProof, EndpointFailure, Phase, RequestRow};
 use crate::table::Tables;
-use crate::table::endpoint::{Closed, EndpointRow, Health};
+use crate::table::endpoint::{EndpointRow, Health, UnavailableReason};
 use crate::time::Time;
 
 /// Lanes of a queue that are looked at before the queue counts as blocked.
@@ -183,7 +183,7 @@
 /// Only a key can be taken away from a caller, so that public services go on.
 fn fresh_by(t: &Tables, row: &RequestRow) -> Option<Time> {
     let public = t.services.get(row.service).declared.public;
-    t.fresh_until().filter(|_| !public)
+    t.config_valid_until().filter(|_| !public)
 }
 
 /// Tells whether every endpoint that takes the request has had it.
@@ -221,15 +221,15 @@
 fn dispatch(t: &mut Tables, now: Time, id: RequestId, choice: Choice, out: &mut Vec<Action>) {
     charge(t, id, choice);
     fair_share::charge(t, now, id);
-    let most = t.most_retries();
+    let most = t.max_retry_credit();
     lifecycle::set_phase(t, id, Phase::Dispatching(choice.endpoint), false);
     let e = t.endpoints.get(choice.endpoint);
     let closed = t
         .requests
         .get(id)
-        .and_then(|r| e.open_to(&r.new.member, now).err());
+        .and_then(|r| e.check_available(&r.new.member, now).err());
     assert!(
-        closed.is_none_or(Closed::is_health),
+        closed.is_none_or(UnavailableReason::is_health),
         "endpoint {} is closed and got new work: {closed:?}",
         e.declared.name
     );
@@ -269,12 +269,12 @@
     row.work = choice.estimate.work;
     row.predicted = choice.estimate.first();
     row.resumed_from = row.delivered;
-    row.failure = Failure::None;
-    row.proof = Proof::Whole;
+    row.failure = EndpointFailure::None;
+    row.completion_proof = CompletionProof::Proven;
     row.breaking = None;
     t.stats.dispatches += 1;
-    t.paces.note(row.pool_key(), row.rank);
-    t.retries.earn(row.pool_key(), &t.settings, most);
+    t.dispatch_rates.record_dispatch(row.pool_key(), row.rank);
+    t.retry_budgets.earn(row.pool_key(), &t.settings, most);
     out.push(Action::Dispatch(Dispatch {
         id,
         endpoint: name,
--- a/crates/firdock-policy/src/system/rollout/evidence.rs
+++ b/crates/firdock-policy/src/system/rollout/evidence.rs
@@ -6,8 +6,8 @@
 
 use super::versions::is_new;
 use crate::event::GroupEvidence;
-use crate::request::{Failure, RequestRow};
-use crate::rollout::{Evidence, Tally, ToldRollouts};
+use crate::request::{EndpointFailure, RequestRow};
+use crate::rollout::{Evidence, RolloutReport, Tally};
 use crate::table::Tables;
 use crate::time::Time;
 
@@ -38,7 +38,7 @@
     let took = now.saturating_sub(row.dispatched);
     let expected = expected_secs(&t.endpoints.get(at).declared, row, output);
     let stretch = took.as_secs_f64() / expected;
-    count(t, id, at, |tally| tally.answer(stretch));
+    count(t, id, at, |tally| tally.record_answer(stretch));
 }
 
 /// Counts an answer that broke off or never came.
@@ -49,7 +49,7 @@
 /// Notes that an endpoint answered that it failed; how the dispatch ends is told next.
 pub fn failed(t: &mut Tables, id: RequestId) {
     if let Some(row) = t.requests.get_mut(id) {
-        row.failure = Failure::Told;
+        row.failure = EndpointFailure::Reported;
     }
 }
 
@@ -73,7 +73,7 @@
         return;
     }
     let tally = rollout.own.tally(&row.new.service, &endpoint);
-    if row.failure == Failure::None {
+    if row.failure == EndpointFailure::None {
         add(tally);
     } else {
         tally.failed += 1;
@@ -96,27 +96,27 @@
     start: Uuid,
     seen: Vec<Evidence>,
 ) {
-    let near = zone == t.settings.zone || t.is_small_site();
+    let near = zone == t.settings.zone || t.is_single_group();
     if !near || t.settings.coordinates {
         return;
     }
     for evidence in seen {
         let row = t.rollouts.find_mut(&evidence.pool, evidence.order);
         if let Some(row) = row {
-            row.take_peer(name, start, evidence);
+            row.merge_peer_evidence(name, start, evidence);
         }
     }
 }
 
 /// Takes what the lead of another group tells of it.
 pub fn merge_group_evidence(t: &mut Tables, word: GroupEvidence) {
-    if word.zone == t.settings.zone || t.is_small_site() {
+    if word.zone == t.settings.zone || t.is_single_group() {
         return;
     }
     for evidence in word.seen {
         let row = t.rollouts.find_mut(&evidence.pool, evidence.order);
         if let Some(row) = row {
-            row.take_group(word.zone.clone(), evidence);
+            row.merge_group_evidence(word.zone.clone(), evidence);
         }
     }
 }
@@ -124,10 +124,10 @@
 /// Gives what peers are told of roll-outs: how far they are for as long as the orders stand, what was
 /// seen of them until they end.
 #[must_use]
-pub fn report(t: &Tables, now: Time) -> ToldRollouts {
-    let mut told = ToldRollouts::default();
+pub fn report(t: &Tables, now: Time) -> RolloutReport {
+    let mut told = RolloutReport::default();
     for row in t.rollouts.rows.values() {
-        told.words.push(row.word(now));
+        told.statuses.push(row.status(now));
         if !row.stage.is_recorded() {
             told.own.push(row.own.clone());
             told.group.push(row.group_evidence());
--- a/crates/firdock-policy/src/system/suspect.rs
+++ b/crates/firdock-policy/src/system/suspect.rs
@@ -10,7 +10,7 @@
 use crate::action::Action;
 use crate::event::BreakCause;
 use crate::request::{Phase, RequestRow, Verdict};
-use crate::suspect::{BlamedRun, ToldSuspect};
+use crate::suspect::{BrokenRun, SuspectReport};
 use crate::table::Tables;
 use crate::table::endpoint::EndpointRow;
 use crate::time::Time;
@@ -111,8 +111,8 @@
     }
 }
 
-fn blamed(t: &Tables, now: Time, row: &RequestRow, at: usize) -> Option<(BreakCause, BlamedRun)> {
-    let run = BlamedRun {
+fn blamed(t: &Tables, now: Time, row: &RequestRow, at: usize) -> Option<(BreakCause, BrokenRun)> {
+    let run = BrokenRun {
         start: t.endpoints.get(at).start_id.clone(),
         content: Arc::clone(row.new.content.as_ref()?),
         account: row.new.account.clone(),
@@ -169,18 +169,18 @@
 }
 
 /// Takes what other instances tell.
-pub fn merge_reports(t: &mut Tables, now: Time, told: Vec<ToldSuspect>, out: &mut Vec<Action>) {
+pub fn merge_reports(t: &mut Tables, now: Time, told: Vec<SuspectReport>, out: &mut Vec<Action>) {
     for one in told {
         let id = one.content.id;
-        if t.suspects.hear(now, one) {
+        if t.suspects.merge_report(now, one) {
             act(t, now, id, out);
         }
     }
 }
 
-fn blame(t: &mut Tables, now: Time, run: &BlamedRun, at: Time, out: &mut Vec<Action>) {
+fn blame(t: &mut Tables, now: Time, run: &BrokenRun, at: Time, out: &mut Vec<Action>) {
     t.stats.blamed += 1;
-    if t.suspects.add(now, run, at) {
+    if t.suspects.record_exit(now, run, at) {
         act(t, now, run.content.id, out);
     }
 }
@@ -210,6 +210,6 @@
     for id in held {
         refuse(t, now, id, out);
     }
-    let told = t.suspects.get(content).map(|s| s.told(now));
+    let told = t.suspects.get(content).map(|s| s.report(now));
     out.extend(told.map(Action::Quarantine));
 }
--- a/crates/firdock-policy/src/table/endpoint.rs
+++ b/crates/firdock-policy/src/table/endpoint.rs
@@ -5,12 +5,12 @@
 use firdock_core::StartId;
 use firdock_core::resource::{Endpoint, EndpointKind};
 
-pub use super::closed::{Closed, LeavingSource};
-use super::line::Line;
+use super::linear_fit::LinearFit;
 use super::notices::Notices;
-use super::pace_told::ToldPace;
 use super::prefix_cache::PrefixCache;
+use super::reported_pace::ReportedPace;
 use super::rows::Rows;
+pub use super::unavailable::{LeavingSource, UnavailableReason};
 use crate::time::Time;
 
 /// Table of endpoints.
@@ -66,7 +66,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Health {
     /// Takes work.
-    Well,
+    Healthy,
     /// Takes no work until the time given.
     Ejected(Time),
     /// Takes one request at a time until one succeeds.
@@ -114,7 +114,7 @@
     /// Whether the instance list shows it as leaving.
     pub listed_leaving: bool,
     /// Whether the endpoint itself said that it is leaving.
-    pub told_leaving: bool,
+    pub reported_leaving: bool,
     /// Whether a peer said that it is leaving, and until when that counts.
     pub peer_leaving: Option<Time>,
     /// Health.
@@ -138,13 +138,13 @@
     /// Samples that the slowdown was learned from.
     pub firsts: u32,
     /// Seconds to an engine's first token by the prompt tokens that it computes before, learned.
-    pub first_line: Line,
+    pub first_token_fit: LinearFit,
     /// Samples that the time for each token was learned from.
     pub streams: u32,
     /// What it said of itself with its answers.
     pub notices: Notices,
     /// What it told of its pace.
-    pub told: ToldPace,
+    pub reported_pace: ReportedPace,
     /// Last report.
     pub report: Option<Reported>,
     /// Believed prefix cache.
@@ -177,9 +177,9 @@
             present: true,
             absent_since: None,
             listed_leaving: false,
-            told_leaving: false,
+            reported_leaving: false,
             peer_leaving: None,
-            health: Health::Well,
+            health: Health::Healthy,
             failures: 0,
             broken: 0,
             liveness_check: None,
@@ -189,10 +189,14 @@
             token_secs,
             slowdown: 1.0,
             firsts: 0,
-            first_line: Line::new(FIRST_SECS, FIRST_SPAN, FIRST_SPAN / rate.max(LEAST_RATE)),
+            first_token_fit: LinearFit::new(
+                FIRST_SECS,
+                FIRST_SPAN,
+                FIRST_SPAN / rate.max(LEAST_RATE),
+            ),
             streams: 0,
             notices: Notices::default(),
-            told: ToldPace::default(),
+            reported_pace: ReportedPace::default(),
             report: None,
             cache: PrefixCache::default(),
             held_since: None,
@@ -238,7 +242,7 @@
                 self.notices.leaving_since().is_some(),
                 LeavingSource::Answer,
             ),
-            (self.told_leaving, LeavingSource::Report),
+            (self.reported_leaving, LeavingSource::Report),
             (self.declared.leaving, LeavingSource::Declared),
             (self.listed_leaving, LeavingSource::List),
             (by_peer, LeavingSource::Peer),
@@ -249,15 +253,15 @@
 
     /// Tells whether this instance knows of the leaving by itself, and may tell peers.
     #[must_use]
-    pub fn leaving_first_hand(&self, now: Time) -> bool {
+    pub fn is_leaving_known_directly(&self, now: Time) -> bool {
         let source = self.leaving_source(now);
         source.is_some_and(|s| s != LeavingSource::Peer)
     }
 
     /// Tells whether nothing that was seen of it speaks against it.
     #[must_use]
-    pub fn is_well(&self) -> bool {
-        self.health == Health::Well
+    pub fn is_healthy(&self) -> bool {
+        self.health == Health::Healthy
     }
 
     /// Tells whether it may get work of an instance now, or why not.
@@ -271,19 +275,19 @@
     /// # Errors
     ///
     /// Fails with why it may not; what the endpoint itself said goes before what was seen of it.
-    pub fn open_to(&self, member: &str, now: Time) -> Result<(), Closed> {
+    pub fn check_available(&self, member: &str, now: Time) -> Result<(), UnavailableReason> {
         if !self.present {
-            return Err(Closed::Absent);
+            return Err(UnavailableReason::Absent);
         }
         if self.leaving(now) {
-            return Err(Closed::Leaving);
+            return Err(UnavailableReason::Leaving);
         }
         if let Some(backoff) = self.notices.backoff(member, now) {
-            return Err(Closed::BackingOff(backoff.until));
+            return Err(UnavailableReason::BackingOff(backoff.until));
         }
         match self.health {
-            Health::Ejected(until) if until > now => Err(Closed::Ejected),
-            Health::Probing if self.running > 0 => Err(Closed::Probing),
+            Health::Ejected(until) if until > now => Err(UnavailableReason::Ejected),
+            Health::Probing if self.running > 0 => Err(UnavailableReason::Probing),
             _ => Ok(()),
         }
     }
@@ -291,7 +295,7 @@
     /// Tells whether new work of this instance may go to it at all.
     #[must_use]
     pub fn usable(&self, now: Time) -> bool {
-        self.open_to("", now).is_ok()
+        self.check_available("", now).is_ok()
     }
 
     /// Tells whether the row goes on, though the configuration lost it, for what the endpoint said.
@@ -301,7 +305,7 @@
     #[must_use]
     pub fn keeps_notices(&self, now: Time) -> bool {
         let kept = self.absent_since.is_some_and(|at| at + NOTICE_KEEP > now);
-        kept && !self.replaced && self.notices.hold(now)
+        kept && !self.replaced && self.notices.any_in_effect(now)
     }
 
     /// Notes a failure and ejects the endpoint for a while, longer for each failure in a row.
@@ -316,7 +320,7 @@
     pub fn recover(&mut self) {
         self.failures = 0;
         self.broken = 0;
-        self.health = Health::Well;
+        self.health = Health::Healthy;
     }
 
     /// Learns from the time to the first token of a dispatch that had `work` prompt tokens before it.
@@ -324,7 +328,7 @@
     /// A prompt takes a time of its own and one for each token: reckoned by a common factor, what
     /// short prompts teach made long ones appear three times as slow as they were.
     pub fn learn_first(&mut self, work: f64, observed: Duration) {
-        self.first_line.learn(work, observed.as_secs_f64());
+        self.first_token_fit.learn(work, observed.as_secs_f64());
     }
 
     /// Learns from the time to the first byte of a plain server.
--- a/crates/firdock-policy/src/table/endpoint_exits.rs
+++ b/crates/firdock-policy/src/table/endpoint_exits.rs
@@ -6,7 +6,7 @@
 
 use firdock_core::StartId;
 
-use crate::suspect::BlamedRun;
+use crate::suspect::BrokenRun;
 use crate::time::Time;
 
 /// Time between a run that breaks and the news that its endpoint has ended: an entry lapses after some
@@ -20,14 +20,14 @@
 /// Ends and broken runs of the last seconds, in whichever order they become known.
 #[derive(Debug, Default)]
 pub struct EndpointExits {
-    runs: VecDeque<BlamedRun>,
+    runs: VecDeque<BrokenRun>,
     exits: BTreeMap<StartId, Time>,
 }
 
 impl EndpointExits {
     /// Takes a run that broke with its connection; gives when its endpoint ended, if that is known, and
     /// keeps the run otherwise.
-    pub fn record_run(&mut self, now: Time, run: &BlamedRun) -> Option<Time> {
+    pub fn record_run(&mut self, now: Time, run: &BrokenRun) -> Option<Time> {
         self.sweep(now);
         let exited_at = self.exits.get(&run.start).copied();
         if exited_at.is_none() {
@@ -40,7 +40,7 @@
     }
 
     /// Takes it that an endpoint's process has ended; gives the runs that broke there.
-    pub fn record_exit(&mut self, now: Time, start: &StartId) -> Vec<BlamedRun> {
+    pub fn record_exit(&mut self, now: Time, start: &StartId) -> Vec<BrokenRun> {
         self.sweep(now);
         if self.exits.len() < MAX_EXITS {
             self.exits.entry(start.clone()).or_insert(now);
@@ -49,8 +49,8 @@
     }
 
     /// Gives the runs that broke at an endpoint, and keeps them no more.
-    pub fn remove_runs(&mut self, start: &StartId) -> Vec<BlamedRun> {
-        let (there, others): (Vec<BlamedRun>, Vec<BlamedRun>) =
+    pub fn remove_runs(&mut self, start: &StartId) -> Vec<BrokenRun> {
+        let (there, others): (Vec<BrokenRun>, Vec<BrokenRun>) =
             self.runs.drain(..).partition(|r| r.start == *start);
         self.runs = others.into();
         there
--- a/crates/firdock-policy/src/table/peer.rs
+++ b/crates/firdock-policy/src/table/peer.rs
@@ -6,7 +6,7 @@
 use uuid::Uuid;
 
 use super::rows::Rows;
-use crate::event::{PeerNews, UseTotals};
+use crate::event::{PeerUpdate, UseTotals};
 use crate::time::Time;
 
 /// Table of peers.
@@ -25,7 +25,7 @@
 
     /// Tells whether a peer is known or may be added.
     #[must_use]
-    pub fn has_room(&self, name: &str) -> bool {
+    pub fn has_capacity(&self, name: &str) -> bool {
         self.len() < MAX_PEERS || self.find(name).is_some()
     }
 }
@@ -38,7 +38,7 @@
     /// Availability zone.
     pub zone: ZoneId,
     /// When its last news came.
-    pub heard: Time,
+    pub last_seen: Time,
     /// Requests that it holds, by rank.
     pub held: Vec<u32>,
     /// Its demand by service name.
@@ -50,9 +50,9 @@
     /// What it has let pass of limited accounts since that start, where instances are few.
     pub used: BTreeMap<AccountId, UseTotals>,
     /// Whether that holds all accounts that it told of since that start.
-    pub followed: bool,
+    pub has_full_use: bool,
     /// Requests of this instance that are with it.
-    pub handed: u32,
+    pub handed_over: u32,
 }
 
 impl PeerRow {
@@ -62,30 +62,30 @@
         Self {
             name: name.to_owned(),
             zone: ZoneId::new(),
-            heard: Time::ZERO,
+            last_seen: Time::ZERO,
             held: Vec::new(),
             demand: BTreeMap::new(),
             draining: false,
             incarnation: Uuid::nil(),
             used: BTreeMap::new(),
-            followed: true,
-            handed: 0,
+            has_full_use: true,
+            handed_over: 0,
         }
     }
 
     /// Takes the news over; what it let pass is kept where `follows` says so: where instances are many,
     /// leads tell the sums of all, and a row for each instance and account would grow with both.
-    pub fn update(&mut self, now: Time, news: PeerNews, follows: bool) {
+    pub fn update(&mut self, now: Time, news: PeerUpdate, follows: bool) {
         self.zone = news.zone;
-        self.heard = now;
+        self.last_seen = now;
         self.held = news.held;
         self.draining = news.draining;
         if self.incarnation != news.incarnation {
             self.used.clear();
-            self.followed = true;
+            self.has_full_use = true;
         }
         self.incarnation = news.incarnation;
-        self.followed &= follows;
+        self.has_full_use &= follows;
         if follows {
             let used = news.used.iter().map(|u| (u.account.clone(), u.totals()));
             self.used.extend(used);
--- a/crates/firdock-policy/src/sums.rs
+++ b/crates/firdock-policy/src/usage.rs
@@ -8,7 +8,7 @@
 //! A count tells something only by how much it rises, since each lead counts from its own start. What two
 //! leads of a group tell of the same use counts once.
 
-mod heard;
+mod merged_counts;
 mod outbox;
 
 use std::collections::BTreeMap;
@@ -17,8 +17,8 @@
 use firdock_core::{AccountId, InstanceId, ZoneId};
 use uuid::Uuid;
 
-pub use self::heard::HeardCounts;
-pub use self::outbox::MAX_TOLD_ACCOUNTS;
+pub use self::merged_counts::MergedCounts;
+pub use self::outbox::MAX_REPORTED_ACCOUNTS;
 use self::outbox::Outbox;
 use crate::event::{AccountUse, PeerUse, UseCounts, UseTotals};
 use crate::time::Time;
@@ -73,22 +73,22 @@
 
 /// What a lead counts of its group and hears of others, and what of that is to be told.
 #[derive(Debug, Default)]
-pub struct UseSums {
+pub struct UseAggregator {
     /// When this instance began to count for its group, as who hears its counts tells beginnings apart;
     /// `None` while others count.
     began: Option<Uuid>,
     members: BTreeMap<InstanceId, MemberUse>,
-    groups: BTreeMap<ZoneId, HeardCounts>,
+    groups: BTreeMap<ZoneId, MergedCounts>,
     to_leads: Outbox,
     to_group: Outbox,
 }
 
-impl UseSums {
+impl UseAggregator {
     /// Takes what a member of the group let pass since its start, this instance itself among them.
     ///
     /// What it let pass before it was first heard of is not known to be recent. Of an account that it tells
     /// of later, what rose since callers came for it is.
-    pub fn hear_member(&mut self, now: Time, word: &PeerUse) {
+    pub fn add_member_report(&mut self, now: Time, word: &PeerUse) {
         if self.began.is_none() {
             return;
         }
@@ -109,24 +109,24 @@
     }
 
     /// Takes what the lead of another group counted of it.
-    pub fn hear_group(&mut self, now: Time, zone: &str, word: &UseCounts) {
+    pub fn add_group_report(&mut self, now: Time, zone: &str, word: &UseCounts) {
         if self.began.is_none() {
             return;
         }
         let heard = self.groups.entry(zone.to_owned()).or_default();
-        for rise in heard.take(now, word) {
+        for rise in heard.merge(now, word) {
             self.to_group.add(&rise);
         }
     }
 
     /// Gives what the leads of other groups are to hear of `lead`: counts of the own group; `None` while
     /// others count.
-    pub fn take_for_leads(&mut self, lead: &str) -> Option<UseCounts> {
+    pub fn report_for_leads(&mut self, lead: &str) -> Option<UseCounts> {
         Some(self.to_leads.take_word(lead, self.began?))
     }
 
     /// Gives what the own group is to hear, likewise: counts of all groups.
-    pub fn take_for_group(&mut self, lead: &str) -> Option<UseCounts> {
+    pub fn report_for_group(&mut self, lead: &str) -> Option<UseCounts> {
         Some(self.to_group.take_word(lead, self.began?))
     }
 
@@ -136,14 +136,14 @@
     }
 
     /// Begins to count for the group, unless this instance does already; `beginning` is made for this.
-    pub fn begin(&mut self, beginning: impl FnOnce() -> Uuid) {
+    pub fn start(&mut self, beginning: impl FnOnce() -> Uuid) {
         if self.began.is_none() {
             self.began = Some(beginning());
         }
     }
 
     /// Forgets everything, since others count for the group.
-    pub fn end(&mut self) {
+    pub fn reset(&mut self) {
         if self.began.is_some() {
             *self = Self::default();
         }
--- a/crates/firdock-policy/src/sums/heard.rs
+++ b/crates/firdock-policy/src/usage/merged_counts.rs
@@ -23,19 +23,19 @@
 
 /// Counts that several tell of the same use: a group's two leads, or those who lead it one after another.
 #[derive(Debug, Default)]
-pub struct HeardCounts {
+pub struct MergedCounts {
     tellers: BTreeMap<InstanceId, Teller>,
     /// How far the use has risen, by whoever counted furthest.
     risen: Counts,
 }
 
-impl HeardCounts {
+impl MergedCounts {
     /// Takes a word; gives by how much the use of each account rose.
     ///
     /// What a teller counted before it was first heard is not known to be new: where it was not heard from
     /// its beginning, its first word on each account says nothing. What it counts from then on is new, as
     /// far as no other teller told of it before.
-    pub fn take(&mut self, now: Time, word: &UseCounts) -> Vec<AccountUse> {
+    pub fn merge(&mut self, now: Time, word: &UseCounts) -> Vec<AccountUse> {
         self.tellers.retain(|_, t| t.heard + FORGET_AFTER > now);
         let teller = self
             .tellers
--- a/crates/firdock-policy/tests/policy/limits.rs
+++ b/crates/firdock-policy/tests/policy/limits.rs
@@ -4,10 +4,10 @@
 
 use firdock_core::{Outcome, Reason};
 use firdock_policy::event::{
-    AccountUse, HandOverEvent, HandOverRefusal, Member, MemberView, PeerNews, PeerUse, UseCounts,
+    AccountUse, HandOverEvent, HandOverRefusal, Member, MemberView, PeerUpdate, PeerUse, UseCounts,
     UseTotals,
 };
-use firdock_policy::sums::UseSums;
+use firdock_policy::usage::UseAggregator;
 use firdock_policy::{Action, Event, NewRequest, Verdict, limit_usage};
 use uuid::Uuid;
 
@@ -20,7 +20,7 @@
     let mut served = 0;
     for n in 0..400 {
         edge.now += millis(25);
-        edge.step(Event::Fresh(edge.now));
+        edge.step(Event::ConfigConfirmed(edge.now));
         let actions = edge.arrive(request(n, "safe", "limited"));
         match verdict(&actions) {
             None => {
@@ -74,7 +74,7 @@
     let mut served = 0;
     for n in 0..count {
         edge.now += pause;
-        edge.step(Event::Fresh(edge.now));
+        edge.step(Event::ConfigConfirmed(edge.now));
         for event in told {
             edge.step(event.clone());
         }
@@ -87,11 +87,11 @@
 }
 
 fn peer(used: f64, incarnation: u128) -> Event {
-    Event::Peer(PeerNews {
+    Event::Peer(PeerUpdate {
         name: "b".to_owned(),
         incarnation: Uuid::from_u128(incarnation),
         used: limited(used),
-        ..PeerNews::default()
+        ..PeerUpdate::default()
     })
 }
 
@@ -102,18 +102,18 @@
     edge.step(peer(5_000.0, 1));
     edge.now += millis(1_000);
     edge.step(peer(5_000.0, 1));
-    edge.step(Event::Fresh(edge.now));
+    edge.step(Event::ConfigConfirmed(edge.now));
     assert_eq!(verdict(&edge.arrive(request(1, "safe", "limited"))), None);
     edge.now += millis(1_000);
     edge.step(peer(5_300.0, 1));
-    edge.step(Event::Fresh(edge.now));
+    edge.step(Event::ConfigConfirmed(edge.now));
     let refused = verdict(&edge.arrive(request(2, "safe", "limited")));
     assert_eq!(refused, Some((Outcome::NotRun, Reason::RateLimited)));
 }
 
 /// A lead's counts of what all let pass.
 fn counted(count: f64, beginning: u128) -> Event {
-    Event::SiteUsed(UseCounts {
+    Event::SiteUseReported(UseCounts {
         lead: "lead".to_owned(),
         began: Uuid::from_u128(beginning),
         fresh: false,
@@ -130,7 +130,7 @@
     edge.step(Event::Reach(40));
     let arrive = |edge: &mut Edge, n: u64, pause: u64| {
         edge.now += millis(pause);
-        edge.step(Event::Fresh(edge.now));
+        edge.step(Event::ConfigConfirmed(edge.now));
         edge.step(Event::Reach(40));
         verdict(&edge.arrive(request(n, "safe", "limited")))
     };
@@ -163,7 +163,7 @@
     let mut edge = Edge::new(edge_settings("a"), resources());
     edge.step(peer(5_000.0, 1));
     edge.now += millis(1_000);
-    edge.step(Event::Fresh(edge.now));
+    edge.step(Event::ConfigConfirmed(edge.now));
     edge.step(peer(300.0, 2));
     let refused = verdict(&edge.arrive(request(1, "safe", "limited")));
     assert_eq!(refused, Some((Outcome::NotRun, Reason::RateLimited)));
@@ -185,9 +185,9 @@
     let mut edge = Edge::new(edge_settings("a"), resources());
     edge.step(Event::PeersKnown(99));
     for n in 0..99 {
-        edge.step(Event::Peer(PeerNews {
+        edge.step(Event::Peer(PeerUpdate {
             name: format!("peer-{n}"),
-            ..PeerNews::default()
+            ..PeerUpdate::default()
         }));
     }
     edge.step(Event::Reach(100));
@@ -211,24 +211,24 @@
 #[test]
 fn what_an_older_peer_let_pass_before_it_told_of_an_account_is_not_recent() {
     let start = |secs: u64| Uuid::new_v7(uuid::Timestamp::from_unix(uuid::NoContext, secs, 0));
-    let told = |incarnation: Uuid, used: f64| PeerNews {
+    let told = |incarnation: Uuid, used: f64| PeerUpdate {
         name: "b".to_owned(),
         incarnation,
         used: limited(used),
-        ..PeerNews::default()
+        ..PeerUpdate::default()
     };
     for (secs, passes) in [(1_000, true), (2_000, false)] {
         let mut settings = edge_settings("a");
         settings.member.incarnation = start(2_000);
         let mut edge = Edge::new(settings, resources());
         let peer = start(secs);
-        let first = PeerNews {
+        let first = PeerUpdate {
             used: Vec::new(),
             ..told(peer, 0.0)
         };
         edge.step(Event::Peer(first));
         edge.now += millis(1_000);
-        edge.step(Event::Fresh(edge.now));
+        edge.step(Event::ConfigConfirmed(edge.now));
         edge.step(Event::Peer(told(peer, 900_000.0)));
         let new = verdict(&edge.arrive(request(1, "safe", "limited")));
         assert_eq!(new.is_none(), passes, "began at {secs} s");
@@ -241,7 +241,7 @@
     let mut told = Vec::new();
     for (n, pause) in [1_000, 1_000, 4_900, 5_100].into_iter().enumerate() {
         edge.now += millis(pause);
-        edge.step(Event::Fresh(edge.now));
+        edge.step(Event::ConfigConfirmed(edge.now));
         edge.arrive(request(n as u64, "safe", "limited"));
         let used = limit_usage(edge.scheduler.tables(), edge.now);
         told.push((used[0].units, used[0].before.units));
@@ -260,14 +260,14 @@
             edge
         })
         .collect();
-    let mut lead = UseSums::default();
-    lead.begin(|| Uuid::from_u128(1));
+    let mut lead = UseAggregator::default();
+    lead.start(|| Uuid::from_u128(1));
     let mut told: Vec<Event> = Vec::new();
     let mut passed = vec![0.0; secs as usize];
     for round in 0..secs * 50 {
         for (n, edge) in edges.iter_mut().enumerate() {
             edge.now += millis(20);
-            edge.step(Event::Fresh(edge.now));
+            edge.step(Event::ConfigConfirmed(edge.now));
             edge.step(Event::Reach(instances));
             if (round + n as u64).is_multiple_of(5) {
                 let at = round * 1_000 + n as u64;
@@ -283,9 +283,9 @@
             }
         }
         for edge in &edges {
-            lead.hear_member(edge.now, &own_use(edge));
+            lead.add_member_report(edge.now, &own_use(edge));
         }
-        told.extend(lead.take_for_group("lead").map(Event::SiteUsed));
+        told.extend(lead.report_for_group("lead").map(Event::SiteUseReported));
         if let Some(word) = told.len().checked_sub(lag + 1).map(|at| told[at].clone()) {
             for edge in &mut edges {
                 edge.step(word.clone());
@@ -331,7 +331,7 @@
 fn a_request_that_ran_nowhere_is_given_back_to_its_accounts_limit() {
     let mut edge = Edge::new(edge_settings("a"), resources());
     edge.now += millis(1_000);
-    edge.step(Event::Fresh(edge.now));
+    edge.step(Event::ConfigConfirmed(edge.now));
     for n in 1..=3 {
         assert_eq!(verdict(&edge.arrive(request(n, "once", "limited"))), None);
         let first = edge.tell(n, 1, REFUSED);
--- a/crates/firdock-policy/tests/policy/notices.rs
+++ b/crates/firdock-policy/tests/policy/notices.rs
@@ -12,18 +12,18 @@
 
 use firdock_core::resource::{Catalog, Endpoint, Resource};
 use firdock_core::{Outcome, Reason};
-use firdock_policy::event::{DispatchNews, Grant, ListedInstance, LoadReport};
-use firdock_policy::notice::{Notice, NoticeTold};
+use firdock_policy::event::{DispatchUpdate, Grant, ListedInstance, LoadReport};
+use firdock_policy::notice::{Notice, NoticeReport};
 use firdock_policy::table::endpoint::{EndpointRow, Health};
 use firdock_policy::{Action, Event, Time};
 
 use crate::edge::{Edge, REFUSED, edge_settings, request, resources, verdict};
 use crate::scene::{dispatched, id, millis};
 
-const BROKE: DispatchNews = DispatchNews::Broke { delivered: 0 };
+const BROKE: DispatchUpdate = DispatchUpdate::Broke { delivered: 0 };
 
 fn told(endpoint: &str, notice: Notice, read: Time) -> Event {
-    Event::Noticed(NoticeTold {
+    Event::NoticeReported(NoticeReport {
         endpoint: endpoint.to_owned(),
         member: String::new(),
         notice,
@@ -70,7 +70,7 @@
 
 /// Where requests go that come at once, each ended as soon as all are here.
 fn reached(edge: &mut Edge, numbers: std::ops::Range<u64>) -> Vec<String> {
-    edge.step(Event::Fresh(edge.now));
+    edge.step(Event::ConfigConfirmed(edge.now));
     let mut actions: Vec<Action> = Vec::new();
     for n in numbers {
         actions.extend(edge.arrive(request(n, "safe", "free")));
@@ -79,7 +79,7 @@
     while !actions.is_empty() {
         for (of, endpoint) in dispatched(&std::mem::take(&mut actions)) {
             reached.push(endpoint);
-            let news = DispatchNews::Ended {
+            let news = DispatchUpdate::Ended {
                 prompt: 0,
                 cached: 0,
                 output: 0,
@@ -223,7 +223,7 @@
     }
     assert_eq!(
         (row(&edge, "e1").health, row(&edge, "e1").broken),
-        (Health::Well, 0)
+        (Health::Healthy, 0)
     );
 }
 
@@ -303,7 +303,7 @@
     let mut queue: Vec<Action> = Vec::new();
     while edge.now < began + millis(3_500) {
         edge.now += millis(25);
-        edge.step(Event::Fresh(edge.now));
+        edge.step(Event::ConfigConfirmed(edge.now));
         queue.extend(edge.step(Event::Timer));
         if edge.now <= began + millis(3_000) {
             sent += 1;
@@ -314,7 +314,7 @@
         let over: Vec<_> = running.extract_if(.., |(at, ..)| *at <= edge.now).collect();
         for (_, n, dispatch) in over {
             served += 1;
-            let news = DispatchNews::Ended {
+            let news = DispatchUpdate::Ended {
                 prompt: 0,
                 cached: 0,
                 output: 0,
--- a/crates/firdock-policy/tests/policy/paced.rs
+++ b/crates/firdock-policy/tests/policy/paced.rs
@@ -2,10 +2,10 @@
 //! as the others, and 15 of 100 two and a half times their own time, for half a second at a time.
 
 use firdock_core::resource::{Endpoint, EndpointKind, PoolWeight, Resource, Service};
-use firdock_policy::event::DispatchNews;
-use firdock_policy::load::{Pace, PaceTold};
-use firdock_policy::table::pace_told::ToldPace;
-use firdock_policy::table::pool_pace::PoolPace;
+use firdock_policy::event::DispatchUpdate;
+use firdock_policy::load::{Pace, PaceReport};
+use firdock_policy::table::pool_latency::PoolLatency;
+use firdock_policy::table::reported_pace::ReportedPace;
 use firdock_policy::{Event, NewRequest, Time};
 
 use crate::edge::{Edge, edge_settings, request, resources};
@@ -22,7 +22,7 @@
 
 fn told(edge: &mut Edge, endpoint: &str, hundredths: u32) {
     let read = edge.now;
-    edge.step(Event::Paced(PaceTold {
+    edge.step(Event::PaceReported(PaceReport {
         endpoint: endpoint.to_owned(),
         pace: pace(hundredths),
         read,
@@ -87,17 +87,17 @@
         edge.tell(1_000 + n, 1, TOKENS);
         edge.now += Time::from_secs_f64(slow * 384.0 * 0.008);
         edge.tell(1_000 + n, 1, ended(tokens, 385));
-        edge.step(Event::Fresh(edge.now));
+        edge.step(Event::ConfigConfirmed(edge.now));
     }
 }
 
-const TOKENS: DispatchNews = DispatchNews::Tokens {
+const TOKENS: DispatchUpdate = DispatchUpdate::Tokens {
     delivered: 7,
     cached: 0,
 };
 
-fn ended(prompt: u32, output: u32) -> DispatchNews {
-    DispatchNews::Ended {
+fn ended(prompt: u32, output: u32) -> DispatchUpdate {
+    DispatchUpdate::Ended {
         prompt,
         cached: 0,
         output,
@@ -128,31 +128,34 @@
 
 #[test]
 fn an_older_figure_that_comes_late_is_left_out() {
-    let mut seen = ToldPace::default();
-    seen.take(pace(68), millis(1_000));
-    seen.take(pace(300), millis(900));
-    assert_eq!(seen.newest().map(|(_, at)| at), Some(millis(1_000)));
-    assert!(seen.own().is_some_and(|own| own < 0.7));
+    let mut seen = ReportedPace::default();
+    seen.update(pace(68), millis(1_000));
+    seen.update(pace(300), millis(900));
+    assert_eq!(seen.latest().map(|(_, at)| at), Some(millis(1_000)));
+    assert!(seen.baseline().is_some_and(|own| own < 0.7));
 }
 
 /// Redraws each half second are faster than answers of seconds: a figure of now says much of a prompt and
 /// little of an answer.
 #[test]
 fn a_slow_moment_counts_for_what_comes_now_and_fades() {
-    let (mut seen, mut pool) = (ToldPace::default(), PoolPace::default());
+    let (mut seen, mut pool) = (ReportedPace::default(), PoolLatency::default());
     for n in 0..2_000_u64 {
         let at = millis(1_000 + 100 * n);
         let slow = (n / 5) % 7 == 0;
         let figure = pace(if slow { 250 } else { 100 });
-        let before = seen.take(figure, at);
-        let own = seen.own().expect("a figure was told");
-        pool.take(figure, at, own, before);
+        let before = seen.update(figure, at);
+        let own = seen.baseline().expect("a figure was told");
+        pool.learn_pace(figure, at, own, before);
     }
     let now = millis(1_000 + 100 * 1_999 + 50);
-    seen.take(pace(250), now);
-    let over = |secs: f64, later: u64| seen.over(now + millis(later), secs, &pool).expect("told");
+    seen.update(pace(250), now);
+    let over = |secs: f64, later: u64| {
+        seen.mean_over(now + millis(later), secs, &pool)
+            .expect("told")
+    };
     assert!(over(0.05, 0) > 2.2, "{}", over(0.05, 0));
-    let usual = pool.noise.mean();
+    let usual = pool.slow_phases.mean_factor();
     assert!((1.1..1.4).contains(&usual), "{usual}");
     assert!(over(8.0, 0) < usual + 0.2, "{}", over(8.0, 0));
     assert!(over(0.05, 2_000) < usual + 0.1, "{}", over(0.05, 2_000));
@@ -161,7 +164,7 @@
 /// A pool's engines teach one line: four times as slow ones and slow moments change nothing in it.
 #[test]
 fn noise_is_not_learned_as_an_engines_speed() {
-    let mut pool = PoolPace::default();
+    let mut pool = PoolLatency::default();
     for n in 0..600_u32 {
         let tokens = f64::from(200 + 97 * (n % 70));
         let pace = [0.68, 0.68, 3.0, 1.7, 7.5][n as usize % 5];
@@ -170,7 +173,7 @@
     }
     for (tokens, pace) in [(6_600.0, 0.68), (6_600.0, 3.0), (40_000.0, 1.0)] {
         let expected = 0.04 + pace * (usual(tokens) - 0.04);
-        let got = pool.first_secs(tokens, pace);
+        let got = pool.first_token_secs(tokens, pace);
         assert!((got / expected - 1.0).abs() < 0.2, "{got} for {expected}");
     }
 }
@@ -232,7 +235,7 @@
     edge.now += millis(1);
     told(edge, "e1", 68);
     told(edge, "e2", 300);
-    edge.step(Event::Fresh(edge.now));
+    edge.step(Event::ConfigConfirmed(edge.now));
 }
 
 #[test]
@@ -286,7 +289,7 @@
         edge.tell(n, 1, TOKENS);
         edge.now += Time::from_secs_f64(slow * 384.0 * 0.008);
         edge.tell(n, 1, ended(4_000, 385));
-        edge.step(Event::Fresh(edge.now));
+        edge.step(Event::ConfigConfirmed(edge.now));
     }
     edge
 }
@@ -333,7 +336,7 @@
     for n in 1..=4 {
         assert!(place(&mut edge, asked(n, "safe", 1_000, 385)).is_some());
     }
-    assert!(edge.scheduler.tables().told.get("pool").is_none());
+    assert!(edge.scheduler.tables().pool_latencies.get("pool").is_none());
 }
 
 /// An instance among many may have one call at a time on a plain server: a call is not slowed by itself.
@@ -353,7 +356,7 @@
         edge.now += millis(20);
         told(&mut edge, &at, 100);
         edge.end(n);
-        edge.step(Event::Fresh(edge.now));
+        edge.step(Event::ConfigConfirmed(edge.now));
     }
     place(&mut edge, request(100, "safe", "free"));
     let row = edge.scheduler.tables().requests.get(id(100));
--- a/crates/firdock-policy/tests/policy/rollout.rs
+++ b/crates/firdock-policy/tests/policy/rollout.rs
@@ -8,8 +8,8 @@
 
 use firdock_core::resource::{Catalog, Endpoint, Resource, Rollout};
 use firdock_core::settings::Rollouts;
-use firdock_policy::event::{DispatchNews, GroupEvidence, PeerNews};
-use firdock_policy::rollout::{Evidence, RolloutRecord, RolloutWord, Stage};
+use firdock_policy::event::{DispatchUpdate, GroupEvidence, PeerUpdate};
+use firdock_policy::rollout::{Evidence, RolloutRecord, RolloutStatus, Stage};
 use firdock_policy::{Action, Event, PolicySettings};
 use proptest::prelude::*;
 
@@ -117,7 +117,7 @@
     fn second(&mut self, bad: impl Fn(u64, &str) -> bool) {
         for _ in 0..100 {
             self.edge.now += PAUSE;
-            let fresh = Event::Fresh(self.edge.now);
+            let fresh = Event::ConfigConfirmed(self.edge.now);
             self.edge.step(fresh);
             let actions = self.edge.step(Event::Timer);
             self.note(&actions);
@@ -130,7 +130,7 @@
                 continue;
             };
             if engine.starts_with("new") && bad(n, service) {
-                self.edge.tell(n, 1, DispatchNews::Failed);
+                self.edge.tell(n, 1, DispatchUpdate::Failed);
             }
             self.edge.end(n);
         }
@@ -155,7 +155,7 @@
 }
 
 fn word(stage: Stage, age: Duration) -> Event {
-    Event::Rollout(RolloutWord {
+    Event::Rollout(RolloutStatus {
         pool: "pool".to_owned(),
         order: 7,
         stage,
@@ -251,7 +251,7 @@
             .and_then(|r| r.canaries.first().copied());
         for _ in 0..100 {
             site.edge.now += PAUSE;
-            let fresh = Event::Fresh(site.edge.now);
+            let fresh = Event::ConfigConfirmed(site.edge.now);
             site.edge.step(fresh);
             let actions = site.edge.step(Event::Timer);
             site.note(&actions);
@@ -260,7 +260,7 @@
             };
             let t = site.edge.scheduler.tables();
             if canary.is_some() && t.endpoints.find(&engine) == canary && n.is_multiple_of(2) {
-                site.edge.tell(n, 1, DispatchNews::Failed);
+                site.edge.tell(n, 1, DispatchUpdate::Failed);
             }
             site.edge.end(n);
         }
@@ -291,11 +291,11 @@
     seen.sent = 1_000;
     seen.exposed = 40;
     for _ in 0..200 {
-        seen.tally("safe", "").answer(1.0);
+        seen.tally("safe", "").record_answer(1.0);
     }
     for endpoint in ["new-0", "new-1", "new-2"] {
         for _ in 0..5 {
-            seen.tally("safe", endpoint).answer(1.0);
+            seen.tally("safe", endpoint).record_answer(1.0);
             seen.tally("safe", endpoint).failed += 1;
         }
     }
@@ -308,10 +308,10 @@
     site.edge.step(Event::GroupEvidence(far));
     site.edge.after(millis(100));
     assert_eq!(site.stage(), Stage::Watching);
-    site.edge.step(Event::Peer(PeerNews {
+    site.edge.step(Event::Peer(PeerUpdate {
         name: "b".to_owned(),
         seen: vec![seen],
-        ..PeerNews::default()
+        ..PeerUpdate::default()
     }));
     site.edge.after(millis(100));
     assert_eq!(site.stage(), Stage::Halted);
@@ -372,7 +372,7 @@
         site.edge.end(sent.0);
     }
     // Without an order by then, they are as good as any: more than the old ones have places for come.
-    let fresh = Event::Fresh(site.edge.now);
+    let fresh = Event::ConfigConfirmed(site.edge.now);
     site.edge.step(fresh);
     for _ in 0..100 * (ENGINES + 1) {
         site.send("safe");
--- a/crates/firdock-policy/tests/policy/scene.rs
+++ b/crates/firdock-policy/tests/policy/scene.rs
@@ -7,7 +7,7 @@
     Account, Catalog, Endpoint, EndpointKind, Resource, Service, ServiceKind, Tier,
 };
 use firdock_core::settings::Settings;
-use firdock_policy::event::{DispatchNews, EndpointEvent, LogReading, Member, MemberView};
+use firdock_policy::event::{DispatchUpdate, EndpointEvent, LogReading, Member, MemberView};
 use firdock_policy::{
     Action, Event, KeyClaim, NewRequest, Origin, Policy as _, PolicySettings, Scheduler, Time,
 };
@@ -29,7 +29,7 @@
     name.clone_into(&mut s.member.name);
     s.max_held = 6;
     s.key_grace = Duration::from_secs(2);
-    s.key_keep = Duration::from_mins(1);
+    s.key_retention = Duration::from_mins(1);
     s
 }
 
@@ -179,11 +179,11 @@
         self.step(Event::Arrived(new))
     }
 
-    pub fn tell(&mut self, n: u64, dispatch: u32, news: DispatchNews) -> Vec<Action> {
+    pub fn tell(&mut self, n: u64, dispatch: u32, news: DispatchUpdate) -> Vec<Action> {
         self.step(Event::Endpoint(EndpointEvent {
             id: id(n),
             dispatch,
-            news,
+            update: news,
         }))
     }
 }
--- a/crates/firdock-policy/tests/policy/suspects/evidence.rs
+++ b/crates/firdock-policy/tests/policy/suspects/evidence.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use firdock_core::resource::{Catalog, Endpoint, Resource};
-use firdock_policy::event::{BreakCause, DispatchNews, Liveness};
-use firdock_policy::notice::{Notice, NoticeTold};
+use firdock_policy::event::{BreakCause, DispatchUpdate, Liveness};
+use firdock_policy::notice::{Notice, NoticeReport};
 use firdock_policy::{Action, Event};
 
 use super::words::{peer, told_of};
@@ -85,7 +85,7 @@
     let (dispatch, _) = pool
         .arrives(with_body(2, "once", "hot"))
         .expect("it is sent");
-    pool.edge.tell(2, dispatch, DispatchNews::Unproven);
+    pool.edge.tell(2, dispatch, DispatchUpdate::Unproven);
     pool.edge.tell(2, dispatch, ENDED);
     assert_eq!(ends_against(&pool.edge, "hot"), 1);
     let (dispatch, _) = pool
@@ -104,7 +104,7 @@
             .arrives(with_body(n, "once", "hot"))
             .expect("it is sent");
         if n.is_multiple_of(2) {
-            pool.edge.step(Event::Noticed(NoticeTold {
+            pool.edge.step(Event::NoticeReported(NoticeReport {
                 endpoint: endpoint.clone(),
                 member: String::new(),
                 notice: Notice {
@@ -131,11 +131,11 @@
 fn broken_connections_to_endpoints_that_live_convict_nothing() {
     let mut edge = before(8);
     for n in 1..=9 {
-        edge.step(Event::Fresh(edge.now));
+        edge.step(Event::ConfigConfirmed(edge.now));
         let sent = dispatched(&edge.arrive(with_body(n, "once", "hot")));
         edge.now += RUN;
         if n.is_multiple_of(3) {
-            edge.tell(n, 1, DispatchNews::Breaking(BreakCause::Foreign));
+            edge.tell(n, 1, DispatchUpdate::Breaking(BreakCause::Foreign));
             edge.tell(n, 1, BROKE);
             // Another request's look finds it ended a moment later.
             edge.now += millis(10);
@@ -196,7 +196,7 @@
 fn an_end_counts_once_in_whichever_order_it_becomes_known() {
     let mut edge = before(1);
     for n in 1..=2 {
-        edge.step(Event::Fresh(edge.now));
+        edge.step(Event::ConfigConfirmed(edge.now));
         edge.arrive(with_body(n, "once", "deadly"));
     }
     edge.now += RUN;
@@ -248,7 +248,7 @@
 fn a_look_that_began_before_a_break_is_made_again() {
     let mut edge = before(1);
     for n in 1..=3 {
-        edge.step(Event::Fresh(edge.now));
+        edge.step(Event::ConfigConfirmed(edge.now));
         edge.arrive(with_body(n, "once", &format!("b{n}")));
     }
     let looks = |actions: &[Action]| {
@@ -309,7 +309,7 @@
             dispatch: 1,
         };
         assert!(actions.contains(&given_up));
-        edge.tell(1, 1, DispatchNews::Breaking(BreakCause::Restarted));
+        edge.tell(1, 1, DispatchUpdate::Breaking(BreakCause::Restarted));
         edge.tell(1, 1, BROKE);
         assert_eq!(ends_against(&edge, "deadly"), ends, "removed: {removed}");
     }
--- a/crates/firdock-policy/tests/policy/suspects/words.rs
+++ b/crates/firdock-policy/tests/policy/suspects/words.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use firdock_core::Outcome;
-use firdock_policy::event::{Grant, Liveness, PeerNews};
-use firdock_policy::suspect::{ReportedExit, ToldSuspect};
+use firdock_policy::event::{Grant, Liveness, PeerUpdate};
+use firdock_policy::suspect::{ReportedExit, SuspectReport};
 use firdock_policy::{Action, Event, NewRequest};
 use proptest::prelude::*;
 
@@ -15,14 +15,14 @@
 use crate::edge::{Edge, edge_settings};
 use crate::scene::{dispatched, id, millis};
 
-pub fn told_of(body: &str, account: &str, starts: &[(&str, u64)]) -> ToldSuspect {
+pub fn told_of(body: &str, account: &str, starts: &[(&str, u64)]) -> SuspectReport {
     let end = |(start, ago): &(&str, u64)| ReportedExit {
         start: (*start).to_owned(),
         sent_ago: millis(ago + 100),
         ended_ago: millis(*ago),
         void: false,
     };
-    ToldSuspect {
+    SuspectReport {
         content: content(body),
         account: account.to_owned(),
         service: "once".to_owned(),
@@ -30,11 +30,11 @@
     }
 }
 
-pub fn peer(name: &str, suspects: Vec<ToldSuspect>) -> Event {
-    Event::Peer(PeerNews {
+pub fn peer(name: &str, suspects: Vec<SuspectReport>) -> Event {
+    Event::Peer(PeerUpdate {
         name: name.to_owned(),
         suspects,
-        ..PeerNews::default()
+        ..PeerUpdate::default()
     })
 }
 
@@ -124,7 +124,12 @@
     }
     for (n, deadly) in (100..).zip(["deadly", "another", "a third"]) {
         assert!(pool.ends_one(with_body(n, "once", deadly)));
-        let told = pool.edge.scheduler.tables().suspects.told(pool.edge.now, 0);
+        let told = pool
+            .edge
+            .scheduler
+            .tables()
+            .suspects
+            .reports(pool.edge.now, 0);
         let is_told = |body: &str| told.iter().any(|t| t.content.id == content(body).id);
         assert!(is_told(deadly), "{deadly} is told at once");
         assert!(told.len() >= 60, "{} are told of", told.len());
@@ -140,8 +145,8 @@
         edge.step(peer("p", vec![told]));
     }
     let suspects = &edge.scheduler.tables().suspects;
-    assert!(suspects.told(edge.now, 0).len() <= 2, "by turns alone");
-    assert_eq!(suspects.heard_told(edge.now).len(), 8);
+    assert!(suspects.reports(edge.now, 0).len() <= 2, "by turns alone");
+    assert_eq!(suspects.reports_to_forward(edge.now).len(), 8);
 }
 
 /// An operator's word lets a request go, also where others tell of what ended before only later.
@@ -152,7 +157,12 @@
         pool.ends_one(with_body(n, "once", "deadly"));
     }
     let id = content("deadly").id;
-    let words = pool.edge.scheduler.tables().suspects.told(pool.edge.now, 0);
+    let words = pool
+        .edge
+        .scheduler
+        .tables()
+        .suspects
+        .reports(pool.edge.now, 0);
     pool.edge.step(Event::Released(id, pool.edge.now));
     assert!(!is_quarantined(&pool.edge, "deadly"));
     pool.edge.step(peer("late", words));
@@ -191,7 +201,7 @@
         ends in prop::collection::vec((0..6_u8, 0..2_000_u64, prop::bool::ANY), 1..12),
         order in any::<prop::sample::Index>(),
     ) {
-        let words: Vec<ToldSuspect> = ends
+        let words: Vec<SuspectReport> = ends
             .iter()
             .map(|(start, ago, void)| {
                 let name = format!("x{start}");
--- a/crates/firdock-standin/src/measure/baseline.rs
+++ b/crates/firdock-standin/src/measure/baseline.rs
@@ -6,7 +6,7 @@
 use firdock_core::resource::Catalog;
 use firdock_core::{Outcome, Reason, RequestId};
 use firdock_policy::action::Dispatch;
-use firdock_policy::event::{DispatchNews, EndpointEvent};
+use firdock_policy::event::{DispatchUpdate, EndpointEvent};
 use firdock_policy::{Action, Event, NewRequest, Policy, Verdict};
 use rand::rngs::StdRng;
 use rand::{Rng as _, SeedableRng as _};
@@ -148,9 +148,9 @@
         let Some(live) = self.live.get(&e.id).filter(|l| l.dispatch == e.dispatch) else {
             return;
         };
-        match e.news {
-            DispatchNews::Refused { .. } => self.place(e.id, out),
-            DispatchNews::Broke { .. } => {
+        match e.update {
+            DispatchUpdate::Refused { .. } => self.place(e.id, out),
+            DispatchUpdate::Broke { .. } => {
                 if self
                     .repeatable
                     .get(&live.new.service)
@@ -166,7 +166,7 @@
                     });
                 }
             }
-            DispatchNews::Ended { .. } => {
+            DispatchUpdate::Ended { .. } => {
                 self.live.remove(&e.id);
             }
             _ => {}
