--- a/crates/firdock-node/src/edge.rs
+++ b/crates/firdock-node/src/edge.rs
@@ -18,11 +18,11 @@
 
 use self::parts::{DriverOutlets, Parts};
 use crate::clock::millis;
-use crate::door::{DoorState, Interface, Opening};
 use crate::driver::Driver;
 use crate::endpoint::Backends;
 use crate::endpoint::relay::Dialect;
 use crate::http::{ServerOptions, serve};
+use crate::ingress::{DoorState, Interface, Opening};
 use crate::input::{INPUTS_WAITING, Input};
 use crate::instance::{AbortOnPanic, StartError, open};
 use crate::peer::SelfNews;
@@ -50,11 +50,11 @@
 /// A running edge instance.
 #[derive(Debug)]
 pub struct RunningEdge {
-    door: DoorState,
+    ingress: DoorState,
     inputs: mpsc::Sender<Input>,
     drained: watch::Receiver<bool>,
     serving: JoinHandle<()>,
-    stop_door: watch::Sender<bool>,
+    stop_ingress: watch::Sender<bool>,
     stop_rest: watch::Sender<bool>,
     stop_time: Duration,
     log: Logger,
@@ -89,7 +89,7 @@
     pub async fn start(self) -> Result<RunningEdge, StartError> {
         let parts = Parts::new(&self.settings, self.log.clone());
         let (inputs, waiting) = mpsc::channel(INPUTS_WAITING);
-        let (stop_door, door_stops) = watch::channel(false);
+        let (stop_ingress, ingress_stops) = watch::channel(false);
         let (stop_rest, rest_stops) = watch::channel(false);
         let (drained, drain_seen) = watch::channel(false);
         let (news, news_seen) = watch::channel(SelfNews::default());
@@ -120,18 +120,18 @@
                 .follow(parts.sink(&inputs, changes, records_wanted)),
         );
 
-        let door = parts.door(self.interface, inputs.clone());
+        let ingress = parts.ingress(self.interface, inputs.clone());
         let options = ServerOptions::new(&self.settings.limits);
-        let handle = move |r| door.clone().handle(r);
-        let serving = tokio::spawn(serve(callers, options, door_stops, handle));
+        let handle = move |r| ingress.clone().handle(r);
+        let serving = tokio::spawn(serve(callers, options, ingress_stops, handle));
         info!(self.log, "started"; "zone" => &self.settings.instance.zone,
             "incarnation" => parts.member.incarnation.to_string());
         Ok(RunningEdge {
-            door: parts.door,
+            ingress: parts.ingress,
             inputs,
             drained: drain_seen,
             serving,
-            stop_door,
+            stop_ingress,
             stop_rest,
             stop_time: Duration::from_secs(self.settings.limits.stop_seconds),
             log: self.log,
@@ -156,11 +156,11 @@
         let now = Instant::now();
         let end = now + self.stop_time.saturating_sub(RESERVE);
         info!(self.log, "stopping"; "millis" => millis(self.stop_time));
-        self.door.set(Opening::Closing);
+        self.ingress.set(Opening::Closing);
         let _ = self.inputs.send(Input::Event(Event::Drain)).await;
         sleep_until((now + SERVE_ON).min(end)).await;
-        self.door.set(Opening::Closed);
-        self.stop_door.send_replace(true);
+        self.ingress.set(Opening::Closed);
+        self.stop_ingress.send_replace(true);
         let finished = timeout_at(end, self.serving).await.is_ok();
         if !finished {
             warn!(self.log, "stopped before everything was finished");
--- a/crates/firdock-node/src/edge/parts.rs
+++ b/crates/firdock-node/src/edge/parts.rs
@@ -19,12 +19,12 @@
 use crate::answers::Answers;
 use crate::clock::Clock;
 use crate::config::Hub;
-use crate::door::{Door, DoorLimits, DoorState, Interface};
 use crate::driver::{Driver, DriverParts};
 use crate::endpoint::relay::{Dialect, Relay};
 use crate::endpoint::run::RunLimits;
 use crate::exchange::AnswerRoom;
 use crate::http::{ServerOptions, serve};
+use crate::ingress::{Door, DoorLimits, DoorState, Interface};
 use crate::input::Input;
 use crate::instance::{ListenSnafu, StartError, UnsetSnafu, open};
 use crate::peer::{Beacons, Dialer, PeerBook, SelfNews, SharedReads, Taken, open_beacons};
@@ -49,7 +49,7 @@
     pub member: Member,
     clock: Clock,
     site: Arc<Site>,
-    pub door: DoorState,
+    pub ingress: DoorState,
     room: AnswerRoom,
     metrics: Arc<Metrics>,
     peers: Arc<PeerBook>,
@@ -113,7 +113,7 @@
             },
             clock,
             site: Arc::default(),
-            door: DoorState::default(),
+            ingress: DoorState::default(),
             room,
             metrics,
             peers: Arc::new(
@@ -147,7 +147,7 @@
     }
 
     /// Makes the callers' door.
-    pub fn door<I: Interface>(&self, interface: I, inputs: mpsc::Sender<Input>) -> Door<I> {
+    pub fn ingress<I: Interface>(&self, interface: I, inputs: mpsc::Sender<Input>) -> Door<I> {
         let limits = DoorLimits::new(&self.settings.limits);
         let site = Arc::clone(&self.site);
         Door::new(
@@ -158,7 +158,7 @@
             self.clock,
             self.log.clone(),
         )
-        .with_state(self.door.clone())
+        .with_state(self.ingress.clone())
         .with_lines(Arc::clone(&self.lines))
         .with_room(self.room.clone())
     }
@@ -265,7 +265,7 @@
         let ready = open(self.settings.instance.ready, "instance.ready")?;
         let readiness = Readiness {
             site: Arc::clone(&self.site),
-            door: self.door.clone(),
+            ingress: self.ingress.clone(),
             limit: self.settings.freshness.serve().unwrap_or(Duration::MAX),
             clock: self.clock,
         };
--- a/crates/firdock-node/src/endpoint.rs
+++ b/crates/firdock-node/src/endpoint.rs
@@ -40,9 +40,9 @@
 pub use sse::{NoEventStream, SseDecoder, SseEvent};
 
 use self::run::Run;
-use crate::door::ModelCall;
 use crate::exchange::AnswerHead;
 use crate::http::CallError;
+use crate::ingress::ModelCall;
 use crate::site::Place;
 use crate::telemetry::TraceContext;
 
--- a/crates/firdock-node/src/endpoint/engine.rs
+++ b/crates/firdock-node/src/endpoint/engine.rs
@@ -24,8 +24,8 @@
     NOT_STARTED_HEADER, REPORT_PATH, RefusedSnafu, ReportSource, StartError, StreamError,
     TokenEvent, TokenStream, break_cause,
 };
-use crate::door::REQUEST_ID_HEADER;
 use crate::http::{CallError, Connection, connect};
+use crate::ingress::REQUEST_ID_HEADER;
 
 /// Largest body of an answer that is not a stream.
 const MAX_BODY_BYTES: usize = 8 << 20;
--- a/crates/firdock-node/src/endpoint/plain.rs
+++ b/crates/firdock-node/src/endpoint/plain.rs
@@ -14,9 +14,9 @@
     NOT_STARTED_HEADER, PlainAnswer, PlainClient, PlainOrder, RefusedSnafu, StartError,
     break_cause,
 };
-use crate::door::REQUEST_ID_HEADER;
 use crate::exchange::AnswerHead;
 use crate::http::{CallError, connect, strip_hop_by_hop};
+use crate::ingress::REQUEST_ID_HEADER;
 
 /// Adapter for plain servers.
 #[derive(Debug, Clone, Copy)]
--- a/crates/firdock-node/src/endpoint/run_engine.rs
+++ b/crates/firdock-node/src/endpoint/run_engine.rs
@@ -10,8 +10,8 @@
 use super::run::{Run, Stop};
 use super::{EngineClient, EngineOrder, EngineUsage, StartError, StreamError};
 use super::{TokenEvent, TokenStream};
-use crate::door::ModelCall;
 use crate::exchange::{AnswerHead, Part};
+use crate::ingress::ModelCall;
 
 /// Tries to take up a broken stream on the same engine.
 const RESUME_TRIES: u32 = 2;
@@ -223,7 +223,7 @@
                 .pass(Part::Data(Bytes::from_static(b"data: [DONE]\n\n")))
                 .await;
         }
-        let usage = crate::door::Usage {
+        let usage = crate::ingress::Usage {
             prompt: self.usage.prompt,
             cached: self.usage.cached,
             output,
--- a/crates/firdock-node/src/exchange.rs
+++ b/crates/firdock-node/src/exchange.rs
@@ -14,8 +14,8 @@
 use self::queue::answer_queue;
 pub use self::queue::{Parts, Reply, Sent};
 pub use self::room::AnswerRoom;
-use crate::door::ModelCall;
 use crate::endpoint::AnswerEnd;
+use crate::ingress::ModelCall;
 use crate::telemetry::TraceContext;
 
 /// What the caller sent, without what belongs to its connection or account.
--- a/crates/firdock-node/src/instance.rs
+++ b/crates/firdock-node/src/instance.rs
@@ -51,8 +51,8 @@
     member: Member,
     inputs: mpsc::Sender<Input>,
     drained: watch::Receiver<bool>,
-    door: tokio::task::JoinHandle<()>,
-    stop_door: watch::Sender<bool>,
+    ingress: tokio::task::JoinHandle<()>,
+    stop_ingress: watch::Sender<bool>,
     stop_rest: watch::Sender<bool>,
     threads: Vec<thread::JoinHandle<()>>,
     stop_time: Duration,
@@ -84,13 +84,15 @@
     pub fn start(self) -> Result<Running, StartError> {
         let s = &self.settings;
         let parts = Parts::new(s, &self.log)?;
-        let door_socket = open(s.instance.callers, "instance.callers")?;
+        let ingress_socket = open(s.instance.callers, "instance.callers")?;
         let peer_socket = open(s.instance.peers, "instance.peers")?;
-        let callers = door_socket.local_addr().unwrap_or_else(|_| zero_address());
+        let callers = ingress_socket
+            .local_addr()
+            .unwrap_or_else(|_| zero_address());
         let peers = peer_socket.local_addr().unwrap_or_else(|_| zero_address());
 
         let (inputs, waiting) = mpsc::channel(INPUTS_WAITING);
-        let (stop_door, door_stops) = watch::channel(false);
+        let (stop_ingress, ingress_stops) = watch::channel(false);
         let (stop_rest, rest_stops) = watch::channel(false);
         let (drained, drain_seen) = watch::channel(false);
         let (news, news_seen) = watch::channel(SelfNews::default());
@@ -125,12 +127,12 @@
         let operators_stop = rest_stops.clone();
         tokio::spawn(serve_peers(peer_socket, server, rest_stops));
 
-        let door = parts.door(inputs.clone());
+        let ingress = parts.ingress(inputs.clone());
         let options = ServerOptions::new(&s.limits);
-        let door = serve(door_socket, options, door_stops, move |r| {
-            door.clone().handle(r)
+        let ingress = serve(ingress_socket, options, ingress_stops, move |r| {
+            ingress.clone().handle(r)
         });
-        let door = tokio::spawn(door);
+        let ingress = tokio::spawn(ingress);
         let operators = parts.operators(inputs.clone(), operators_stop)?;
         info!(self.log, "started"; "callers" => callers.to_string(),
             "operators" => operators.to_string(), "peers" => peers.to_string());
@@ -142,8 +144,8 @@
             member: parts.member,
             inputs,
             drained: drain_seen,
-            door,
-            stop_door,
+            ingress,
+            stop_ingress,
             stop_rest,
             threads,
             stop_time: Duration::from_secs(s.limits.stop_seconds),
@@ -166,8 +168,8 @@
         if !finished {
             slog::warn!(self.log, "stopped before everything was finished");
         }
-        self.stop_door.send_replace(true);
-        let _ = timeout(self.stop_time, &mut self.door).await;
+        self.stop_ingress.send_replace(true);
+        let _ = timeout(self.stop_time, &mut self.ingress).await;
         self.wait_until_left().await;
         self.hub.close();
         self.stop_rest.send_replace(true);
--- a/crates/firdock-node/src/instance/parts.rs
+++ b/crates/firdock-node/src/instance/parts.rs
@@ -20,11 +20,11 @@
 use crate::answers::Answers;
 use crate::clock::Clock;
 use crate::config::{DutySettings, FollowParts, Hub, follow, watch_list};
-use crate::door::{Door, DoorLimits, OwnInterface};
 use crate::driver::{Driver, DriverParts};
 use crate::endpoint::run::RunLimits;
 use crate::endpoint::{HttpEngine, HttpPlain, OwnBackends, Target, watch_reports};
 use crate::exchange::AnswerRoom;
+use crate::ingress::{Door, DoorLimits, OwnInterface};
 use crate::input::Input;
 use crate::operator::{OperatorServer, Watchers, serve_operators};
 use crate::peer::{Dialer, SelfNews, ask_for_state};
@@ -164,7 +164,7 @@
     }
 
     /// Makes the callers' door.
-    pub fn door(&self, inputs: mpsc::Sender<Input>) -> Door<OwnInterface> {
+    pub fn ingress(&self, inputs: mpsc::Sender<Input>) -> Door<OwnInterface> {
         let limits = DoorLimits::new(&self.settings.limits);
         Door::new(
             OwnInterface,
--- a/crates/firdock-node/src/peer/serve.rs
+++ b/crates/firdock-node/src/peer/serve.rs
@@ -23,9 +23,9 @@
 use super::state::send_state;
 use crate::clock::Clock;
 use crate::config::PeerStatus;
-use crate::door::ModelCall;
-use crate::door::new_request;
 use crate::exchange::{AnswerRoom, CallTerms, Exchange, Parts, Payload};
+use crate::ingress::ModelCall;
+use crate::ingress::new_request;
 use crate::input::Input;
 use crate::telemetry::TraceContext;
 
