--- a/crates/firdock-node/src/edge.rs
+++ b/crates/firdock-node/src/edge.rs
@@ -22,7 +22,7 @@
 use crate::endpoint::Backends;
 use crate::endpoint::relay::Dialect;
 use crate::http::{ServerOptions, serve};
-use crate::ingress::{DoorState, Interface, Opening};
+use crate::ingress::{IngressPhase, IngressState, Interface};
 use crate::input::{INPUTS_WAITING, Input};
 use crate::instance::{AbortOnPanic, StartError, open};
 use crate::peer::SelfNews;
@@ -50,7 +50,7 @@
 /// A running edge instance.
 #[derive(Debug)]
 pub struct RunningEdge {
-    ingress: DoorState,
+    ingress: IngressState,
     inputs: mpsc::Sender<Input>,
     drained: watch::Receiver<bool>,
     serving: JoinHandle<()>,
@@ -156,10 +156,10 @@
         let now = Instant::now();
         let end = now + self.stop_time.saturating_sub(RESERVE);
         info!(self.log, "stopping"; "millis" => millis(self.stop_time));
-        self.ingress.set(Opening::Closing);
+        self.ingress.set(IngressPhase::Closing);
         let _ = self.inputs.send(Input::Event(Event::Drain)).await;
         sleep_until((now + SERVE_ON).min(end)).await;
-        self.ingress.set(Opening::Closed);
+        self.ingress.set(IngressPhase::Closed);
         self.stop_ingress.send_replace(true);
         let finished = timeout_at(end, self.serving).await.is_ok();
         if !finished {
--- a/crates/firdock-node/src/edge/parts.rs
+++ b/crates/firdock-node/src/edge/parts.rs
@@ -24,7 +24,7 @@
 use crate::endpoint::run::RunLimits;
 use crate::exchange::AnswerRoom;
 use crate::http::{ServerOptions, serve};
-use crate::ingress::{Door, DoorLimits, DoorState, Interface};
+use crate::ingress::{Ingress, IngressLimits, IngressState, Interface};
 use crate::input::Input;
 use crate::instance::{ListenSnafu, StartError, UnsetSnafu, open};
 use crate::peer::{Beacons, Dialer, PeerBook, SelfNews, SharedReads, Taken, open_beacons};
@@ -49,7 +49,7 @@
     pub member: Member,
     clock: Clock,
     site: Arc<Site>,
-    pub ingress: DoorState,
+    pub ingress: IngressState,
     room: AnswerRoom,
     metrics: Arc<Metrics>,
     peers: Arc<PeerBook>,
@@ -113,7 +113,7 @@
             },
             clock,
             site: Arc::default(),
-            ingress: DoorState::default(),
+            ingress: IngressState::default(),
             room,
             metrics,
             peers: Arc::new(
@@ -147,10 +147,10 @@
     }
 
     /// Makes the callers' door.
-    pub fn ingress<I: Interface>(&self, interface: I, inputs: mpsc::Sender<Input>) -> Door<I> {
-        let limits = DoorLimits::new(&self.settings.limits);
+    pub fn ingress<I: Interface>(&self, interface: I, inputs: mpsc::Sender<Input>) -> Ingress<I> {
+        let limits = IngressLimits::new(&self.settings.limits);
         let site = Arc::clone(&self.site);
-        Door::new(
+        Ingress::new(
             interface,
             limits,
             site,
--- a/crates/firdock-node/src/ingress.rs
+++ b/crates/firdock-node/src/ingress.rs
@@ -15,9 +15,9 @@
 
 pub use answer::{OUTCOME_HEADER, Problem, REQUEST_ID_HEADER};
 pub use body::AnswerBody;
-pub use handler::{Door, DoorLimits};
+pub use handler::{Ingress, IngressLimits};
 pub use interface::{CallBody, IncomingCall, Interface};
 pub use model::{BadCall, ModelCall, Usage};
 pub use own::OwnInterface;
 pub(crate) use request::new_request;
-pub use state::{DoorState, Opening};
+pub use state::{IngressPhase, IngressState};
--- a/crates/firdock-node/src/ingress/handler.rs
+++ b/crates/firdock-node/src/ingress/handler.rs
@@ -17,7 +17,7 @@
 use super::body::{AnswerBody, CallerGuard};
 use super::interface::{CallBody, IncomingCall, Interface};
 use super::request::new_request;
-use super::state::{DoorState, Opening};
+use super::state::{IngressPhase, IngressState};
 use crate::clock::{Clock, millis};
 use crate::endpoint::Framing;
 use crate::exchange::{AnswerHead, AnswerRoom, CallTerms, Exchange, Part, Payload};
@@ -33,14 +33,14 @@
 
 /// Bounds on one call.
 #[derive(Debug, Clone, Copy)]
-pub struct DoorLimits {
+pub struct IngressLimits {
     /// Bytes in the body.
     pub body_bytes: usize,
     /// Time for the body.
     pub body_time: Duration,
 }
 
-impl DoorLimits {
+impl IngressLimits {
     /// Takes the door's part of the settings.
     #[must_use]
     pub fn new(limits: &Limits) -> Self {
@@ -54,10 +54,10 @@
 
 /// The callers' door.
 #[derive(Debug, Clone)]
-pub struct Door<I> {
+pub struct Ingress<I> {
     interface: I,
-    limits: DoorLimits,
-    state: DoorState,
+    limits: IngressLimits,
+    state: IngressState,
     site: Arc<Site>,
     inputs: mpsc::Sender<Input>,
     clock: Clock,
@@ -66,12 +66,12 @@
     room: AnswerRoom,
 }
 
-impl<I: Interface> Door<I> {
+impl<I: Interface> Ingress<I> {
     /// Makes a door that gives what arrives to the scheduler behind `inputs`.
     #[must_use]
     pub(crate) fn new(
         interface: I,
-        limits: DoorLimits,
+        limits: IngressLimits,
         site: Arc<Site>,
         inputs: mpsc::Sender<Input>,
         clock: Clock,
@@ -80,7 +80,7 @@
         Self {
             interface,
             limits,
-            state: DoorState::default(),
+            state: IngressState::default(),
             site,
             inputs,
             clock,
@@ -106,7 +106,7 @@
 
     /// Shares how far the door is open.
     #[must_use]
-    pub(crate) fn with_state(mut self, state: DoorState) -> Self {
+    pub(crate) fn with_state(mut self, state: IngressState) -> Self {
         self.state = state;
         self
     }
@@ -136,7 +136,7 @@
                 self.interface.refuse(&problem, &id.to_string())
             }
         };
-        if self.state.get() != Opening::Open {
+        if self.state.get() != IngressPhase::Open {
             let close = HeaderValue::from_static("close");
             response.headers_mut().insert(header::CONNECTION, close);
         }
@@ -164,7 +164,7 @@
     }
 
     async fn read(&self, request: Request<Incoming>) -> Result<Payload, Problem> {
-        if self.state.get() == Opening::Closed {
+        if self.state.get() == IngressPhase::Closed {
             return Err(stopping());
         }
         let (head, incoming) = request.into_parts();
--- a/crates/firdock-node/src/ingress/state.rs
+++ b/crates/firdock-node/src/ingress/state.rs
@@ -6,7 +6,7 @@
 /// How far the door is open.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
-pub enum Opening {
+pub enum IngressPhase {
     /// Calls are taken.
     Open = 0,
     /// Calls are taken, and each connection ends with its next answer.
@@ -17,23 +17,23 @@
 
 /// How far the door is open, shared with whoever stops the instance.
 #[derive(Debug, Clone, Default)]
-pub struct DoorState {
-    opening: Arc<AtomicU8>,
+pub struct IngressState {
+    phase: Arc<AtomicU8>,
 }
 
-impl DoorState {
+impl IngressState {
     /// Gives how far the door is open.
     #[must_use]
-    pub fn get(&self) -> Opening {
-        match self.opening.load(Ordering::Relaxed) {
-            0 => Opening::Open,
-            1 => Opening::Closing,
-            _ => Opening::Closed,
+    pub fn get(&self) -> IngressPhase {
+        match self.phase.load(Ordering::Relaxed) {
+            0 => IngressPhase::Open,
+            1 => IngressPhase::Closing,
+            _ => IngressPhase::Closed,
         }
     }
 
     /// Sets how far the door is open.
-    pub fn set(&self, opening: Opening) {
-        self.opening.store(opening as u8, Ordering::Relaxed);
+    pub fn set(&self, phase: IngressPhase) {
+        self.phase.store(phase as u8, Ordering::Relaxed);
     }
 }
--- a/crates/firdock-node/src/instance/parts.rs
+++ b/crates/firdock-node/src/instance/parts.rs
@@ -24,7 +24,7 @@
 use crate::endpoint::run::RunLimits;
 use crate::endpoint::{HttpEngine, HttpPlain, OwnBackends, Target, watch_reports};
 use crate::exchange::AnswerRoom;
-use crate::ingress::{Door, DoorLimits, OwnInterface};
+use crate::ingress::{Ingress, IngressLimits, OwnInterface};
 use crate::input::Input;
 use crate::operator::{OperatorServer, Watchers, serve_operators};
 use crate::peer::{Dialer, SelfNews, ask_for_state};
@@ -164,9 +164,9 @@
     }
 
     /// Makes the callers' door.
-    pub fn ingress(&self, inputs: mpsc::Sender<Input>) -> Door<OwnInterface> {
-        let limits = DoorLimits::new(&self.settings.limits);
-        Door::new(
+    pub fn ingress(&self, inputs: mpsc::Sender<Input>) -> Ingress<OwnInterface> {
+        let limits = IngressLimits::new(&self.settings.limits);
+        Ingress::new(
             OwnInterface,
             limits,
             Arc::clone(&self.site),
--- a/crates/firdock-node/src/status.rs
+++ b/crates/firdock-node/src/status.rs
@@ -10,7 +10,7 @@
 use serde::Serialize;
 
 use crate::clock::Clock;
-use crate::ingress::{DoorState, Opening};
+use crate::ingress::{IngressPhase, IngressState};
 use crate::site::Site;
 use crate::telemetry::Metrics;
 
@@ -23,7 +23,7 @@
     /// Configuration in force.
     pub site: Arc<Site>,
     /// How far the door is open.
-    pub ingress: DoorState,
+    pub ingress: IngressState,
     /// Age of the configuration beyond which calls are refused.
     pub limit: Duration,
     /// Clock.
@@ -35,7 +35,7 @@
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let age = self.site.age(self.clock.now());
-        self.ingress.get() == Opening::Open && age.is_some_and(|age| age < self.limit)
+        self.ingress.get() == IngressPhase::Open && age.is_some_and(|age| age < self.limit)
     }
 
     /// Answers the balancer.
--- a/crates/firdock-standin/src/demo/load.rs
+++ b/crates/firdock-standin/src/demo/load.rs
@@ -32,8 +32,8 @@
 
 /// Sends requests for a while and waits for all answers.
 pub async fn run(site: &DemoSite, time: Duration, seed: u64) -> Vec<Result> {
-    let doors = site.doors();
-    let mut arrivals = arrivals(time, seed, doors.len());
+    let addresses = site.caller_addresses();
+    let mut arrivals = arrivals(time, seed, addresses.len());
     arrivals.sort_by_key(|a| a.at);
     let slots = Arc::new(Semaphore::new(MAX_CALLERS));
     let start = Instant::now();
@@ -41,9 +41,9 @@
     for arrival in arrivals {
         tokio::time::sleep_until(start + arrival.at).await;
         let slot = Arc::clone(&slots).acquire_owned().await;
-        let door = doors[arrival.instance];
+        let address = addresses[arrival.instance];
         calls.spawn(async move {
-            let got = send(door, &arrival).await;
+            let got = send(address, &arrival).await;
             drop(slot);
             Result {
                 tier: arrival.kind.tier,
@@ -65,7 +65,7 @@
     works.flatten().collect()
 }
 
-async fn send(door: SocketAddr, arrival: &Arrival) -> Got {
+async fn send(address: SocketAddr, arrival: &Arrival) -> Got {
     let key = bearer(ACCOUNTS[arrival.account]);
     let service = arrival.kind.service;
     let what = if arrival.kind.plain {
@@ -81,5 +81,5 @@
         let tokens = arrival.output.min(MAX_OUTPUT);
         Call::model(&key, service, &arrival.prompt.text(), tokens)
     };
-    call(door, &what).await
+    call(address, &what).await
 }
--- a/crates/firdock-standin/src/demo/site.rs
+++ b/crates/firdock-standin/src/demo/site.rs
@@ -194,7 +194,7 @@
 
     /// Gives the callers' doors.
     #[must_use]
-    pub fn doors(&self) -> Vec<SocketAddr> {
+    pub fn caller_addresses(&self) -> Vec<SocketAddr> {
         self.instances.iter().map(|i| i.callers).collect()
     }
 
--- a/tests/testsuite/dispatch_once.rs
+++ b/tests/testsuite/dispatch_once.rs
@@ -121,11 +121,11 @@
     pass_grace().await;
     for _ in 0..6 {
         let call = timed_order();
-        let doors: Vec<_> = site.nodes.iter().map(|n| n.callers).collect();
-        let calls = doors
+        let addresses: Vec<_> = site.nodes.iter().map(|n| n.callers).collect();
+        let calls = addresses
             .iter()
-            .chain(&doors)
-            .map(|door| client::call(*door, &call));
+            .chain(&addresses)
+            .map(|address| client::call(*address, &call));
         let got: Vec<Got> = futures(calls).await;
         assert_eq!(
             got.iter().filter(|g| g.outcome == "not-run").count(),
@@ -154,11 +154,11 @@
     let mut site = Site::start(spec).await;
     pass_grace().await;
     let calls: Vec<Call> = (0..24).map(|_| timed_order()).collect();
-    let doors: Vec<_> = site.nodes.iter().map(|n| n.callers).collect();
+    let addresses: Vec<_> = site.nodes.iter().map(|n| n.callers).collect();
     let sending = calls
         .iter()
-        .zip(doors.iter().cycle())
-        .map(|(c, door)| client::call(*door, c));
+        .zip(addresses.iter().cycle())
+        .map(|(c, address)| client::call(*address, c));
     let sending = futures(sending);
     let killing = async {
         tokio::time::sleep(Duration::from_millis(60)).await;
@@ -172,10 +172,10 @@
     );
     let end = std::time::Instant::now() + Duration::from_secs(4);
     while std::time::Instant::now() < end {
-        let doors = &doors[1..];
+        let addresses = &addresses[1..];
         let again = calls
             .iter()
-            .zip(doors.iter().cycle())
+            .zip(addresses.iter().cycle())
             .map(|(c, d)| client::call(*d, c));
         for (got, call) in futures(again).await.iter().zip(&calls) {
             let name = call.work_name.as_deref().unwrap_or_default();
@@ -210,15 +210,15 @@
     pass_grace().await;
     site.nodes[0].signal("STOP");
     let calls: Vec<Call> = (0..12).map(|_| timed_order()).collect();
-    let doors: Vec<_> = site.nodes.iter().map(|n| n.callers).collect();
+    let addresses: Vec<_> = site.nodes.iter().map(|n| n.callers).collect();
     // A third of them wait in the paused instance and are sent again to the others.
-    let paused = calls.iter().map(|c| client::call(doors[0], c));
+    let paused = calls.iter().map(|c| client::call(addresses[0], c));
     let paused = futures(paused);
     let others = async {
         site.list.remove("node-0");
         for _ in 0..12 {
-            let sending = calls.iter().zip(doors[1..].iter().cycle());
-            futures(sending.map(|(c, door)| client::call(*door, c))).await;
+            let sending = calls.iter().zip(addresses[1..].iter().cycle());
+            futures(sending.map(|(c, address)| client::call(*address, c))).await;
             tokio::time::sleep(Duration::from_millis(300)).await;
         }
         site.nodes[0].signal("CONT");
--- a/tests/testsuite/planned_stop.rs
+++ b/tests/testsuite/planned_stop.rs
@@ -66,13 +66,13 @@
     })
     .await;
     let (stop, stopped) = tokio::sync::watch::channel(false);
-    let doors: Vec<_> = site
+    let addresses: Vec<_> = site
         .nodes
         .iter()
         .map(|n| (n.callers, n.operators))
         .collect();
     let callers: Vec<_> = (0..6)
-        .map(|i| tokio::spawn(call_until(doors.clone(), i, stopped.clone())))
+        .map(|i| tokio::spawn(call_until(addresses.clone(), i, stopped.clone())))
         .collect();
     for i in 0..3_u8 {
         tokio::time::sleep(Duration::from_millis(500)).await;
@@ -89,7 +89,7 @@
 
 /// Calls whichever instance is ready, as the balancer does, and checks every answer.
 async fn call_until(
-    doors: Vec<(std::net::SocketAddr, std::net::SocketAddr)>,
+    addresses: Vec<(std::net::SocketAddr, std::net::SocketAddr)>,
     i: usize,
     stopped: tokio::sync::watch::Receiver<bool>,
 ) -> usize {
@@ -98,13 +98,13 @@
         if *stopped.borrow() {
             break;
         }
-        let (door, operators) = doors[(i + n) % doors.len()];
+        let (address, operators) = addresses[(i + n) % addresses.len()];
         let ready = client::operator_call(hyper::Method::GET, operators, "/readyz", "").await;
         if ready.0 != 200 {
             continue;
         }
         let call = Call::model(SHOP, "draft", &format!("dossier {i} {n}"), 60);
-        let got = client::call(door, &call).await;
+        let got = client::call(address, &call).await;
         assert!(got.answered(), "{got:?}");
         answered += 1;
     }
