--- a/crates/firdock-node/src/telemetry.rs
+++ b/crates/firdock-node/src/telemetry.rs
@@ -1,27 +1,27 @@
 //! What operators see of a running instance: logs, traces and metrics.
 
-pub mod beliefs;
-pub mod budget;
+pub mod answer_metrics;
+pub mod change_tracker;
 pub mod decisions;
 pub mod endpoints;
-pub mod held;
 pub mod log;
+pub mod log_limiter;
 pub mod metrics;
 pub mod restarts;
 pub mod rollouts;
-pub mod seen;
 pub mod shares;
+pub mod state_changes;
 pub mod suspects;
 pub mod trace;
 
-pub use beliefs::Beliefs;
-pub use budget::{LineBudget, LineKind};
+pub use answer_metrics::HeldAnswers;
 pub use decisions::Decisions;
 pub use endpoints::EndpointList;
-pub use held::HeldAnswers;
 pub use log::{Level, LogGuard, logger, silent};
+pub use log_limiter::{LineBudget, LineKind};
 pub use metrics::Metrics;
 pub use rollouts::RolloutSteps;
 pub use shares::ShareLines;
+pub use state_changes::Beliefs;
 pub use suspects::{SuspectLines, SuspectList, SuspectStates};
 pub use trace::{Span, TraceContext};
--- a/crates/firdock-node/src/telemetry/decisions.rs
+++ b/crates/firdock-node/src/telemetry/decisions.rs
@@ -16,8 +16,8 @@
 use hyper::StatusCode;
 use slog::{KV, Logger, Record, Serializer, info, warn};
 
-use super::budget::{LineBudget, LineKind};
 use super::endpoints::passed_over;
+use super::log_limiter::{LineBudget, LineKind};
 use crate::clock::millis;
 use crate::endpoint::{AnswerEnd, Ending, Framing};
 use crate::exchange::Exchange;
--- a/crates/firdock-node/src/telemetry/endpoints.rs
+++ b/crates/firdock-node/src/telemetry/endpoints.rs
@@ -9,7 +9,7 @@
 use firdock_policy::table::endpoint::{Closed, EndpointRow, LeavingSource};
 use serde::Serialize;
 
-use super::seen::Change;
+use super::change_tracker::Change;
 use crate::clock::millis;
 
 /// Endpoints that a line on a decision names, of those that were passed over for what they said.
--- a/crates/firdock-node/src/telemetry/restarts.rs
+++ b/crates/firdock-node/src/telemetry/restarts.rs
@@ -6,7 +6,7 @@
 use firdock_policy::table::endpoint::EndpointRow;
 use slog::{Logger, info};
 
-use super::budget::{LineBudget, LineKind};
+use super::log_limiter::{LineBudget, LineKind};
 
 /// Writes which endpoints of a configuration are later starts than the tables have, before it is taken.
 pub fn note(log: &Logger, lines: &LineBudget, now: Time, t: &Tables, catalog: &Catalog) {
--- a/crates/firdock-node/src/telemetry/beliefs.rs
+++ b/crates/firdock-node/src/telemetry/state_changes.rs
@@ -12,10 +12,10 @@
 use firdock_policy::table::peer::PeerRow;
 use slog::{Logger, info};
 
-use super::budget::{LineBudget, LineKind};
+use super::change_tracker::{Change, Seen};
 use super::decisions::config_age;
 use super::endpoints::{EndpointList, EndpointWord};
-use super::seen::{Change, Seen};
+use super::log_limiter::{LineBudget, LineKind};
 
 /// Writes the lines of one scheduler's beliefs, and keeps what was last written.
 #[derive(Debug)]
--- a/crates/firdock-node/src/telemetry/suspects.rs
+++ b/crates/firdock-node/src/telemetry/suspects.rs
@@ -12,7 +12,7 @@
 use slog::{Logger, info, warn};
 
 use super::Metrics;
-use super::budget::{LineBudget, LineKind};
+use super::log_limiter::{LineBudget, LineKind};
 use crate::clock::millis;
 
 /// One end of an endpoint, as operators see it.
--- a/crates/firdock-node/tests/node/seen.rs
+++ b/crates/firdock-node/tests/node/seen.rs
@@ -6,7 +6,7 @@
 
 use firdock_core::resource::{Catalog, Endpoint, Resource};
 use firdock_core::settings::Settings;
-use firdock_node::telemetry::seen::{Change, Seen};
+use firdock_node::telemetry::change_tracker::{Change, Seen};
 use firdock_node::telemetry::{Beliefs, EndpointList, silent};
 use firdock_policy::{Event, Policy as _, PolicySettings, Scheduler};
 use uuid::Uuid;
