--- a/crates/firdock-node/src/driver.rs
+++ b/crates/firdock-node/src/driver.rs
@@ -31,10 +31,10 @@
 use crate::placement::Placement;
 use crate::site::Site;
 use crate::source::WantedRecords;
-use crate::telemetry::decisions::{LastSent, Story};
+use crate::telemetry::decisions::{LastDispatch, RequestContext};
 use crate::telemetry::restarts;
 use crate::telemetry::{
-    Beliefs, Decisions, LineBudget, Metrics, RolloutSteps, ShareLines, SuspectLines,
+    DecisionLog, LogLimiter, Metrics, RolloutLog, ShareLog, StateChangeLog, SuspectLog,
 };
 
 /// Pause between two runs of the timed systems.
@@ -64,7 +64,7 @@
     /// Logger.
     pub log: Logger,
     /// Bound on the lines of the log.
-    pub lines: Arc<LineBudget>,
+    pub log_limiter: Arc<LogLimiter>,
     /// Runtime for the tasks that carry actions out.
     pub runtime: Handle,
     /// Way back to the scheduler, for those tasks.
@@ -85,11 +85,11 @@
     exchanges: HashMap<RequestId, Live>,
     actions: Vec<Action>,
     ticks: u32,
-    decisions: Decisions,
-    beliefs: Beliefs,
-    steps: RolloutSteps,
-    shares: ShareLines,
-    suspects: SuspectLines,
+    decisions: DecisionLog,
+    state_changes: StateChangeLog,
+    steps: RolloutLog,
+    shares: ShareLog,
+    suspects: SuspectLog,
     placement: Option<Placement>,
 }
 
@@ -99,7 +99,7 @@
     exchange: Arc<Exchange>,
     arrived: Time,
     /// Where it was last sent, for the line on how it ended.
-    sent: Option<LastSent>,
+    sent: Option<LastDispatch>,
     task: Option<AbortHandle>,
     /// Way to tell the present dispatch what has become of its endpoint.
     since: Option<watch::Sender<Since>>,
@@ -107,11 +107,11 @@
 
 impl Live {
     /// Gives what the lines on the request's end tell.
-    fn story(&self) -> Story<'_> {
-        Story {
+    fn log_context(&self) -> RequestContext<'_> {
+        RequestContext {
             exchange: &self.exchange,
             arrived: self.arrived,
-            sent: self.sent.as_ref(),
+            last_dispatch: self.sent.as_ref(),
         }
     }
 }
@@ -120,14 +120,15 @@
     /// Makes a driver.
     #[must_use]
     pub fn new(scheduler: Scheduler, parts: DriverParts<B>) -> Self {
-        let decisions = Decisions::new(parts.log.clone(), Arc::clone(&parts.lines));
+        let decisions = DecisionLog::new(parts.log.clone(), Arc::clone(&parts.log_limiter));
         let list = parts.metrics.endpoints();
-        let beliefs = Beliefs::new(parts.log.clone(), Arc::clone(&parts.lines), list);
-        let steps = RolloutSteps::new(parts.log.clone());
-        let shares = ShareLines::new(parts.log.clone(), Arc::clone(&parts.metrics));
-        let suspects = SuspectLines::new(
+        let state_changes =
+            StateChangeLog::new(parts.log.clone(), Arc::clone(&parts.log_limiter), list);
+        let steps = RolloutLog::new(parts.log.clone());
+        let shares = ShareLog::new(parts.log.clone(), Arc::clone(&parts.metrics));
+        let suspects = SuspectLog::new(
             parts.log.clone(),
-            Arc::clone(&parts.lines),
+            Arc::clone(&parts.log_limiter),
             Arc::clone(&parts.metrics),
         );
         Self {
@@ -137,7 +138,7 @@
             actions: Vec::new(),
             ticks: 0,
             decisions,
-            beliefs,
+            state_changes,
             steps,
             shares,
             suspects,
@@ -205,8 +206,8 @@
         match &event {
             Event::Config(catalog) => {
                 let now = self.parts.clock.now();
-                let (log, lines) = (&self.parts.log, &self.parts.lines);
-                restarts::note(log, lines, now, self.scheduler.tables(), catalog);
+                let (log, log_limiter) = (&self.parts.log, &self.parts.log_limiter);
+                restarts::note(log, log_limiter, now, self.scheduler.tables(), catalog);
                 self.parts.site.set(catalog);
             }
             Event::Fresh(at) => self.parts.site.set_fresh(*at),
@@ -270,7 +271,7 @@
     fn note_caller_left(&self, id: RequestId) {
         if let Some(live) = self.exchanges.get(&id) {
             let now = self.parts.clock.now();
-            self.decisions.caller_left(now, live.story());
+            self.decisions.caller_left(now, live.log_context());
         }
     }
 
@@ -291,7 +292,7 @@
             } else {
                 self.shares.note(now, self.scheduler.tables());
             }
-            self.beliefs.note(now, self.scheduler.tables());
+            self.state_changes.note(now, self.scheduler.tables());
             self.publish();
         }
         self.drop_ended();
--- a/crates/firdock-node/src/driver/answer.rs
+++ b/crates/firdock-node/src/driver/answer.rs
@@ -13,7 +13,7 @@
     pub(super) fn answer(&self, id: RequestId, verdict: Verdict) {
         if let Some(live) = self.exchanges.get(&id) {
             let (now, t) = (self.parts.clock.now(), self.scheduler.tables());
-            self.decisions.verdict(now, t, live.story(), verdict);
+            self.decisions.verdict(now, t, live.log_context(), verdict);
         }
         self.reply(id, Part::Verdict(verdict));
     }
@@ -21,7 +21,7 @@
     pub(super) fn cut(&self, id: RequestId, reason: Reason) {
         if let Some(live) = self.exchanges.get(&id) {
             let now = self.parts.clock.now();
-            self.decisions.cut(now, live.story(), reason);
+            self.decisions.cut(now, live.log_context(), reason);
         }
         self.reply(id, Part::Cut);
     }
@@ -37,7 +37,7 @@
         };
         let now = self.parts.clock.now();
         self.decisions
-            .failure_passed(now, live.story(), failure.head.status);
+            .failure_passed(now, live.log_context(), failure.head.status);
         self.reply(id, Part::Head(failure.head));
         self.reply(id, Part::Data(failure.body));
         self.reply(id, Part::End);
--- a/crates/firdock-node/src/driver/send.rs
+++ b/crates/firdock-node/src/driver/send.rs
@@ -15,7 +15,7 @@
 use crate::peer;
 use crate::site::Place;
 use crate::telemetry::Span;
-use crate::telemetry::decisions::LastSent;
+use crate::telemetry::decisions::LastDispatch;
 
 impl<B: Backends> Driver<B> {
     pub(super) fn dispatch(&mut self, dispatch: Dispatch) {
@@ -37,7 +37,7 @@
         exchange.delivered().end = None;
         let (since, run_since) = watch::channel(Since::Unchanged);
         if let Some(live) = self.exchanges.get_mut(&id) {
-            live.sent = Some(LastSent::new(now, &dispatch));
+            live.sent = Some(LastDispatch::new(now, &dispatch));
             live.since = Some(since);
         }
         let run = self.make_run(exchange, dispatch, place, run_since);
--- a/crates/firdock-node/src/edge.rs
+++ b/crates/firdock-node/src/edge.rs
@@ -27,7 +27,7 @@
 use crate::instance::{AbortOnPanic, StartError, open};
 use crate::peer::SelfNews;
 use crate::source::{ResourceSource, WantedRecords};
-use crate::telemetry::{LineBudget, silent};
+use crate::telemetry::{LogLimiter, silent};
 
 /// Time after the order to stop in which calls are still served: the balancer asks once a second,
 /// takes an instance out after two refusals, and connections it passed on just before bring one
@@ -58,7 +58,7 @@
     stop_rest: watch::Sender<bool>,
     stop_time: Duration,
     log: Logger,
-    lines: Arc<LineBudget>,
+    log_limiter: Arc<LogLimiter>,
 }
 
 impl<I: Interface, D: Dialect, S: ResourceSource> EdgeInstance<I, D, S> {
@@ -135,7 +135,7 @@
             stop_rest,
             stop_time: Duration::from_secs(self.settings.limits.stop_seconds),
             log: self.log,
-            lines: parts.lines,
+            log_limiter: parts.log_limiter,
         })
     }
 }
@@ -168,7 +168,7 @@
         let drained = *self.drained.borrow();
         self.stop_rest.send_replace(true);
         tokio::task::yield_now().await;
-        self.lines.finish(&self.log);
+        self.log_limiter.finish(&self.log);
         info!(self.log, "stopped"; "drained" => drained);
     }
 }
--- a/crates/firdock-node/src/edge/parts.rs
+++ b/crates/firdock-node/src/edge/parts.rs
@@ -32,7 +32,7 @@
 use crate::site::Site;
 use crate::source::{SourceSink, WantedRecords};
 use crate::status::{self, Readiness};
-use crate::telemetry::{LineBudget, Metrics};
+use crate::telemetry::{LogLimiter, Metrics};
 
 /// Broken dispatches in a row after which an endpoint is ejected: plain servers fail some of their
 /// requests while they are well (one in seven at the users' sites), so that one says little.
@@ -55,7 +55,7 @@
     peers: Arc<PeerBook>,
     reads: Arc<SharedReads>,
     log: Logger,
-    pub lines: Arc<LineBudget>,
+    pub log_limiter: Arc<LogLimiter>,
 }
 
 /// Where the driver tells what others wait for.
@@ -97,13 +97,13 @@
         let name = settings.instance.name.clone();
         let clock = Clock::new();
         let metrics: Arc<Metrics> = Arc::default();
-        let lines: Arc<LineBudget> = Arc::default();
+        let log_limiter: Arc<LogLimiter> = Arc::default();
         let room = AnswerRoom::new(
             settings.limits.answer_bytes,
             clock,
             metrics.held_answers(),
             log.new(o!("part" => "answers")),
-            Arc::clone(&lines),
+            Arc::clone(&log_limiter),
         );
         Self {
             settings: settings.clone(),
@@ -122,7 +122,7 @@
             ),
             reads: Arc::new(SharedReads::default().with_peers_first(asks_first(settings))),
             log,
-            lines,
+            log_limiter,
         }
     }
 
@@ -141,7 +141,7 @@
             reads: Arc::clone(&self.reads),
             clock: self.clock,
             metrics: Arc::clone(&self.metrics),
-            lines: Arc::clone(&self.lines),
+            log_limiter: Arc::clone(&self.log_limiter),
             log: self.log.new(o!("part" => "source")),
         }
     }
@@ -159,7 +159,7 @@
             self.log.clone(),
         )
         .with_state(self.ingress.clone())
-        .with_lines(Arc::clone(&self.lines))
+        .with_log_limiter(Arc::clone(&self.log_limiter))
         .with_room(self.room.clone())
     }
 
@@ -184,7 +184,7 @@
             limits: RunLimits::new(e),
             clock: self.clock,
             log: self.log.new(o!("part" => "driver")),
-            lines: Arc::clone(&self.lines),
+            log_limiter: Arc::clone(&self.log_limiter),
             runtime: Handle::current(),
             inputs: inputs.clone(),
             news: told.news,
--- a/crates/firdock-node/src/endpoint/relay.rs
+++ b/crates/firdock-node/src/endpoint/relay.rs
@@ -24,7 +24,7 @@
 use super::{Backends, EndpointBody, Framing, HeadNotice, Place, break_cause};
 use crate::exchange::{AnswerHead, Part, Payload};
 use crate::http::{CallError, connect, strip_hop_by_hop};
-use crate::telemetry::LineKind;
+use crate::telemetry::LogKind;
 
 /// Time allowed beyond a request's own limit before the endpoint counts as silent; the scheduler
 /// ends requests whose time is up, so this only bounds what it never hears of.
@@ -131,7 +131,7 @@
                     run.tell_pace(pace).await;
                 }
             }
-            Err(bad) => run.tell_unread(LineKind::BadLoad, bad.told).await,
+            Err(bad) => run.tell_unread(LogKind::BadLoad, bad.told).await,
         }
     }
 
--- a/crates/firdock-node/src/endpoint/run.rs
+++ b/crates/firdock-node/src/endpoint/run.rs
@@ -23,7 +23,7 @@
 use crate::clock::Clock;
 use crate::exchange::{Delivered, Exchange, Part};
 use crate::input::Input;
-use crate::telemetry::{LineKind, TraceContext};
+use crate::telemetry::{LogKind, TraceContext};
 
 /// Time limits of a dispatch.
 #[derive(Debug, Clone, Copy)]
@@ -116,7 +116,7 @@
     /// would be lost with it where the way to the scheduler is full.
     pub async fn tell_notice(&self, head: &HeadNotice) {
         if let Some(unread) = &head.unread {
-            self.tell_unread(LineKind::BadNotice, unread.clone()).await;
+            self.tell_unread(LogKind::BadNotice, unread.clone()).await;
         }
         if head.notice.is_empty() {
             return;
@@ -133,7 +133,7 @@
     }
 
     /// Tells that what the endpoint says can't be read; it is passed over.
-    pub async fn tell_unread(&self, kind: LineKind, told: String) {
+    pub async fn tell_unread(&self, kind: LogKind, told: String) {
         let input = Input::Unread(kind, self.target.name.clone(), told);
         let _ = self.inputs.send(input).await;
     }
--- a/crates/firdock-node/src/exchange/room.rs
+++ b/crates/firdock-node/src/exchange/room.rs
@@ -11,7 +11,7 @@
 use super::Payload;
 use super::queue::Queue;
 use crate::clock::Clock;
-use crate::telemetry::{HeldAnswers, LineBudget, LineKind};
+use crate::telemetry::{AnswerMetrics, LogKind, LogLimiter};
 
 /// Why an answer was cut.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -39,9 +39,9 @@
 struct Room {
     books: Mutex<Books>,
     clock: Clock,
-    figures: HeldAnswers,
+    figures: AnswerMetrics,
     log: Logger,
-    lines: Arc<LineBudget>,
+    log_limiter: Arc<LogLimiter>,
 }
 
 #[derive(Debug)]
@@ -67,9 +67,9 @@
     pub fn new(
         budget: usize,
         clock: Clock,
-        figures: HeldAnswers,
+        figures: AnswerMetrics,
         log: Logger,
-        lines: Arc<LineBudget>,
+        log_limiter: Arc<LogLimiter>,
     ) -> Self {
         if budget == 0 {
             return Self(None);
@@ -84,7 +84,7 @@
             clock,
             figures,
             log,
-            lines,
+            log_limiter,
         })))
     }
 
@@ -160,8 +160,8 @@
                 queue.cut();
             }
             if self
-                .lines
-                .allow(&self.log, self.clock.now(), LineKind::Failed)
+                .log_limiter
+                .allow(&self.log, self.clock.now(), LogKind::Failed)
             {
                 warn!(self.log, "slow reader cut";
                     "request_id" => answer.request.to_string(),
--- a/crates/firdock-node/src/ingress/handler.rs
+++ b/crates/firdock-node/src/ingress/handler.rs
@@ -24,7 +24,7 @@
 use crate::http::CallerHandle;
 use crate::input::Input;
 use crate::site::Site;
-use crate::telemetry::{LineBudget, LineKind, Span, TraceContext};
+use crate::telemetry::{LogKind, LogLimiter, Span, TraceContext};
 
 /// Header that carries the trace.
 pub(super) const TRACE_HEADER: HeaderName = HeaderName::from_static("traceparent");
@@ -62,7 +62,7 @@
     inputs: mpsc::Sender<Input>,
     clock: Clock,
     log: Logger,
-    lines: Arc<LineBudget>,
+    log_limiter: Arc<LogLimiter>,
     room: AnswerRoom,
 }
 
@@ -85,15 +85,15 @@
             inputs,
             clock,
             log,
-            lines: Arc::default(),
+            log_limiter: Arc::default(),
             room: AnswerRoom::default(),
         }
     }
 
     /// Shares the bound on the lines of the log.
     #[must_use]
-    pub(crate) fn with_lines(mut self, lines: Arc<LineBudget>) -> Self {
-        self.lines = lines;
+    pub(crate) fn with_log_limiter(mut self, log_limiter: Arc<LogLimiter>) -> Self {
+        self.log_limiter = log_limiter;
         self
     }
 
@@ -148,7 +148,7 @@
     /// Writes why a call was refused before the scheduler saw it.
     fn note_refusal(&self, id: RequestId, call: Option<&str>, problem: &Problem) {
         let now = self.clock.now();
-        if !self.lines.allow(&self.log, now, LineKind::Failed) {
+        if !self.log_limiter.allow(&self.log, now, LogKind::Failed) {
             return;
         }
         let age = self.site.age(now);
--- a/crates/firdock-node/src/input.rs
+++ b/crates/firdock-node/src/input.rs
@@ -9,7 +9,7 @@
 
 use crate::exchange::Exchange;
 use crate::placement::PlacementInput;
-use crate::telemetry::LineKind;
+use crate::telemetry::LogKind;
 
 /// Inputs that may wait for the scheduler.
 pub const INPUTS_WAITING: usize = 4_096;
@@ -22,7 +22,7 @@
     /// A datagram about placements on engines.
     Placement(PlacementInput),
     /// What an endpoint says can't be read, with the kind of its line and the start of what it says.
-    Unread(LineKind, EndpointId, String),
+    Unread(LogKind, EndpointId, String),
     /// Anything else.
     Event(Event),
 }
--- a/crates/firdock-node/src/instance/parts.rs
+++ b/crates/firdock-node/src/instance/parts.rs
@@ -31,7 +31,7 @@
 use crate::platform::{HttpInstances, HttpLog};
 use crate::site::Site;
 use crate::source::WantedRecords;
-use crate::telemetry::{LineBudget, Metrics};
+use crate::telemetry::{LogLimiter, Metrics};
 
 /// Pause between two looks at which endpoints there are.
 const ENDPOINTS_PAUSE: Duration = Duration::from_millis(200);
@@ -52,7 +52,7 @@
     instances: HttpInstances,
     engine: HttpEngine,
     log: Logger,
-    lines: Arc<LineBudget>,
+    log_limiter: Arc<LogLimiter>,
 }
 
 impl Parts {
@@ -70,13 +70,13 @@
         let silence = Duration::from_millis(s.endpoints.silence_millis);
         let clock = Clock::new();
         let metrics: Arc<Metrics> = Arc::default();
-        let lines: Arc<LineBudget> = Arc::default();
+        let log_limiter: Arc<LogLimiter> = Arc::default();
         let room = AnswerRoom::new(
             s.limits.answer_bytes,
             clock,
             metrics.held_answers(),
             log.clone(),
-            Arc::clone(&lines),
+            Arc::clone(&log_limiter),
         );
         Ok(Self {
             settings: Arc::new(s.clone()),
@@ -95,7 +95,7 @@
             instances: HttpInstances::new(list_at, s.platform.call()),
             engine: HttpEngine::new(connect, silence),
             log: log.clone(),
-            lines,
+            log_limiter,
         })
     }
 
@@ -119,7 +119,7 @@
             limits: RunLimits::new(e),
             clock: self.clock,
             log: self.log.new(o!("part" => "driver")),
-            lines: Arc::clone(&self.lines),
+            log_limiter: Arc::clone(&self.log_limiter),
             runtime: Handle::current(),
             inputs: inputs.clone(),
             news,
@@ -174,7 +174,7 @@
             self.clock,
             self.log.clone(),
         )
-        .with_lines(Arc::clone(&self.lines))
+        .with_log_limiter(Arc::clone(&self.log_limiter))
         .with_room(self.room.clone())
     }
 
--- a/crates/firdock-node/src/source.rs
+++ b/crates/firdock-node/src/source.rs
@@ -21,7 +21,7 @@
 use crate::peer::{
     Due, KnownPeer, PeerBook, Power, Reader, Reads, SharedReads, Taken, Topic, TopicRecords,
 };
-use crate::telemetry::{LineBudget, LineKind, Metrics};
+use crate::telemetry::{LogKind, LogLimiter, Metrics};
 
 /// Follows a platform's configuration for as long as the instance runs.
 pub trait ResourceSource: Send + 'static {
@@ -99,7 +99,7 @@
     pub(crate) changes: mpsc::Sender<Taken>,
     pub(crate) clock: Clock,
     pub(crate) metrics: Arc<Metrics>,
-    pub(crate) lines: Arc<LineBudget>,
+    pub(crate) log_limiter: Arc<LogLimiter>,
     pub(crate) log: Logger,
 }
 
@@ -151,8 +151,8 @@
     pub fn note_call(&self, call: StoreCall) {
         self.metrics.count_store_call(call);
         if self
-            .lines
-            .allow(&self.log, self.clock.now(), LineKind::StoreCall)
+            .log_limiter
+            .allow(&self.log, self.clock.now(), LogKind::StoreCall)
         {
             info!(self.log, "store called"; "call" => call.call, "topic" => call.topic,
                 "reason" => call.reason, "failed" => call.failed);
@@ -163,8 +163,8 @@
     #[must_use]
     pub fn note_refused_entry(&self) -> bool {
         self.metrics.count_refused_entry();
-        self.lines
-            .allow(&self.log, self.clock.now(), LineKind::RefusedEntry)
+        self.log_limiter
+            .allow(&self.log, self.clock.now(), LogKind::RefusedEntry)
     }
 
     /// Gives what is known to be the newest.
--- a/crates/firdock-node/src/telemetry/answer_metrics.rs
+++ b/crates/firdock-node/src/telemetry/answer_metrics.rs
@@ -13,12 +13,12 @@
 
 /// Bytes held for callers, and answers cut.
 #[derive(Debug, Clone, Default)]
-pub struct HeldAnswers {
+pub struct AnswerMetrics {
     bytes: Gauge,
     cut: Family<ByCause, Counter>,
 }
 
-impl HeldAnswers {
+impl AnswerMetrics {
     /// Registers the metrics.
     pub(super) fn register(&self, registry: &mut Registry) {
         registry.register(
--- a/crates/firdock-node/src/telemetry/change_tracker.rs
+++ b/crates/firdock-node/src/telemetry/change_tracker.rs
@@ -7,7 +7,7 @@
 
 /// What was last seen of each row, by the row's number.
 #[derive(Debug)]
-pub struct Seen<W> {
+pub struct ChangeTracker<W> {
     rows: Vec<Option<Row<W>>>,
     /// Number of the present look.
     look: u64,
@@ -31,7 +31,7 @@
     pub is: Option<W>,
 }
 
-impl<W> Default for Seen<W> {
+impl<W> Default for ChangeTracker<W> {
     fn default() -> Self {
         Self {
             rows: Vec::new(),
@@ -41,7 +41,7 @@
     }
 }
 
-impl<W: Copy + PartialEq> Seen<W> {
+impl<W: Copy + PartialEq> ChangeTracker<W> {
     /// Looks at all rows, which are given with their numbers, names and what is to be seen of each;
     /// gives what changed, by name.
     pub fn look<'a>(
--- a/crates/firdock-node/src/telemetry/decisions.rs
+++ b/crates/firdock-node/src/telemetry/decisions.rs
@@ -17,20 +17,20 @@
 use slog::{KV, Logger, Record, Serializer, info, warn};
 
 use super::endpoints::passed_over;
-use super::log_limiter::{LineBudget, LineKind};
+use super::log_limiter::{LogKind, LogLimiter};
 use crate::clock::millis;
 use crate::endpoint::{AnswerEnd, Ending, Framing};
 use crate::exchange::Exchange;
 
 /// Where and when a request was last sent to an endpoint.
 #[derive(Debug, Clone)]
-pub struct LastSent {
+pub struct LastDispatch {
     endpoint: EndpointId,
     dispatch: u32,
     at: Time,
 }
 
-impl LastSent {
+impl LastDispatch {
     /// Notes a dispatch.
     #[must_use]
     pub fn new(now: Time, dispatch: &Dispatch) -> Self {
@@ -50,32 +50,32 @@
 
 /// What the lines on a request's end tell of it, though the line on its dispatch was left out.
 #[derive(Debug, Clone, Copy)]
-pub struct Story<'a> {
+pub struct RequestContext<'a> {
     /// The request.
     pub exchange: &'a Exchange,
     /// When it arrived.
     pub arrived: Time,
     /// Where it was last sent, if it was.
-    pub sent: Option<&'a LastSent>,
+    pub last_dispatch: Option<&'a LastDispatch>,
 }
 
 /// Writes the lines of one scheduler's decisions.
 #[derive(Debug)]
-pub struct Decisions {
+pub struct DecisionLog {
     log: Logger,
-    budget: Arc<LineBudget>,
+    limiter: Arc<LogLimiter>,
 }
 
-impl Decisions {
+impl DecisionLog {
     /// Makes a writer whose lines count against `budget`.
     #[must_use]
-    pub fn new(log: Logger, budget: Arc<LineBudget>) -> Self {
-        Self { log, budget }
+    pub fn new(log: Logger, limiter: Arc<LogLimiter>) -> Self {
+        Self { log, limiter }
     }
 
     /// Writes that a request is sent to an endpoint.
     pub fn dispatched(&self, now: Time, t: &Tables, dispatch: &Dispatch, exchange: &Exchange) {
-        if !self.budget.allow(&self.log, now, LineKind::Dispatched) {
+        if !self.limiter.allow(&self.log, now, LogKind::Dispatched) {
             return;
         }
         let Some(row) = t.requests.get(dispatch.id) else {
@@ -109,15 +109,15 @@
     }
 
     /// Writes that what an endpoint says can't be read, and is passed over.
-    pub fn unread(&self, now: Time, kind: LineKind, endpoint: &EndpointId, told: &str) {
-        if self.budget.allow(&self.log, now, kind) {
+    pub fn unread(&self, now: Time, kind: LogKind, endpoint: &EndpointId, told: &str) {
+        if self.limiter.allow(&self.log, now, kind) {
             warn!(self.log, "{}", kind.as_str(); "endpoint" => endpoint, "told" => told);
         }
     }
 
     /// Writes what an endpoint said of itself with an answer to this instance.
     pub fn noticed(&self, now: Time, told: &NoticeTold) {
-        if self.budget.allow(&self.log, now, LineKind::Notice) {
+        if self.limiter.allow(&self.log, now, LogKind::Notice) {
             info!(self.log, "endpoint notice";
                 "endpoint" => &told.endpoint,
                 "source" => "answer",
@@ -130,7 +130,7 @@
 
     /// Writes what was found of an endpoint whose connection ended early.
     pub fn looked(&self, now: Time, look: &Look) {
-        if self.budget.allow(&self.log, now, LineKind::Look) {
+        if self.limiter.allow(&self.log, now, LogKind::LivenessCheck) {
             info!(self.log, "endpoint looked at";
                 "endpoint" => &look.start, "found" => look.found.as_str());
         }
@@ -141,11 +141,11 @@
         let (output, end) = course(exchange);
         let unframed = end.is_some_and(|e| e.framing == Framing::Connection);
         let kind = if unframed {
-            LineKind::Unframed
+            LogKind::Unframed
         } else {
-            LineKind::Answered
+            LogKind::Answered
         };
-        if !self.budget.allow(&self.log, now, kind) {
+        if !self.limiter.allow(&self.log, now, kind) {
             return;
         }
         let first = row.first.unwrap_or(now);
@@ -170,11 +170,11 @@
     }
 
     /// Writes firdock's own final answer to a request, with what decided it.
-    pub fn verdict(&self, now: Time, t: &Tables, story: Story<'_>, verdict: Verdict) {
-        if !self.budget.allow(&self.log, now, LineKind::Failed) {
+    pub fn verdict(&self, now: Time, t: &Tables, context: RequestContext<'_>, verdict: Verdict) {
+        if !self.limiter.allow(&self.log, now, LogKind::Failed) {
             return;
         }
-        let x = story.exchange;
+        let x = context.exchange;
         warn!(self.log, "request given up";
             "request_id" => x.id.to_string(),
             "call" => call(x),
@@ -184,9 +184,9 @@
             "outcome" => verdict.outcome.as_str(),
             "reason" => verdict.reason.as_str(),
             "retry_millis" => verdict.retry_after.map(millis),
-            "waited_millis" => millis(now.saturating_sub(story.arrived)),
-            "endpoint" => story.sent.map(|s| &s.endpoint),
-            "dispatches" => story.sent.map_or(0, |s| s.dispatch),
+            "waited_millis" => millis(now.saturating_sub(context.arrived)),
+            "endpoint" => context.last_dispatch.map(|s| &s.endpoint),
+            "dispatches" => context.last_dispatch.map_or(0, |s| s.dispatch),
             "placed_by" => placed_by(t),
             "passed_over" => passed_over(now, t, &x.payload.service),
             "held" => t.requests.held(),
@@ -196,11 +196,11 @@
     }
 
     /// Writes that the caller gets the answer with which the last endpoint failed.
-    pub fn failure_passed(&self, now: Time, story: Story<'_>, status: StatusCode) {
-        if !self.budget.allow(&self.log, now, LineKind::Failed) {
+    pub fn failure_passed(&self, now: Time, context: RequestContext<'_>, status: StatusCode) {
+        if !self.limiter.allow(&self.log, now, LogKind::Failed) {
             return;
         }
-        let x = story.exchange;
+        let x = context.exchange;
         warn!(self.log, "failure passed on";
             "request_id" => x.id.to_string(),
             "call" => call(x),
@@ -208,29 +208,37 @@
             "account" => &x.payload.account,
             "content" => x.content.id.to_string(),
             "status" => status.as_u16(),
-            "waited_millis" => millis(now.saturating_sub(story.arrived)),
-            "endpoint" => story.sent.map(|s| &s.endpoint),
-            "dispatches" => story.sent.map_or(0, |s| s.dispatch),
+            "waited_millis" => millis(now.saturating_sub(context.arrived)),
+            "endpoint" => context.last_dispatch.map(|s| &s.endpoint),
+            "dispatches" => context.last_dispatch.map_or(0, |s| s.dispatch),
         );
     }
 
     /// Writes that an answer that had begun could not be completed.
-    pub fn cut(&self, now: Time, story: Story<'_>, reason: Reason) {
-        if self.budget.allow(&self.log, now, LineKind::Failed) {
-            self.broken_off(now, "answer cut", story, reason);
+    pub fn cut(&self, now: Time, context: RequestContext<'_>, reason: Reason) {
+        if self.limiter.allow(&self.log, now, LogKind::Failed) {
+            self.broken_off(now, "answer cut", context, reason);
         }
     }
 
     /// Writes that a caller left before its answer was whole; its work is cancelled.
-    pub fn caller_left(&self, now: Time, story: Story<'_>) {
-        if self.budget.allow(&self.log, now, LineKind::CallerLeft) {
-            self.broken_off(now, "caller left", story, Reason::CallerLeft);
+    pub fn caller_left(&self, now: Time, context: RequestContext<'_>) {
+        if self.limiter.allow(&self.log, now, LogKind::CallerLeft) {
+            self.broken_off(now, "caller left", context, Reason::CallerLeft);
         }
     }
 
-    fn broken_off(&self, now: Time, what: &'static str, story: Story<'_>, reason: Reason) {
-        let x = story.exchange;
-        let after = story.sent.map(|s| millis(now.saturating_sub(s.at)));
+    fn broken_off(
+        &self,
+        now: Time,
+        what: &'static str,
+        context: RequestContext<'_>,
+        reason: Reason,
+    ) {
+        let x = context.exchange;
+        let after = context
+            .last_dispatch
+            .map(|s| millis(now.saturating_sub(s.at)));
         let (delivered, end) = course(x);
         let caller_end = match reason {
             Reason::CallerLeft => "left",
@@ -244,9 +252,9 @@
             "content" => x.content.id.to_string(),
             "reason" => reason.as_str(),
             "caller_end" => caller_end,
-            "waited_millis" => millis(now.saturating_sub(story.arrived)),
-            "endpoint" => story.sent.map(|s| &s.endpoint),
-            "dispatches" => story.sent.map_or(0, |s| s.dispatch),
+            "waited_millis" => millis(now.saturating_sub(context.arrived)),
+            "endpoint" => context.last_dispatch.map(|s| &s.endpoint),
+            "dispatches" => context.last_dispatch.map_or(0, |s| s.dispatch),
             "after_millis" => after,
             "delivered_tokens" => delivered,
             EndFields(end),
@@ -262,7 +270,7 @@
         news: &str,
         x: &Exchange,
     ) {
-        if !self.budget.allow(&self.log, now, LineKind::Failed) {
+        if !self.limiter.allow(&self.log, now, LogKind::Failed) {
             return;
         }
         let (_, end) = course(x);
--- a/crates/firdock-node/src/telemetry/endpoints.rs
+++ b/crates/firdock-node/src/telemetry/endpoints.rs
@@ -17,7 +17,7 @@
 
 /// What is believed of one endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
-pub struct EndpointWord {
+pub struct EndpointStatus {
     /// `usable`, `leaving`, `backing off` or `ejected`.
     pub state: &'static str,
     /// Who said that it leaves.
@@ -34,7 +34,7 @@
     pool_hash: u64,
 }
 
-impl EndpointWord {
+impl EndpointStatus {
     /// Takes what is believed from an endpoint's row.
     #[must_use]
     pub fn new(now: Time, e: &EndpointRow) -> Self {
@@ -72,7 +72,7 @@
     pub pool: PoolId,
     /// What is believed of it.
     #[serde(flatten)]
-    pub word: EndpointWord,
+    pub word: EndpointStatus,
 }
 
 /// States of the endpoints in force, by name.
@@ -84,7 +84,7 @@
 
 impl EndpointList {
     /// Takes over what changed, of the endpoints of a scheduler.
-    pub fn update(&self, t: &Tables, changes: &BTreeMap<EndpointId, Change<EndpointWord>>) {
+    pub fn update(&self, t: &Tables, changes: &BTreeMap<EndpointId, Change<EndpointStatus>>) {
         if changes.is_empty() {
             return;
         }
--- a/crates/firdock-node/src/telemetry/log_limiter.rs
+++ b/crates/firdock-node/src/telemetry/log_limiter.rs
@@ -12,7 +12,7 @@
 
 /// Kind of a line, by which lines are counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum LineKind {
+pub enum LogKind {
     /// A request was sent to an endpoint.
     Dispatched,
     /// A whole answer was passed on.
@@ -24,11 +24,11 @@
     /// A request ended without a whole answer.
     Failed,
     /// What the process believes changed.
-    Belief,
+    StateChange,
     /// What an endpoint said of its load could not be read.
     BadLoad,
     /// What was found of an endpoint whose connection ended early.
-    Look,
+    LivenessCheck,
     /// A request came into quarantine, or out of it.
     Quarantine,
     /// What an endpoint said of itself with an answer.
@@ -41,7 +41,7 @@
     RefusedEntry,
 }
 
-impl LineKind {
+impl LogKind {
     /// Gives the name that the line about left-out lines has.
     #[must_use]
     pub fn as_str(self) -> &'static str {
@@ -51,9 +51,9 @@
             Self::Unframed => "answered without framing",
             Self::CallerLeft => "caller left",
             Self::Failed => "failed",
-            Self::Belief => "belief",
+            Self::StateChange => "belief",
             Self::BadLoad => "load not read",
-            Self::Look => "endpoint looked at",
+            Self::LivenessCheck => "endpoint looked at",
             Self::Quarantine => "quarantine",
             Self::Notice => "notice",
             Self::BadNotice => "notice not read",
@@ -72,12 +72,12 @@
             Self::Dispatched
             | Self::Answered
             | Self::CallerLeft
-            | Self::Look
+            | Self::LivenessCheck
             | Self::Quarantine
             | Self::Notice
             | Self::StoreCall
             | Self::RefusedEntry => 20,
-            Self::Failed | Self::Unframed | Self::Belief => 200,
+            Self::Failed | Self::Unframed | Self::StateChange => 200,
             // It comes with each answer of a server that says it, and one line tells all.
             Self::BadLoad | Self::BadNotice => 1,
         }
@@ -93,20 +93,20 @@
 #[derive(Debug, Default)]
 struct Inner {
     since: Time,
-    kinds: BTreeMap<LineKind, Counts>,
+    kinds: BTreeMap<LogKind, Counts>,
 }
 
 /// Counts lines by kind.
 #[derive(Debug, Default)]
-pub struct LineBudget {
+pub struct LogLimiter {
     inner: Mutex<Inner>,
 }
 
-impl LineBudget {
+impl LogLimiter {
     /// Tells whether a line may be written; one that may not is counted.
     ///
     /// At the start of each period, a line tells what was left out in the last one.
-    pub fn allow(&self, log: &Logger, now: Time, kind: LineKind) -> bool {
+    pub fn allow(&self, log: &Logger, now: Time, kind: LogKind) -> bool {
         let mut inner = self.lock();
         if inner.since + PERIOD <= now {
             inner.since = now;
@@ -132,7 +132,7 @@
     }
 }
 
-fn report(log: &Logger, kinds: BTreeMap<LineKind, Counts>) {
+fn report(log: &Logger, kinds: BTreeMap<LogKind, Counts>) {
     for (kind, counts) in kinds {
         if counts.left_out > 0 {
             warn!(log, "lines left out"; "kind" => kind.as_str(), "count" => counts.left_out);
--- a/crates/firdock-node/src/telemetry/metrics.rs
+++ b/crates/firdock-node/src/telemetry/metrics.rs
@@ -21,7 +21,7 @@
     ByCall, ByCause, ByEnd, ByFound, ByOutcome, ByPool, ByRefusal, ByShare, ByTier, ByTry,
 };
 use super::suspects::SuspectStates;
-use super::{EndpointList, HeldAnswers, SuspectList};
+use super::{AnswerMetrics, EndpointList, SuspectList};
 use crate::endpoint::{AnswerEnd, Ending};
 use crate::source::StoreCall;
 
@@ -83,7 +83,7 @@
     held_time: Histogram,
     total: Histogram,
     store_calls: Family<ByCall, Counter>,
-    held_answers: HeldAnswers,
+    held_answers: AnswerMetrics,
     endpoints: EndpointList,
     suspects: SuspectList,
 }
@@ -138,7 +138,7 @@
             held_time: latency(),
             total: latency(),
             store_calls: Family::default(),
-            held_answers: HeldAnswers::default(),
+            held_answers: AnswerMetrics::default(),
             endpoints: EndpointList::default(),
             suspects: SuspectList::default(),
         };
@@ -148,7 +148,7 @@
 
     /// Gives the metrics of answers that wait for their callers.
     #[must_use]
-    pub fn held_answers(&self) -> HeldAnswers {
+    pub fn held_answers(&self) -> AnswerMetrics {
         self.held_answers.clone()
     }
 
--- a/crates/firdock-node/src/telemetry/restarts.rs
+++ b/crates/firdock-node/src/telemetry/restarts.rs
@@ -6,10 +6,10 @@
 use firdock_policy::table::endpoint::EndpointRow;
 use slog::{Logger, info};
 
-use super::log_limiter::{LineBudget, LineKind};
+use super::log_limiter::{LogKind, LogLimiter};
 
 /// Writes which endpoints of a configuration are later starts than the tables have, before it is taken.
-pub fn note(log: &Logger, lines: &LineBudget, now: Time, t: &Tables, catalog: &Catalog) {
+pub fn note(log: &Logger, lines: &LogLimiter, now: Time, t: &Tables, catalog: &Catalog) {
     if catalog.version < t.version {
         return;
     }
@@ -19,7 +19,7 @@
         let Some(row) = known.filter(|row| row.is_other_start(declared)) else {
             continue;
         };
-        if lines.allow(log, now, LineKind::Belief) {
+        if lines.allow(log, now, LogKind::StateChange) {
             write(log, row, &declared.start_id());
         }
     }
--- a/crates/firdock-node/src/telemetry/rollouts.rs
+++ b/crates/firdock-node/src/telemetry/rollouts.rs
@@ -13,12 +13,12 @@
 
 /// Writes the lines on roll-outs, and keeps what was last written.
 #[derive(Debug)]
-pub struct RolloutSteps {
+pub struct RolloutLog {
     log: Logger,
     known: BTreeMap<PoolId, (Offset, Stage)>,
 }
 
-impl RolloutSteps {
+impl RolloutLog {
     /// Makes a writer; roll-outs are few, so that their lines need no bound.
     #[must_use]
     pub fn new(log: Logger) -> Self {
--- a/crates/firdock-node/src/telemetry/shares.rs
+++ b/crates/firdock-node/src/telemetry/shares.rs
@@ -18,13 +18,13 @@
 
 /// Writes what accounts had of what they may have.
 #[derive(Debug)]
-pub struct ShareLines {
+pub struct ShareLog {
     log: Logger,
     metrics: Arc<Metrics>,
     looked: Time,
 }
 
-impl ShareLines {
+impl ShareLog {
     /// Makes a writer.
     #[must_use]
     pub fn new(log: Logger, metrics: Arc<Metrics>) -> Self {
--- a/crates/firdock-node/src/telemetry/state_changes.rs
+++ b/crates/firdock-node/src/telemetry/state_changes.rs
@@ -12,35 +12,35 @@
 use firdock_policy::table::peer::PeerRow;
 use slog::{Logger, info};
 
-use super::change_tracker::{Change, Seen};
+use super::change_tracker::{Change, ChangeTracker};
 use super::decisions::config_age;
-use super::endpoints::{EndpointList, EndpointWord};
-use super::log_limiter::{LineBudget, LineKind};
+use super::endpoints::{EndpointList, EndpointStatus};
+use super::log_limiter::{LogKind, LogLimiter};
 
 /// Writes the lines of one scheduler's beliefs, and keeps what was last written.
 #[derive(Debug)]
-pub struct Beliefs {
+pub struct StateChangeLog {
     log: Logger,
-    budget: Arc<LineBudget>,
+    limiter: Arc<LogLimiter>,
     version: Version,
     fresh: bool,
-    endpoints: Seen<EndpointWord>,
+    endpoints: ChangeTracker<EndpointStatus>,
     list: EndpointList,
-    peers: Seen<&'static str>,
+    peers: ChangeTracker<&'static str>,
 }
 
-impl Beliefs {
+impl StateChangeLog {
     /// Makes a writer whose lines count against `budget`, and that keeps `list` up to date.
     #[must_use]
-    pub fn new(log: Logger, budget: Arc<LineBudget>, list: EndpointList) -> Self {
+    pub fn new(log: Logger, limiter: Arc<LogLimiter>, list: EndpointList) -> Self {
         Self {
             log,
-            budget,
+            limiter,
             version: 0,
             fresh: false,
-            endpoints: Seen::default(),
+            endpoints: ChangeTracker::default(),
             list,
-            peers: Seen::default(),
+            peers: ChangeTracker::default(),
         }
     }
 
@@ -49,7 +49,7 @@
         self.note_version(now, t.version);
         self.note_freshness(now, t);
         let present = t.endpoints.iter().filter(|(_, e)| e.present);
-        let words = present.map(|(at, e)| (at, &*e.declared.name, EndpointWord::new(now, e)));
+        let words = present.map(|(at, e)| (at, &*e.declared.name, EndpointStatus::new(now, e)));
         let changes = self.endpoints.look(words);
         self.write_endpoints(now, &changes);
         self.list.update(t, &changes);
@@ -83,7 +83,7 @@
     }
 
     /// Writes a line for each endpoint of which something else is believed now, with who said so.
-    fn write_endpoints(&self, now: Time, changes: &BTreeMap<String, Change<EndpointWord>>) {
+    fn write_endpoints(&self, now: Time, changes: &BTreeMap<String, Change<EndpointStatus>>) {
         let unknown = "unknown";
         for (name, change) in changes {
             let before = change.before.map_or(unknown, |word| word.state);
@@ -95,8 +95,8 @@
         }
     }
 
-    fn write_endpoint(&self, now: Time, name: &str, is: &EndpointWord, before: &str) {
-        if self.budget.allow(&self.log, now, LineKind::Belief) {
+    fn write_endpoint(&self, now: Time, name: &str, is: &EndpointStatus, before: &str) {
+        if self.limiter.allow(&self.log, now, LogKind::StateChange) {
             info!(self.log, "belief changed"; "what" => format!("endpoint {name}"),
                 "is" => is.state, "before" => before, "source" => is.source,
                 "age_millis" => is.age_millis, "left_millis" => is.left_millis);
@@ -113,7 +113,7 @@
     }
 
     fn write(&self, now: Time, what: &str, is: &str, before: &str) {
-        if self.budget.allow(&self.log, now, LineKind::Belief) {
+        if self.limiter.allow(&self.log, now, LogKind::StateChange) {
             info!(self.log, "belief changed"; "what" => what, "is" => is, "before" => before);
         }
     }
--- a/crates/firdock-node/src/telemetry/suspects.rs
+++ b/crates/firdock-node/src/telemetry/suspects.rs
@@ -12,7 +12,7 @@
 use slog::{Logger, info, warn};
 
 use super::Metrics;
-use super::log_limiter::{LineBudget, LineKind};
+use super::log_limiter::{LogKind, LogLimiter};
 use crate::clock::millis;
 
 /// One end of an endpoint, as operators see it.
@@ -77,21 +77,21 @@
 
 /// Writes what changes of suspects.
 #[derive(Debug)]
-pub struct SuspectLines {
+pub struct SuspectLog {
     log: Logger,
-    budget: Arc<LineBudget>,
+    limiter: Arc<LogLimiter>,
     metrics: Arc<Metrics>,
     noted: Revision,
     quarantined: Vec<ContentId>,
 }
 
-impl SuspectLines {
+impl SuspectLog {
     /// Makes a writer whose lines count against `budget`.
     #[must_use]
-    pub fn new(log: Logger, budget: Arc<LineBudget>, metrics: Arc<Metrics>) -> Self {
+    pub fn new(log: Logger, limiter: Arc<LogLimiter>, metrics: Arc<Metrics>) -> Self {
         Self {
             log,
-            budget,
+            limiter,
             metrics,
             noted: Revision::default(),
             quarantined: Vec::new(),
@@ -117,7 +117,7 @@
 
     /// Writes that a request came into quarantine here, and which ends put it there.
     pub fn quarantined(&self, now: Time, told: &ToldSuspect) {
-        if !self.budget.allow(&self.log, now, LineKind::Quarantine) {
+        if !self.limiter.allow(&self.log, now, LogKind::Quarantine) {
             return;
         }
         let counting = told.ends.iter().filter(|e| !e.void);
@@ -136,7 +136,7 @@
         let mut out = std::mem::replace(&mut self.quarantined, held);
         out.retain(|id| !self.quarantined.contains(id));
         for id in &out {
-            if self.budget.allow(&self.log, now, LineKind::Quarantine) {
+            if self.limiter.allow(&self.log, now, LogKind::Quarantine) {
                 info!(self.log, "request out of quarantine"; "content" => id.to_string());
             }
         }
--- a/crates/firdock-node/tests/node/lines.rs
+++ b/crates/firdock-node/tests/node/lines.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use firdock_node::telemetry::{Level, LineBudget, LineKind, logger};
+use firdock_node::telemetry::{Level, LogKind, LogLimiter, logger};
 
 #[derive(Clone, Default)]
 struct Kept(Arc<Mutex<Vec<u8>>>);
@@ -24,12 +24,12 @@
 fn lines_beyond_the_bound_are_counted_and_told_by_kind() {
     let kept = Kept::default();
     let (log, guard) = logger(kept.clone(), Level::new("info"), false, "one");
-    let budget = LineBudget::default();
+    let budget = LogLimiter::default();
     let second = |n: u64| Duration::from_secs(n);
     let allowed = |kind, at| (0..500).filter(|_| budget.allow(&log, at, kind)).count();
-    assert_eq!(allowed(LineKind::Answered, second(1)), 20);
-    assert_eq!(allowed(LineKind::Failed, second(1)), 200);
-    assert_eq!(allowed(LineKind::Answered, second(2)), 20);
+    assert_eq!(allowed(LogKind::Answered, second(1)), 20);
+    assert_eq!(allowed(LogKind::Failed, second(1)), 200);
+    assert_eq!(allowed(LogKind::Answered, second(2)), 20);
     budget.finish(&log);
     drop((log, guard));
     let text = String::from_utf8(kept.0.lock().expect("no panic").clone());
--- a/crates/firdock-node/tests/node/seen.rs
+++ b/crates/firdock-node/tests/node/seen.rs
@@ -6,14 +6,14 @@
 
 use firdock_core::resource::{Catalog, Endpoint, Resource};
 use firdock_core::settings::Settings;
-use firdock_node::telemetry::change_tracker::{Change, Seen};
-use firdock_node::telemetry::{Beliefs, EndpointList, silent};
+use firdock_node::telemetry::change_tracker::{Change, ChangeTracker};
+use firdock_node::telemetry::{EndpointList, StateChangeLog, silent};
 use firdock_policy::{Event, Policy as _, PolicySettings, Scheduler};
 use uuid::Uuid;
 
 type Changes = BTreeMap<String, Change<&'static str>>;
 
-fn look(seen: &mut Seen<&'static str>, rows: &[(usize, &str, &'static str)]) -> Changes {
+fn look(seen: &mut ChangeTracker<&'static str>, rows: &[(usize, &str, &'static str)]) -> Changes {
     seen.look(rows.iter().copied())
 }
 
@@ -23,7 +23,7 @@
 
 #[test]
 fn a_look_gives_what_is_new_what_changed_and_what_is_gone() {
-    let mut seen = Seen::default();
+    let mut seen = ChangeTracker::default();
     let first = look(&mut seen, &[(0, "a", "usable"), (1, "b", "usable")]);
     assert_eq!(first["a"], change(None, Some("usable")));
     assert!(look(&mut seen, &[(0, "a", "usable"), (1, "b", "usable")]).is_empty());
@@ -38,7 +38,7 @@
 
 #[test]
 fn a_name_that_moves_to_another_row_and_a_row_that_gets_another_name_are_told_by_name() {
-    let mut seen = Seen::default();
+    let mut seen = ChangeTracker::default();
     look(&mut seen, &[(0, "a", "usable"), (1, "b", "usable")]);
     // A restarted endpoint has a new row, and the old one's number goes to another endpoint.
     let moved = look(
@@ -59,7 +59,7 @@
 fn an_endpoint_that_moves_to_another_pool_is_listed_there() {
     let now = Duration::from_secs(100);
     let list = EndpointList::default();
-    let mut beliefs = Beliefs::new(silent(), Arc::default(), list.clone());
+    let mut state_changes = StateChangeLog::new(silent(), Arc::default(), list.clone());
     let mut s = Scheduler::new(PolicySettings::new(&Settings::default(), Uuid::nil()));
     for pool in ["one", "other"] {
         let endpoint = Resource::Endpoint(Endpoint {
@@ -69,7 +69,7 @@
         });
         let catalog = Catalog::new(1).with_resources(vec![endpoint]);
         s.step(now, Event::Config(Arc::new(catalog)), &mut Vec::new());
-        beliefs.note(now, s.tables());
+        state_changes.note(now, s.tables());
         assert_eq!(list.get()["e"].pool, pool);
     }
 }
