--- a/crates/firdock-node/src/driver.rs
+++ b/crates/firdock-node/src/driver.rs
@@ -21,7 +21,7 @@
 use tokio::task::AbortHandle;
 use tokio::time::{MissedTickBehavior, interval};
 
-use crate::answers::Answers;
+use crate::answer_cache::Answers;
 use crate::clock::Clock;
 use crate::endpoint::Backends;
 use crate::endpoint::run::{RunLimits, Since};
--- a/crates/firdock-node/src/edge/parts.rs
+++ b/crates/firdock-node/src/edge/parts.rs
@@ -16,7 +16,7 @@
 use tokio::sync::{mpsc, watch};
 use uuid::Uuid;
 
-use crate::answers::Answers;
+use crate::answer_cache::Answers;
 use crate::clock::Clock;
 use crate::config::Hub;
 use crate::driver::{Driver, DriverParts};
--- a/crates/firdock-node/src/endpoint/own.rs
+++ b/crates/firdock-node/src/endpoint/own.rs
@@ -5,7 +5,7 @@
 
 use super::run::Run;
 use super::{Backends, EngineClient, PlainClient, run_engine, run_plain};
-use crate::answers::Answers;
+use crate::answer_cache::Answers;
 use crate::site::Place;
 
 /// Adapters to the far ends, and the store of answers that resends get.
--- a/crates/firdock-node/src/endpoint/run_plain.rs
+++ b/crates/firdock-node/src/endpoint/run_plain.rs
@@ -6,7 +6,7 @@
 
 use super::run::{Run, Stop};
 use super::{Ending, EndpointBody, PlainAnswer, PlainClient, PlainOrder, Shape, StartError};
-use crate::answers::{Answers, KeptAnswer};
+use crate::answer_cache::{Answers, KeptAnswer};
 use crate::exchange::Part;
 
 /// Runs a dispatch to a plain server; gives a word on how it ended for the trace.
--- a/crates/firdock-node/src/exchange.rs
+++ b/crates/firdock-node/src/exchange.rs
@@ -1,7 +1,7 @@
 //! One request on its way: what the caller sent, and where the parts of the answer go.
 
+mod budget;
 mod queue;
-mod room;
 mod waiting;
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -11,9 +11,9 @@
 use firdock_policy::{Time, Verdict};
 use hyper::{HeaderMap, Method, StatusCode};
 
+pub use self::budget::AnswerRoom;
 use self::queue::answer_queue;
 pub use self::queue::{Parts, Reply, Sent};
-pub use self::room::AnswerRoom;
 use crate::endpoint::AnswerEnd;
 use crate::ingress::ModelCall;
 use crate::telemetry::TraceContext;
--- a/crates/firdock-node/src/exchange/queue.rs
+++ b/crates/firdock-node/src/exchange/queue.rs
@@ -12,7 +12,7 @@
 use tokio::sync::Notify;
 
 use super::Part;
-use super::room::Account;
+use super::budget::Account;
 use super::waiting::{WaitingParts, cost};
 use crate::http::CallerHandle;
 
--- a/crates/firdock-node/src/http.rs
+++ b/crates/firdock-node/src/http.rs
@@ -5,15 +5,15 @@
 
 mod caller;
 mod client;
+mod dead_peer;
 mod listener;
 mod server;
-mod silence;
 
 pub use caller::CallerHandle;
 pub use client::{CallError, Connection, connect};
+pub use dead_peer::{GIVE_UP_AFTER, bound_silence};
 pub use listener::listen;
 pub use server::{ServerOptions, serve};
-pub use silence::{GIVE_UP_AFTER, bound_silence};
 
 use hyper::HeaderMap;
 use hyper::header::{self, HeaderName};
--- a/crates/firdock-node/src/http/caller.rs
+++ b/crates/firdock-node/src/http/caller.rs
@@ -17,7 +17,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-use super::silence::GIVE_UP_AFTER;
+use super::dead_peer::GIVE_UP_AFTER;
 
 #[derive(Debug, Default)]
 struct Inner {
--- a/crates/firdock-node/src/http/client.rs
+++ b/crates/firdock-node/src/http/client.rs
@@ -17,7 +17,7 @@
 use tokio::task::AbortHandle;
 use tokio::time::timeout;
 
-use super::silence::bound_silence;
+use super::dead_peer::bound_silence;
 
 /// Why a call failed.
 #[derive(Debug, Snafu)]
--- a/crates/firdock-node/src/http/server.rs
+++ b/crates/firdock-node/src/http/server.rs
@@ -15,7 +15,7 @@
 use tokio::sync::{Semaphore, watch};
 
 use super::caller::{CallerHandle, CallerStream};
-use super::silence::bound_silence;
+use super::dead_peer::bound_silence;
 
 /// Pause after the operating system refused to accept, such as when descriptors ran out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
--- a/crates/firdock-node/src/instance/parts.rs
+++ b/crates/firdock-node/src/instance/parts.rs
@@ -17,7 +17,7 @@
 use uuid::Uuid;
 
 use super::start::{ListenSnafu, StartError, UnsetSnafu, spawn};
-use crate::answers::Answers;
+use crate::answer_cache::Answers;
 use crate::clock::Clock;
 use crate::config::{DutySettings, FollowParts, Hub, follow, watch_list};
 use crate::driver::{Driver, DriverParts};
--- a/crates/firdock-node/src/lib.rs
+++ b/crates/firdock-node/src/lib.rs
@@ -4,7 +4,7 @@
 //! the platform send it events and carry out its actions. [`Instance`] puts the parts together
 //! (see `docs/design/instance.md`).
 
-pub mod answers;
+pub mod answer_cache;
 pub mod backoff;
 pub mod clock;
 pub mod config;
--- a/crates/firdock-node/tests/node/main.rs
+++ b/crates/firdock-node/tests/node/main.rs
@@ -16,7 +16,7 @@
 
 use bytes::Bytes;
 use firdock_core::resource::{Resource, Tier};
-use firdock_node::answers::{Answers, KeptAnswer};
+use firdock_node::answer_cache::{Answers, KeptAnswer};
 use firdock_node::backoff::Backoff;
 use firdock_node::config::Changes;
 use firdock_node::endpoint::{EndpointReport, SseDecoder, SseEvent};
--- a/src/cmd/explain.rs
+++ b/src/cmd/explain.rs
@@ -8,8 +8,8 @@
 use super::check::read_file;
 use super::error::ReadFileSnafu;
 use super::{CmdError, required};
-use crate::story::{Line, tell};
 use crate::summary::Summary;
+use crate::timeline::{Line, tell};
 
 /// Name by which standard input is given.
 const STDIN: &str = "-";
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,5 +6,5 @@
 pub mod cmd;
 pub mod exit;
 pub mod starts;
-pub mod story;
 pub mod summary;
+pub mod timeline;
--- a/src/starts.rs
+++ b/src/starts.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::fmt::{self, Display, Formatter};
 
-use crate::story::Line;
+use crate::timeline::Line;
 
 /// Steps of a start in their usual order: the line that tells of each first, and what it is called.
 const STEPS: [(&str, &str); 4] = [
--- a/src/summary.rs
+++ b/src/summary.rs
@@ -5,7 +5,7 @@
 use std::fmt::{self, Display, Formatter};
 
 use crate::starts::Starts;
-use crate::story::Line;
+use crate::timeline::Line;
 
 /// Seconds of a log that are counted together.
 const PERIOD_SECS: f64 = 10.0;
--- a/tests/testsuite/explain.rs
+++ b/tests/testsuite/explain.rs
@@ -1,7 +1,7 @@
 //! The story of a request from the logs of several instances.
 
-use firdock::story::{Line, tell};
 use firdock::summary::Summary;
+use firdock::timeline::{Line, tell};
 
 const LOGS: &str = r#"
 noise before any line
