--- a/crates/firdock-node/src/answer_cache.rs
+++ b/crates/firdock-node/src/answer_cache.rs
@@ -15,13 +15,13 @@
 
 /// A whole answer.
 #[derive(Debug, Clone)]
-pub struct KeptAnswer {
+pub struct CachedAnswer {
     /// Head.
     pub head: AnswerHead,
     body: BytesMut,
 }
 
-impl KeptAnswer {
+impl CachedAnswer {
     /// Makes an answer without a body yet.
     #[must_use]
     pub fn new(head: AnswerHead) -> Self {
@@ -50,19 +50,19 @@
 
 #[derive(Debug, Default)]
 struct Store {
-    kept: HashMap<RequestId, KeptAnswer>,
+    kept: HashMap<RequestId, CachedAnswer>,
     order: VecDeque<RequestId>,
     bytes: usize,
 }
 
 /// Store of kept answers, shared by all tasks; the oldest goes when the bytes run out.
 #[derive(Debug, Clone)]
-pub struct Answers {
+pub struct AnswerCache {
     store: Arc<Mutex<Store>>,
     max_bytes: usize,
 }
 
-impl Answers {
+impl AnswerCache {
     /// Makes a store for `max_bytes` bytes.
     #[must_use]
     pub fn new(max_bytes: usize) -> Self {
@@ -73,7 +73,7 @@
     }
 
     /// Keeps a request's answer.
-    pub fn keep(&self, id: RequestId, answer: KeptAnswer) {
+    pub fn insert(&self, id: RequestId, answer: CachedAnswer) {
         let mut store = self.store.lock().unwrap_or_else(PoisonError::into_inner);
         store.bytes += answer.cost();
         store.kept.insert(id, answer);
@@ -82,28 +82,28 @@
             let Some(oldest) = store.order.pop_front() else {
                 break;
             };
-            store.forget(oldest);
+            store.remove(oldest);
         }
     }
 
     /// Gives a request's answer, if it is still kept.
     #[must_use]
-    pub fn get(&self, id: RequestId) -> Option<KeptAnswer> {
+    pub fn get(&self, id: RequestId) -> Option<CachedAnswer> {
         let store = self.store.lock().unwrap_or_else(PoisonError::into_inner);
         store.kept.get(&id).cloned()
     }
 
     /// Forgets a request's answer.
-    pub fn forget(&self, id: RequestId) {
+    pub fn remove(&self, id: RequestId) {
         self.store
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .forget(id);
+            .remove(id);
     }
 }
 
 impl Store {
-    fn forget(&mut self, id: RequestId) {
+    fn remove(&mut self, id: RequestId) {
         if let Some(answer) = self.kept.remove(&id) {
             self.bytes -= answer.cost();
             self.order.retain(|i| *i != id);
--- a/crates/firdock-node/src/driver.rs
+++ b/crates/firdock-node/src/driver.rs
@@ -21,11 +21,11 @@
 use tokio::task::AbortHandle;
 use tokio::time::{MissedTickBehavior, interval};
 
-use crate::answer_cache::Answers;
+use crate::answer_cache::AnswerCache;
 use crate::clock::Clock;
 use crate::endpoint::Backends;
 use crate::endpoint::run::{RunLimits, Since};
-use crate::exchange::{AnswerRoom, Exchange, Part};
+use crate::exchange::{AnswerBudget, Exchange, Part};
 use crate::input::Input;
 use crate::peer::{self, Dialer, SelfNews};
 use crate::placement::Placement;
@@ -52,9 +52,9 @@
     /// Configuration in force.
     pub site: Arc<Site>,
     /// Kept answers.
-    pub answers: Answers,
+    pub answer_cache: AnswerCache,
     /// Where answers wait for their callers.
-    pub room: AnswerRoom,
+    pub answer_budget: AnswerBudget,
     /// Metrics.
     pub metrics: Arc<Metrics>,
     /// Time limits of dispatches.
@@ -352,7 +352,7 @@
         let work = placement.map_or_else(Vec::new, |p| p.work(now));
         let news = SelfNews::new(t, now).with_work(work);
         self.parts.news.send_replace(news);
-        self.parts.room.tend();
+        self.parts.answer_budget.maintain();
     }
 
     fn carry_out(&mut self, action: Action) {
@@ -379,7 +379,7 @@
             Action::Cut { id, reason } => self.cut(id, reason),
             Action::PassFailure { id } => self.pass_failure(id),
             Action::Replay { id, earlier } => self.replay(id, earlier),
-            Action::Forget { id } => self.parts.answers.forget(id),
+            Action::Forget { id } => self.parts.answer_cache.remove(id),
             Action::TransferKeys { peer, transfer } => {
                 let sending = peer::transfer_keys(self.parts.dialer.clone(), peer, transfer);
                 self.parts.runtime.spawn(sending);
--- a/crates/firdock-node/src/driver/answer.rs
+++ b/crates/firdock-node/src/driver/answer.rs
@@ -44,7 +44,7 @@
     }
 
     pub(super) fn replay(&self, id: RequestId, earlier: RequestId) {
-        let Some(answer) = self.parts.answers.get(earlier) else {
+        let Some(answer) = self.parts.answer_cache.get(earlier) else {
             let verdict = Verdict {
                 outcome: Outcome::Unknown,
                 reason: Reason::KeyUncertain,
--- a/crates/firdock-node/src/edge/parts.rs
+++ b/crates/firdock-node/src/edge/parts.rs
@@ -16,13 +16,13 @@
 use tokio::sync::{mpsc, watch};
 use uuid::Uuid;
 
-use crate::answer_cache::Answers;
+use crate::answer_cache::AnswerCache;
 use crate::clock::Clock;
 use crate::config::Hub;
 use crate::driver::{Driver, DriverParts};
 use crate::endpoint::relay::{Dialect, Relay};
 use crate::endpoint::run::RunLimits;
-use crate::exchange::AnswerRoom;
+use crate::exchange::AnswerBudget;
 use crate::http::{ServerOptions, serve};
 use crate::ingress::{Ingress, IngressLimits, IngressState, Interface};
 use crate::input::Input;
@@ -50,7 +50,7 @@
     clock: Clock,
     site: Arc<Site>,
     pub ingress: IngressState,
-    room: AnswerRoom,
+    answer_budget: AnswerBudget,
     metrics: Arc<Metrics>,
     peers: Arc<PeerBook>,
     reads: Arc<SharedReads>,
@@ -98,10 +98,10 @@
         let clock = Clock::new();
         let metrics: Arc<Metrics> = Arc::default();
         let log_limiter: Arc<LogLimiter> = Arc::default();
-        let room = AnswerRoom::new(
+        let answer_budget = AnswerBudget::new(
             settings.limits.answer_bytes,
             clock,
-            metrics.held_answers(),
+            metrics.answer_metrics(),
             log.new(o!("part" => "answers")),
             Arc::clone(&log_limiter),
         );
@@ -114,7 +114,7 @@
             clock,
             site: Arc::default(),
             ingress: IngressState::default(),
-            room,
+            answer_budget,
             metrics,
             peers: Arc::new(
                 PeerBook::new(name, settings.instance.zone.clone())
@@ -160,7 +160,7 @@
         )
         .with_state(self.ingress.clone())
         .with_log_limiter(Arc::clone(&self.log_limiter))
-        .with_room(self.room.clone())
+        .with_answer_budget(self.answer_budget.clone())
     }
 
     /// Makes the owner of the scheduler's tables.
@@ -178,8 +178,8 @@
             backends: Relay::new(dialect, connect),
             dialer: Dialer::new(self.member.name.clone(), key, hub),
             site: Arc::clone(&self.site),
-            answers: Answers::new(self.settings.keys.answer_bytes),
-            room: self.room.clone(),
+            answer_cache: AnswerCache::new(self.settings.keys.answer_bytes),
+            answer_budget: self.answer_budget.clone(),
             metrics: Arc::clone(&self.metrics),
             limits: RunLimits::new(e),
             clock: self.clock,
--- a/crates/firdock-node/src/endpoint/own.rs
+++ b/crates/firdock-node/src/endpoint/own.rs
@@ -5,7 +5,7 @@
 
 use super::run::Run;
 use super::{Backends, EngineClient, PlainClient, run_engine, run_plain};
-use crate::answer_cache::Answers;
+use crate::answer_cache::AnswerCache;
 use crate::site::Place;
 
 /// Adapters to the far ends, and the store of answers that resends get.
@@ -13,17 +13,17 @@
 pub struct OwnBackends<E, P> {
     engine: E,
     plain: P,
-    answers: Answers,
+    answer_cache: AnswerCache,
 }
 
 impl<E, P> OwnBackends<E, P> {
     /// Puts the adapters together.
     #[must_use]
-    pub fn new(engine: E, plain: P, answers: Answers) -> Self {
+    pub fn new(engine: E, plain: P, answer_cache: AnswerCache) -> Self {
         Self {
             engine,
             plain,
-            answers,
+            answer_cache,
         }
     }
 }
@@ -33,7 +33,7 @@
         match place.backend {
             EndpointKind::Engine => run_engine::run(self.engine.clone(), run).await,
             EndpointKind::Plain => {
-                run_plain::run(self.plain.clone(), run, self.answers.clone()).await
+                run_plain::run(self.plain.clone(), run, self.answer_cache.clone()).await
             }
         }
     }
--- a/crates/firdock-node/src/endpoint/run_plain.rs
+++ b/crates/firdock-node/src/endpoint/run_plain.rs
@@ -6,11 +6,11 @@
 
 use super::run::{Run, Stop};
 use super::{Ending, EndpointBody, PlainAnswer, PlainClient, PlainOrder, Shape, StartError};
-use crate::answer_cache::{Answers, KeptAnswer};
+use crate::answer_cache::{AnswerCache, CachedAnswer};
 use crate::exchange::Part;
 
 /// Runs a dispatch to a plain server; gives a word on how it ended for the trace.
-pub async fn run<P: PlainClient>(plain: P, run: Run, answers: Answers) -> &'static str {
+pub async fn run<P: PlainClient>(plain: P, run: Run, answer_cache: AnswerCache) -> &'static str {
     if let Some(word) = run.stopped_before_write().await {
         return word;
     }
@@ -29,7 +29,7 @@
         .await;
     run.tell_notice(&heard.head).await;
     match heard.result {
-        Ok(answer) => relay(&run, answer, &answers).await,
+        Ok(answer) => relay(&run, answer, &answer_cache).await,
         Err(StartError::Unreachable) => run.not_sent(true).await,
         Err(StartError::Refused) => run.not_sent(false).await,
         Err(StartError::Answered { .. }) => run.tell_broken(BreakCause::Failed).await,
@@ -37,7 +37,7 @@
     }
 }
 
-async fn relay(run: &Run, answer: PlainAnswer, answers: &Answers) -> &'static str {
+async fn relay(run: &Run, answer: PlainAnswer, answer_cache: &AnswerCache) -> &'static str {
     let PlainAnswer {
         head,
         body,
@@ -49,7 +49,7 @@
         .payload
         .key
         .as_ref()
-        .map(|_| KeptAnswer::new(head.clone()));
+        .map(|_| CachedAnswer::new(head.clone()));
     run.tell(DispatchNews::Started { head_sent: true }).await;
     let passed = match run.pass(Part::Head(head)).await {
         Ok(()) => pass_body(run, body, &mut kept).await,
@@ -60,7 +60,7 @@
         Ok(()) => {
             run.exchange.reply.note_whole();
             if let Some(kept) = kept {
-                answers.keep(run.dispatch.id, kept);
+                answer_cache.insert(run.dispatch.id, kept);
             }
             run.tell(DispatchNews::Ended {
                 prompt: 0,
@@ -83,7 +83,7 @@
 async fn pass_body(
     run: &Run,
     mut body: EndpointBody,
-    kept: &mut Option<KeptAnswer>,
+    kept: &mut Option<CachedAnswer>,
 ) -> Result<(), Stop> {
     loop {
         let next = timeout(run.limits.silence, body.next()).await;
@@ -98,7 +98,7 @@
     }
 }
 
-fn keep(kept: &mut Option<KeptAnswer>, bytes: &Bytes) {
+fn keep(kept: &mut Option<CachedAnswer>, bytes: &Bytes) {
     let fits = kept.as_mut().is_none_or(|k| k.push(bytes));
     if !fits {
         *kept = None;
--- a/crates/firdock-node/src/exchange.rs
+++ b/crates/firdock-node/src/exchange.rs
@@ -11,7 +11,7 @@
 use firdock_policy::{Time, Verdict};
 use hyper::{HeaderMap, Method, StatusCode};
 
-pub use self::budget::AnswerRoom;
+pub use self::budget::AnswerBudget;
 use self::queue::answer_queue;
 pub use self::queue::{Parts, Reply, Sent};
 use crate::endpoint::AnswerEnd;
@@ -163,9 +163,9 @@
         id: RequestId,
         payload: Payload,
         trace: TraceContext,
-        room: &AnswerRoom,
+        answer_budget: &AnswerBudget,
     ) -> (Arc<Self>, Parts) {
-        let (reply, parts) = answer_queue(|queue| room.open(id, &payload, queue));
+        let (reply, parts) = answer_queue(|queue| answer_budget.open(id, &payload, queue));
         let delivered = Mutex::new(Delivered::default());
         let content = Arc::new(payload.content());
         (
--- a/crates/firdock-node/src/exchange/budget.rs
+++ b/crates/firdock-node/src/exchange/budget.rs
@@ -33,19 +33,19 @@
 
 /// Where answers wait for their callers; without a budget, each waits by itself.
 #[derive(Debug, Clone, Default)]
-pub struct AnswerRoom(Option<Arc<Room>>);
+pub struct AnswerBudget(Option<Arc<BudgetInner>>);
 
 #[derive(Debug)]
-struct Room {
-    books: Mutex<Books>,
+struct BudgetInner {
+    state: Mutex<BudgetState>,
     clock: Clock,
-    figures: AnswerMetrics,
+    metrics: AnswerMetrics,
     log: Logger,
     log_limiter: Arc<LogLimiter>,
 }
 
 #[derive(Debug)]
-struct Books {
+struct BudgetState {
     buffers: AnswerBuffers,
     open: HashMap<BufferId, OpenAnswer>,
     next: BufferId,
@@ -61,28 +61,28 @@
     queue: Weak<Queue>,
 }
 
-impl AnswerRoom {
+impl AnswerBudget {
     /// Makes the room for answers of `budget` bytes together; 0 is none.
     #[must_use]
     pub fn new(
-        budget: usize,
+        max_bytes: usize,
         clock: Clock,
-        figures: AnswerMetrics,
+        metrics: AnswerMetrics,
         log: Logger,
         log_limiter: Arc<LogLimiter>,
     ) -> Self {
-        if budget == 0 {
+        if max_bytes == 0 {
             return Self(None);
         }
-        let books = Books {
-            buffers: AnswerBuffers::new(budget),
+        let state = BudgetState {
+            buffers: AnswerBuffers::new(max_bytes),
             open: HashMap::new(),
             next: 0,
         };
-        Self(Some(Arc::new(Room {
-            books: Mutex::new(books),
+        Self(Some(Arc::new(BudgetInner {
+            state: Mutex::new(state),
             clock,
-            figures,
+            metrics,
             log,
             log_limiter,
         })))
@@ -94,44 +94,44 @@
         request: RequestId,
         payload: &Payload,
         queue: &Arc<Queue>,
-    ) -> Option<Account> {
-        let room = self.0.as_ref()?;
-        let mut books = room.lock();
-        let id = books.next;
-        books.next += 1;
-        books
+    ) -> Option<Reservation> {
+        let inner = self.0.as_ref()?;
+        let mut state = inner.lock();
+        let id = state.next;
+        state.next += 1;
+        state
             .buffers
-            .open(room.clock.now(), id, payload.account.clone());
+            .open(inner.clock.now(), id, payload.account.clone());
         let answer = OpenAnswer {
             request,
             call: payload.terms.caller_id.clone(),
             account: payload.account.clone(),
             queue: Arc::downgrade(queue),
         };
-        books.open.insert(id, answer);
-        let room = Arc::clone(room);
-        Some(Account { room, id })
+        state.open.insert(id, answer);
+        let inner = Arc::clone(inner);
+        Some(Reservation { inner, id })
     }
 
     /// Waits for late readers of whole answers, cuts answers that their callers stopped reading, and
     /// publishes what is held.
-    pub fn tend(&self) {
-        let Some(room) = &self.0 else {
+    pub fn maintain(&self) {
+        let Some(inner) = &self.0 else {
             return;
         };
-        let mut books = room.lock();
-        let now = room.clock.now();
-        books.wait_for_late(now);
-        let stalled = books.buffers.cut_stalled(now, CALLER_STALL);
-        let cut = books.drop_cut(&stalled);
-        let held = books.buffers.bytes();
-        drop(books);
-        room.figures.set_bytes(held);
-        room.end(cut, Cause::Unread, held);
+        let mut state = inner.lock();
+        let now = inner.clock.now();
+        state.wait_for_late(now);
+        let stalled = state.buffers.cut_stalled(now, CALLER_STALL);
+        let cut = state.drop_cut(&stalled);
+        let held = state.buffers.bytes();
+        drop(state);
+        inner.metrics.set_bytes(held);
+        inner.end(cut, Cause::Unread, held);
     }
 }
 
-impl Books {
+impl BudgetState {
     fn wait_for_late(&mut self, now: Time) {
         for id in self.buffers.became_late(now) {
             let queue = self.open.get(&id).and_then(|a| a.queue.upgrade());
@@ -147,15 +147,15 @@
     }
 }
 
-impl Room {
-    fn lock(&self) -> MutexGuard<'_, Books> {
-        self.books.lock().unwrap_or_else(PoisonError::into_inner)
+impl BudgetInner {
+    fn lock(&self) -> MutexGuard<'_, BudgetState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Ends answers that were cut, each with a line of the log.
     fn end(&self, cut: Vec<OpenAnswer>, cause: Cause, held: usize) {
         for answer in cut {
-            self.figures.count_cut(cause.as_str());
+            self.metrics.count_cut(cause.as_str());
             if let Some(queue) = answer.queue.upgrade() {
                 queue.cut();
             }
@@ -177,36 +177,36 @@
 
 /// One answer's part of the room.
 #[derive(Debug, Clone)]
-pub(super) struct Account {
-    room: Arc<Room>,
+pub(super) struct Reservation {
+    inner: Arc<BudgetInner>,
     id: BufferId,
 }
 
-impl Account {
+impl Reservation {
     pub(super) fn hold(&self, bytes: usize) {
-        let mut books = self.room.lock();
-        let ids = books.buffers.hold(self.room.clock.now(), self.id, bytes);
+        let mut state = self.inner.lock();
+        let ids = state.buffers.hold(self.inner.clock.now(), self.id, bytes);
         if ids.is_empty() {
             return;
         }
-        let cut = books.drop_cut(&ids);
-        let held = books.buffers.bytes();
-        drop(books);
-        self.room.end(cut, Cause::Budget, held);
+        let cut = state.drop_cut(&ids);
+        let held = state.buffers.bytes();
+        drop(state);
+        self.inner.end(cut, Cause::Budget, held);
     }
 
     pub(super) fn take(&self, bytes: usize) {
-        let mut books = self.room.lock();
-        books.buffers.take(self.room.clock.now(), self.id, bytes);
+        let mut state = self.inner.lock();
+        state.buffers.take(self.inner.clock.now(), self.id, bytes);
     }
 
     pub(super) fn note_whole(&self) {
-        self.room.lock().buffers.note_whole(self.id);
+        self.inner.lock().buffers.note_whole(self.id);
     }
 
     pub(super) fn close(&self) {
-        let mut books = self.room.lock();
-        books.buffers.close(self.id);
-        books.open.remove(&self.id);
+        let mut state = self.inner.lock();
+        state.buffers.close(self.id);
+        state.open.remove(&self.id);
     }
 }
--- a/crates/firdock-node/src/exchange/queue.rs
+++ b/crates/firdock-node/src/exchange/queue.rs
@@ -2,7 +2,7 @@
 //!
 //! Without a budget of bytes a few parts wait, and then the endpoint's answer is left unread. With one,
 //! the answer is read at the endpoint's pace, and what its caller has not taken counts in the
-//! instance's [`AnswerRoom`](super::AnswerRoom).
+//! instance's [`AnswerBudget`](super::AnswerRoom).
 
 use std::future::poll_fn;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -12,7 +12,7 @@
 use tokio::sync::Notify;
 
 use super::Part;
-use super::budget::Account;
+use super::budget::Reservation;
 use super::waiting::{WaitingParts, cost};
 use crate::http::CallerHandle;
 
@@ -113,25 +113,27 @@
 #[derive(Debug)]
 pub struct Reply {
     queue: Arc<Queue>,
-    account: Option<Account>,
+    reservation: Option<Reservation>,
 }
 
 /// Taking end of an answer.
 #[derive(Debug)]
 pub struct Parts {
     queue: Arc<Queue>,
-    account: Option<Account>,
+    reservation: Option<Reservation>,
 }
 
 /// Makes both ends of an answer, which counts in `account` if there is one.
-pub(super) fn answer_queue(open: impl FnOnce(&Arc<Queue>) -> Option<Account>) -> (Reply, Parts) {
+pub(super) fn answer_queue(
+    open: impl FnOnce(&Arc<Queue>) -> Option<Reservation>,
+) -> (Reply, Parts) {
     let queue = Arc::new(Queue::new());
-    let account = open(&queue);
+    let reservation = open(&queue);
     let reply = Reply {
         queue: Arc::clone(&queue),
-        account: account.clone(),
+        reservation: reservation.clone(),
     };
-    (reply, Parts { queue, account })
+    (reply, Parts { queue, reservation })
 }
 
 impl Reply {
@@ -154,17 +156,17 @@
 
     /// Sends a part if it need not wait.
     pub fn try_send(&self, part: Part) -> Sent {
-        if let Some(account) = &self.account {
-            account.hold(cost(&part));
+        if let Some(reservation) = &self.reservation {
+            reservation.hold(cost(&part));
         }
         let mut state = self.queue.lock();
         if matches!(state.stage, Stage::Left | Stage::Cut) {
             return Sent::Closed;
         }
-        if self.account.is_none() && state.waiting.len() >= PARTS_WAITING {
+        if self.reservation.is_none() && state.waiting.len() >= PARTS_WAITING {
             return Sent::Full(part);
         }
-        if self.account.is_some() {
+        if self.reservation.is_some() {
             state.waiting.join(part);
         } else {
             state.waiting.push(part);
@@ -175,8 +177,8 @@
 
     /// Notes that the endpoint's answer is complete, so that others are cut before it.
     pub fn note_whole(&self) {
-        if let Some(account) = &self.account {
-            account.note_whole();
+        if let Some(reservation) = &self.reservation {
+            reservation.note_whole();
         }
     }
 
@@ -230,8 +232,8 @@
         };
         drop(state);
         self.queue.freed.notify_waiters();
-        if let Some(account) = &self.account {
-            account.take(cost(&part));
+        if let Some(reservation) = &self.reservation {
+            reservation.take(cost(&part));
         }
         Poll::Ready(Some(part))
     }
@@ -247,8 +249,8 @@
         }
         drop(state);
         self.queue.freed.notify_waiters();
-        if let Some(account) = &self.account {
-            account.close();
+        if let Some(reservation) = &self.reservation {
+            reservation.close();
         }
     }
 }
--- a/crates/firdock-node/src/ingress/handler.rs
+++ b/crates/firdock-node/src/ingress/handler.rs
@@ -20,7 +20,7 @@
 use super::state::{IngressPhase, IngressState};
 use crate::clock::{Clock, millis};
 use crate::endpoint::Framing;
-use crate::exchange::{AnswerHead, AnswerRoom, CallTerms, Exchange, Part, Payload};
+use crate::exchange::{AnswerBudget, AnswerHead, CallTerms, Exchange, Part, Payload};
 use crate::http::CallerHandle;
 use crate::input::Input;
 use crate::site::Site;
@@ -63,7 +63,7 @@
     clock: Clock,
     log: Logger,
     log_limiter: Arc<LogLimiter>,
-    room: AnswerRoom,
+    answer_budget: AnswerBudget,
 }
 
 impl<I: Interface> Ingress<I> {
@@ -86,7 +86,7 @@
             clock,
             log,
             log_limiter: Arc::default(),
-            room: AnswerRoom::default(),
+            answer_budget: AnswerBudget::default(),
         }
     }
 
@@ -99,8 +99,8 @@
 
     /// Lets answers wait for their callers in a room.
     #[must_use]
-    pub(crate) fn with_room(mut self, room: AnswerRoom) -> Self {
-        self.room = room;
+    pub(crate) fn with_answer_budget(mut self, answer_budget: AnswerBudget) -> Self {
+        self.answer_budget = answer_budget;
         self
     }
 
@@ -191,7 +191,7 @@
     ) -> Response<AnswerBody> {
         let terms = payload.terms.clone();
         let method = payload.method.clone();
-        let (exchange, mut parts) = Exchange::new(id, payload, trace, &self.room);
+        let (exchange, mut parts) = Exchange::new(id, payload, trace, &self.answer_budget);
         if let Some(handle) = &caller.handle {
             parts.set_caller(handle.clone());
         }
--- a/crates/firdock-node/src/instance.rs
+++ b/crates/firdock-node/src/instance.rs
@@ -122,7 +122,7 @@
             inputs: inputs.clone(),
             clock: parts.clock,
             log: self.log.clone(),
-            room: parts.room.clone(),
+            answer_budget: parts.answer_budget.clone(),
         };
         let operators_stop = rest_stops.clone();
         tokio::spawn(serve_peers(peer_socket, server, rest_stops));
--- a/crates/firdock-node/src/instance/parts.rs
+++ b/crates/firdock-node/src/instance/parts.rs
@@ -17,13 +17,13 @@
 use uuid::Uuid;
 
 use super::start::{ListenSnafu, StartError, UnsetSnafu, spawn};
-use crate::answer_cache::Answers;
+use crate::answer_cache::AnswerCache;
 use crate::clock::Clock;
 use crate::config::{DutySettings, FollowParts, Hub, follow, watch_list};
 use crate::driver::{Driver, DriverParts};
 use crate::endpoint::run::RunLimits;
 use crate::endpoint::{HttpEngine, HttpPlain, OwnBackends, Target, watch_reports};
-use crate::exchange::AnswerRoom;
+use crate::exchange::AnswerBudget;
 use crate::ingress::{Ingress, IngressLimits, OwnInterface};
 use crate::input::Input;
 use crate::operator::{OperatorServer, Watchers, serve_operators};
@@ -44,8 +44,8 @@
     pub clock: Clock,
     pub hub: Arc<Hub>,
     site: Arc<Site>,
-    answers: Answers,
-    pub room: AnswerRoom,
+    answer_cache: AnswerCache,
+    pub answer_budget: AnswerBudget,
     metrics: Arc<Metrics>,
     pub dialer: Dialer,
     log_client: HttpLog,
@@ -71,10 +71,10 @@
         let clock = Clock::new();
         let metrics: Arc<Metrics> = Arc::default();
         let log_limiter: Arc<LogLimiter> = Arc::default();
-        let room = AnswerRoom::new(
+        let answer_budget = AnswerBudget::new(
             s.limits.answer_bytes,
             clock,
-            metrics.held_answers(),
+            metrics.answer_metrics(),
             log.clone(),
             Arc::clone(&log_limiter),
         );
@@ -86,8 +86,8 @@
             },
             clock,
             site: Arc::default(),
-            room,
-            answers: Answers::new(s.keys.answer_bytes),
+            answer_budget,
+            answer_cache: AnswerCache::new(s.keys.answer_bytes),
             metrics,
             dialer: Dialer::new(name, &s.peers.shared_key, Arc::clone(&hub)),
             hub,
@@ -110,11 +110,11 @@
         let e = &self.settings.endpoints;
         let plain = HttpPlain::new(Duration::from_millis(e.connect_millis));
         let parts = DriverParts {
-            backends: OwnBackends::new(self.engine, plain, self.answers.clone()),
+            backends: OwnBackends::new(self.engine, plain, self.answer_cache.clone()),
             dialer: self.dialer.clone(),
             site: Arc::clone(&self.site),
-            answers: self.answers.clone(),
-            room: self.room.clone(),
+            answer_cache: self.answer_cache.clone(),
+            answer_budget: self.answer_budget.clone(),
             metrics: Arc::clone(&self.metrics),
             limits: RunLimits::new(e),
             clock: self.clock,
@@ -175,7 +175,7 @@
             self.log.clone(),
         )
         .with_log_limiter(Arc::clone(&self.log_limiter))
-        .with_room(self.room.clone())
+        .with_answer_budget(self.answer_budget.clone())
     }
 
     /// Serves the resource API; gives its address.
--- a/crates/firdock-node/src/peer/serve.rs
+++ b/crates/firdock-node/src/peer/serve.rs
@@ -23,7 +23,7 @@
 use super::state::send_state;
 use crate::clock::Clock;
 use crate::config::PeerStatus;
-use crate::exchange::{AnswerRoom, CallTerms, Exchange, Parts, Payload};
+use crate::exchange::{AnswerBudget, CallTerms, Exchange, Parts, Payload};
 use crate::ingress::ModelCall;
 use crate::ingress::new_request;
 use crate::input::Input;
@@ -46,7 +46,7 @@
     /// Logger.
     pub log: Logger,
     /// Where answers wait for the peers that asked.
-    pub room: AnswerRoom,
+    pub answer_budget: AnswerBudget,
 }
 
 /// Serves peers until `stop` turns true.
@@ -161,7 +161,7 @@
 
     /// Serves a request that a peer hands over, and streams the answer back.
     async fn take_over(&self, mut link: Link, order: message::HandOver) -> Result<(), LinkError> {
-        let Some((exchange, parts, tried)) = read_order(order, &self.room) else {
+        let Some((exchange, parts, tried)) = read_order(order, &self.answer_budget) else {
             return Err(LinkError::Stranger {
                 why: "malformed request",
             });
@@ -210,7 +210,7 @@
 
 type Taken = (Arc<Exchange>, Parts, Vec<String>);
 
-fn read_order(order: message::HandOver, room: &AnswerRoom) -> Option<Taken> {
+fn read_order(order: message::HandOver, answer_budget: &AnswerBudget) -> Option<Taken> {
     let id = Uuid::from_slice(&order.request_id).ok()?;
     let method = Method::from_bytes(order.method.as_bytes()).ok()?;
     let body = Bytes::from(order.body);
@@ -232,6 +232,6 @@
         terms: CallTerms::default(),
     };
     let trace = TraceContext::parse_or_start(Some(&order.traceparent));
-    let (exchange, parts) = Exchange::new(id, payload, trace, room);
+    let (exchange, parts) = Exchange::new(id, payload, trace, answer_budget);
     Some((exchange, parts, order.tried))
 }
--- a/crates/firdock-node/src/telemetry/metrics.rs
+++ b/crates/firdock-node/src/telemetry/metrics.rs
@@ -83,7 +83,7 @@
     held_time: Histogram,
     total: Histogram,
     store_calls: Family<ByCall, Counter>,
-    held_answers: AnswerMetrics,
+    answer_metrics: AnswerMetrics,
     endpoints: EndpointList,
     suspects: SuspectList,
 }
@@ -138,7 +138,7 @@
             held_time: latency(),
             total: latency(),
             store_calls: Family::default(),
-            held_answers: AnswerMetrics::default(),
+            answer_metrics: AnswerMetrics::default(),
             endpoints: EndpointList::default(),
             suspects: SuspectList::default(),
         };
@@ -148,8 +148,8 @@
 
     /// Gives the metrics of answers that wait for their callers.
     #[must_use]
-    pub fn held_answers(&self) -> AnswerMetrics {
-        self.held_answers.clone()
+    pub fn answer_metrics(&self) -> AnswerMetrics {
+        self.answer_metrics.clone()
     }
 
     /// Gives the list of what is believed of endpoints.
--- a/crates/firdock-node/src/telemetry/metrics/register.rs
+++ b/crates/firdock-node/src/telemetry/metrics/register.rs
@@ -82,7 +82,7 @@
             "Calls to the platform's store, by what they were for",
             self.store_calls.clone(),
         );
-        self.held_answers.register(&mut r);
+        self.answer_metrics.register(&mut r);
         r.register(
             "decision_seconds",
             "Time of one decision",
--- a/crates/firdock-node/tests/node/main.rs
+++ b/crates/firdock-node/tests/node/main.rs
@@ -16,7 +16,7 @@
 
 use bytes::Bytes;
 use firdock_core::resource::{Resource, Tier};
-use firdock_node::answer_cache::{Answers, KeptAnswer};
+use firdock_node::answer_cache::{AnswerCache, CachedAnswer};
 use firdock_node::backoff::Backoff;
 use firdock_node::config::Changes;
 use firdock_node::endpoint::{EndpointReport, SseDecoder, SseEvent};
@@ -41,22 +41,22 @@
 
 #[test]
 fn kept_answers_are_bounded_and_the_oldest_goes_first() {
-    let answers = Answers::new(4_000);
+    let answers = AnswerCache::new(4_000);
     let ids: Vec<Uuid> = (0..4).map(|n| Uuid::from_u64_pair(0, n)).collect();
     for id in &ids {
-        let mut answer = KeptAnswer::new(head());
+        let mut answer = CachedAnswer::new(head());
         assert!(answer.push(&[7; 1_000]));
-        answers.keep(*id, answer);
+        answers.insert(*id, answer);
     }
     let kept: Vec<bool> = ids.iter().map(|id| answers.get(*id).is_some()).collect();
     assert_eq!(kept, [false, false, true, true]);
-    answers.forget(ids[3]);
+    answers.remove(ids[3]);
     assert!(answers.get(ids[3]).is_none());
 }
 
 #[test]
 fn an_answer_that_is_too_large_is_not_kept() {
-    let mut answer = KeptAnswer::new(head());
+    let mut answer = CachedAnswer::new(head());
     assert!(!answer.push(&vec![0; 1 << 20]));
 }
 
--- a/src/cmd/explain.rs
+++ b/src/cmd/explain.rs
@@ -9,7 +9,7 @@
 use super::error::ReadFileSnafu;
 use super::{CmdError, required};
 use crate::summary::Summary;
-use crate::timeline::{Line, tell};
+use crate::timeline::{Line, request_timeline};
 
 /// Name by which standard input is given.
 const STDIN: &str = "-";
@@ -59,12 +59,12 @@
     let id = required(args, "id");
     let paths = args.get_many::<String>("logs").into_iter().flatten();
     let lines = read_lines(paths)?;
-    let story = tell(&lines, id);
-    if story.is_empty() {
+    let timeline = request_timeline(&lines, id);
+    if timeline.is_empty() {
         let detail = format!("no line of {} is about {id}", lines.len());
         return Err(CmdError::NotFound { detail });
     }
-    for line in story {
+    for line in timeline {
         println!("{}", line.describe());
     }
     Ok(())
--- a/src/summary.rs
+++ b/src/summary.rs
@@ -1,5 +1,5 @@
 //! What became of requests, counted from the log lines of all instances: for the question why many
-//! were late or refused, where [`crate::story`] answers for one.
+//! were late or refused, where [`crate::timeline`] answers for one.
 
 use std::collections::BTreeMap;
 use std::fmt::{self, Display, Formatter};
--- a/src/timeline.rs
+++ b/src/timeline.rs
@@ -89,16 +89,16 @@
 /// With them come what the same instances believed of its endpoints and of their configuration
 /// shortly before and during it, and their words on lines left out.
 #[must_use]
-pub fn tell(lines: &[Line], id: &str) -> Vec<Line> {
+pub fn request_timeline(lines: &[Line], id: &str) -> Vec<Line> {
     let named: Vec<&Line> = lines.iter().filter(|l| l.is_about(id)).collect();
     let ids: BTreeSet<&str> = named.iter().map(|l| l.text("request_id")).collect();
     let own = |l: &Line| l.is_about(id) || ids.contains(l.text("request_id"));
-    let mut story: Vec<&Line> = lines.iter().filter(|l| own(l)).collect();
-    let seconds = || story.iter().map(|l| l.second());
+    let mut timeline: Vec<&Line> = lines.iter().filter(|l| own(l)).collect();
+    let seconds = || timeline.iter().map(|l| l.second());
     let first = seconds().fold(f64::MAX, f64::min);
     let last = seconds().fold(f64::MIN, f64::max);
-    let instances: BTreeSet<&str> = story.iter().map(|l| l.text("instance")).collect();
-    let endpoints: BTreeSet<String> = story
+    let instances: BTreeSet<&str> = timeline.iter().map(|l| l.text("instance")).collect();
+    let endpoints: BTreeSet<String> = timeline
         .iter()
         .flat_map(|l| endpoints_of(l))
         .map(|name| format!("endpoint {name}"))
@@ -113,10 +113,10 @@
         let near = (first - BEFORE_SECS..=last + 1.0).contains(&l.second());
         near && instances.contains(l.text("instance")) && is_background(l, &endpoints)
     });
-    story.extend(around);
-    story.extend(quarantine);
-    story.sort_by(|a, b| a.second().total_cmp(&b.second()));
-    story.into_iter().cloned().collect()
+    timeline.extend(around);
+    timeline.extend(quarantine);
+    timeline.sort_by(|a, b| a.second().total_cmp(&b.second()));
+    timeline.into_iter().cloned().collect()
 }
 
 /// Gives the endpoints that a line is about, and those that were passed over for what they said.
--- a/tests/testsuite/explain.rs
+++ b/tests/testsuite/explain.rs
@@ -1,7 +1,7 @@
-//! The story of a request from the logs of several instances.
+//! The timeline of a request from the logs of several instances.
 
 use firdock::summary::Summary;
-use firdock::timeline::{Line, tell};
+use firdock::timeline::{Line, request_timeline};
 
 const LOGS: &str = r#"
 noise before any line
@@ -15,14 +15,17 @@
 {"msg":"cut line","ts":"2026-01-
 "#;
 
-fn story(id: &str) -> Vec<String> {
+fn timeline(id: &str) -> Vec<String> {
     let lines: Vec<Line> = LOGS.lines().filter_map(Line::parse).collect();
-    tell(&lines, id).iter().map(Line::describe).collect()
+    request_timeline(&lines, id)
+        .iter()
+        .map(Line::describe)
+        .collect()
 }
 
 #[test]
 fn lines_are_told_in_order_with_what_was_believed_of_the_endpoint() {
-    let told = story("c1");
+    let told = timeline("c1");
     let words = [
         "belief changed",
         "dispatched",
@@ -39,8 +42,8 @@
 
 #[test]
 fn both_ids_of_a_request_find_it_and_others_do_not() {
-    assert_eq!(story("r1"), story("c1"));
-    assert!(story("c3").is_empty());
+    assert_eq!(timeline("r1"), timeline("c1"));
+    assert!(timeline("c3").is_empty());
 }
 
 const QUARANTINED: &str = r#"
@@ -53,7 +56,10 @@
 #[test]
 fn a_request_that_is_held_back_is_told_with_the_ends_that_put_it_there() {
     let lines: Vec<Line> = QUARANTINED.lines().filter_map(Line::parse).collect();
-    let told: Vec<String> = tell(&lines, "c1").iter().map(Line::describe).collect();
+    let told: Vec<String> = request_timeline(&lines, "c1")
+        .iter()
+        .map(Line::describe)
+        .collect();
     assert_eq!(told.len(), 2, "{told:#?}");
     assert!(told[0].contains("ends=e1 9 ms ago; e2 5 ms ago; e3 0 ms ago"));
     assert!(told[1].contains("reason=ends-endpoints"));
@@ -156,9 +162,12 @@
 "#;
 
 #[test]
-fn the_story_tells_why_endpoints_were_passed_over() {
+fn the_timeline_tells_why_endpoints_were_passed_over() {
     let lines: Vec<Line> = PASSED_OVER.lines().filter_map(Line::parse).collect();
-    let told: Vec<String> = tell(&lines, "r1").iter().map(Line::describe).collect();
+    let told: Vec<String> = request_timeline(&lines, "r1")
+        .iter()
+        .map(Line::describe)
+        .collect();
     assert_eq!(told.len(), 3, "{told:#?}");
     assert!(told[0].contains("endpoint notice") && told[0].contains("endpoint=e2@7"));
     assert!(told[1].contains("is=backing off") && told[1].contains("left_millis=900"));
