--- a/crates/firdock-node/benches/calm.rs
+++ b/crates/firdock-node/benches/calm.rs
@@ -13,7 +13,7 @@
 use firdock_core::resource::{Catalog, Endpoint, EndpointKind, Resource, Service, Tier};
 use firdock_core::settings::Settings;
 use firdock_node::peer::SelfNews;
-use firdock_node::telemetry::{EndpointList, LogLimiter, StateChangeLog, silent};
+use firdock_node::telemetry::{EndpointList, LogLimiter, StateChangeLog, discard_logger};
 use firdock_policy::event::{PeerNews, PoolDemand};
 use firdock_policy::{Event, Mechanisms, Policy as _, PolicySettings, Scheduler};
 use uuid::Uuid;
@@ -95,7 +95,7 @@
     for (instances, endpoints) in SIZES {
         let s = scheduler(instances, endpoints);
         let lines = Arc::<LogLimiter>::default();
-        let mut beliefs = StateChangeLog::new(silent(), lines, EndpointList::default());
+        let mut beliefs = StateChangeLog::new(discard_logger(), lines, EndpointList::default());
         beliefs.note(NOW, s.tables());
         let id = BenchmarkId::from_parameter(format!("{instances}x{endpoints}"));
         group.bench_with_input(id, &(), |b, ()| b.iter(|| beliefs.note(NOW, s.tables())));
--- a/crates/firdock-node/src/driver.rs
+++ b/crates/firdock-node/src/driver.rs
@@ -30,7 +30,7 @@
 use crate::peer::{self, Dialer, SelfNews};
 use crate::placement::Placement;
 use crate::site::Site;
-use crate::source::WantedRecords;
+use crate::source::PendingRecords;
 use crate::telemetry::decisions::{LastDispatch, RequestContext};
 use crate::telemetry::restarts;
 use crate::telemetry::{
@@ -72,7 +72,7 @@
     /// What peers are told of this instance.
     pub news: watch::Sender<SelfNews>,
     /// States of roll-outs that are to be kept in the platform's store.
-    pub records: watch::Sender<WantedRecords>,
+    pub records: watch::Sender<PendingRecords>,
     /// Turns true once a stopping instance has nothing left to do.
     pub drained: watch::Sender<bool>,
 }
--- a/crates/firdock-node/src/driver/look.rs
+++ b/crates/firdock-node/src/driver/look.rs
@@ -22,7 +22,7 @@
 impl<B: Backends> Driver<B> {
     /// Looks whether an endpoint's address takes connections, and tells the scheduler.
     pub(super) fn look(&self, endpoint: &EndpointId, start: StartId) {
-        let Some(place) = self.parts.site.view().place(endpoint) else {
+        let Some(place) = self.parts.site.view().location(endpoint) else {
             // The list has lost it, which is told by itself.
             let found = Found::Silent;
             self.send(Event::Looked(Look { start, found }));
--- a/crates/firdock-node/src/driver/send.rs
+++ b/crates/firdock-node/src/driver/send.rs
@@ -13,7 +13,7 @@
 use crate::endpoint::{Backends, Target};
 use crate::exchange::Exchange;
 use crate::peer;
-use crate::site::Place;
+use crate::site::EndpointLocation;
 use crate::telemetry::Span;
 use crate::telemetry::decisions::LastDispatch;
 
@@ -28,7 +28,7 @@
             self.send(Event::CallerLeft(id));
             return;
         }
-        let Some(place) = self.parts.site.view().place(&dispatch.endpoint) else {
+        let Some(place) = self.parts.site.view().location(&dispatch.endpoint) else {
             self.refuse(&dispatch);
             return;
         };
@@ -59,7 +59,7 @@
         &self,
         exchange: Arc<Exchange>,
         dispatch: Dispatch,
-        place: Place,
+        place: EndpointLocation,
         since: watch::Receiver<Since>,
     ) -> Run {
         let trace = exchange.trace;
@@ -96,7 +96,7 @@
 
     pub(super) fn cancel(&mut self, id: RequestId, endpoint: &str, dispatch: u32) {
         self.abort(id);
-        let Some(place) = self.parts.site.view().place(endpoint) else {
+        let Some(place) = self.parts.site.view().location(endpoint) else {
             return;
         };
         let backends = self.parts.backends.clone();
--- a/crates/firdock-node/src/edge.rs
+++ b/crates/firdock-node/src/edge.rs
@@ -23,11 +23,11 @@
 use crate::endpoint::relay::Dialect;
 use crate::http::{ServerOptions, serve};
 use crate::ingress::{IngressPhase, IngressState, Interface};
-use crate::input::{INPUTS_WAITING, Input};
+use crate::input::{INPUT_QUEUE_CAPACITY, Input};
 use crate::instance::{AbortOnPanic, StartError, open};
 use crate::peer::SelfNews;
-use crate::source::{ResourceSource, WantedRecords};
-use crate::telemetry::{LogLimiter, silent};
+use crate::source::{PendingRecords, ResourceSource};
+use crate::telemetry::{LogLimiter, discard_logger};
 
 /// Time after the order to stop in which calls are still served: the balancer asks once a second,
 /// takes an instance out after two refusals, and connections it passed on just before bring one
@@ -70,7 +70,7 @@
             interface,
             dialect,
             source,
-            log: silent(),
+            log: discard_logger(),
         }
     }
 
@@ -88,12 +88,12 @@
     /// Fails if an address is missing or cannot be listened on.
     pub async fn start(self) -> Result<RunningEdge, StartError> {
         let parts = Parts::new(&self.settings, self.log.clone());
-        let (inputs, waiting) = mpsc::channel(INPUTS_WAITING);
+        let (inputs, waiting) = mpsc::channel(INPUT_QUEUE_CAPACITY);
         let (stop_ingress, ingress_stops) = watch::channel(false);
         let (stop_rest, rest_stops) = watch::channel(false);
         let (drained, drain_seen) = watch::channel(false);
         let (news, news_seen) = watch::channel(SelfNews::default());
-        let (records, records_wanted) = watch::channel(WantedRecords::default());
+        let (records, records_wanted) = watch::channel(PendingRecords::default());
         let (changes, changes_told) = mpsc::channel(CHANGES_WAITING);
 
         let callers = open(self.settings.instance.callers, "instance.callers")?;
--- a/crates/firdock-node/src/edge/parts.rs
+++ b/crates/firdock-node/src/edge/parts.rs
@@ -30,7 +30,7 @@
 use crate::peer::{Beacons, Dialer, PeerBook, SelfNews, SharedReads, Taken, open_beacons};
 use crate::placement::{DatagramLink, Membership, Placement};
 use crate::site::Site;
-use crate::source::{SourceSink, WantedRecords};
+use crate::source::{PendingRecords, SourceSink};
 use crate::status::{self, Readiness};
 use crate::telemetry::{LogLimiter, Metrics};
 
@@ -64,7 +64,7 @@
     /// What peers are told of this instance.
     pub news: watch::Sender<SelfNews>,
     /// States of roll-outs that are to be kept in the platform's store.
-    pub records: watch::Sender<WantedRecords>,
+    pub records: watch::Sender<PendingRecords>,
     /// Turns true once a stopping instance has nothing left to do.
     pub drained: watch::Sender<bool>,
 }
@@ -131,7 +131,7 @@
         &self,
         inputs: &mpsc::Sender<Input>,
         changes: mpsc::Sender<Taken>,
-        records: watch::Receiver<WantedRecords>,
+        records: watch::Receiver<PendingRecords>,
     ) -> SourceSink {
         SourceSink {
             inputs: inputs.clone(),
@@ -275,7 +275,7 @@
             let listener = open(self.settings.instance.metrics, "instance.metrics")?;
             let metrics = Arc::clone(&self.metrics);
             let answer = move |r: Request<Incoming>| {
-                std::future::ready(status::figures(&metrics, r.uri().path()))
+                std::future::ready(status::metrics_response(&metrics, r.uri().path()))
             };
             tokio::spawn(serve(listener, options, stop.clone(), answer));
         }
--- a/crates/firdock-node/src/endpoint.rs
+++ b/crates/firdock-node/src/endpoint.rs
@@ -43,7 +43,7 @@
 use crate::exchange::AnswerHead;
 use crate::http::CallError;
 use crate::ingress::ModelCall;
-use crate::site::Place;
+use crate::site::EndpointLocation;
 use crate::telemetry::TraceContext;
 
 /// Header by which an endpoint tells that it refused a request before doing anything for it.
@@ -58,11 +58,15 @@
 /// Carries dispatches out at endpoints.
 pub trait Backends: Clone + Send + Sync + 'static {
     /// Runs a dispatch to its end; gives a word on how it ended for the trace.
-    fn run(&self, place: Place, run: Run) -> impl Future<Output = &'static str> + Send;
+    fn run(&self, place: EndpointLocation, run: Run) -> impl Future<Output = &'static str> + Send;
 
     /// Tells an endpoint to stop working on a request whose connection was closed.
-    fn cancel(&self, place: Place, id: RequestId, dispatch: u32)
-    -> impl Future<Output = ()> + Send;
+    fn cancel(
+        &self,
+        place: EndpointLocation,
+        id: RequestId,
+        dispatch: u32,
+    ) -> impl Future<Output = ()> + Send;
 }
 
 /// Why an endpoint did not begin an answer.
--- a/crates/firdock-node/src/endpoint/own.rs
+++ b/crates/firdock-node/src/endpoint/own.rs
@@ -6,7 +6,7 @@
 use super::run::Run;
 use super::{Backends, EngineClient, PlainClient, run_engine, run_plain};
 use crate::answer_cache::AnswerCache;
-use crate::site::Place;
+use crate::site::EndpointLocation;
 
 /// Adapters to the far ends, and the store of answers that resends get.
 #[derive(Debug, Clone)]
@@ -29,7 +29,7 @@
 }
 
 impl<E: EngineClient, P: PlainClient> Backends for OwnBackends<E, P> {
-    async fn run(&self, place: Place, run: Run) -> &'static str {
+    async fn run(&self, place: EndpointLocation, run: Run) -> &'static str {
         match place.backend {
             EndpointKind::Engine => run_engine::run(self.engine.clone(), run).await,
             EndpointKind::Plain => {
@@ -38,7 +38,7 @@
         }
     }
 
-    async fn cancel(&self, place: Place, id: RequestId, dispatch: u32) {
+    async fn cancel(&self, place: EndpointLocation, id: RequestId, dispatch: u32) {
         if place.backend == EndpointKind::Engine {
             self.engine.cancel(place.address, id, dispatch).await;
         }
--- a/crates/firdock-node/src/endpoint/relay.rs
+++ b/crates/firdock-node/src/endpoint/relay.rs
@@ -21,7 +21,7 @@
 use self::plain::{keep_failure, pass_plain};
 use self::stream::Stream;
 use super::run::{Run, Stop};
-use super::{Backends, EndpointBody, Framing, HeadNotice, Place, break_cause};
+use super::{Backends, EndpointBody, EndpointLocation, Framing, HeadNotice, break_cause};
 use crate::exchange::{AnswerHead, AnswerPart, Payload};
 use crate::http::{CallError, connect, strip_hop_by_hop};
 use crate::telemetry::LogKind;
@@ -138,7 +138,7 @@
     /// Takes an answer's head: tells the scheduler what it means, or passes the answer on.
     async fn take(
         &self,
-        place: Place,
+        place: EndpointLocation,
         run: &Run,
         mut response: Response<Incoming>,
     ) -> &'static str {
@@ -188,7 +188,7 @@
 }
 
 impl<D: Dialect> Backends for Relay<D> {
-    async fn run(&self, place: Place, run: Run) -> &'static str {
+    async fn run(&self, place: EndpointLocation, run: Run) -> &'static str {
         let limit = run.dispatch.deadline.map_or(NO_DEADLINE, |by| {
             by.saturating_sub(run.clock.now()) + PAST_DEADLINE
         });
@@ -215,7 +215,7 @@
     }
 
     /// Does nothing: endpoints drop a request when its connection closes.
-    async fn cancel(&self, _place: Place, _id: RequestId, _dispatch: u32) {}
+    async fn cancel(&self, _place: EndpointLocation, _id: RequestId, _dispatch: u32) {}
 }
 
 /// Tells the scheduler how the answer ended.
--- a/crates/firdock-node/src/exchange/queue.rs
+++ b/crates/firdock-node/src/exchange/queue.rs
@@ -92,7 +92,7 @@
     /// Lets the caller take what waits though it takes nothing for a while.
     pub(super) fn wait_for_reader(&self) {
         if let Some(caller) = &self.lock().caller {
-            caller.set_patient(true);
+            caller.set_stall_tolerant(true);
         }
     }
 
@@ -245,7 +245,7 @@
         state.stage = Stage::Left;
         state.waiting = WaitingParts::default();
         if let Some(caller) = state.caller.take() {
-            caller.set_patient(false);
+            caller.set_stall_tolerant(false);
         }
         drop(state);
         self.queue.freed.notify_waiters();
--- a/crates/firdock-node/src/http.rs
+++ b/crates/firdock-node/src/http.rs
@@ -11,7 +11,7 @@
 
 pub use caller::CallerHandle;
 pub use client::{CallError, Connection, connect};
-pub use dead_peer::{GIVE_UP_AFTER, bound_silence};
+pub use dead_peer::{DEAD_PEER_TIMEOUT, set_dead_peer_timeouts};
 pub use listener::listen;
 pub use server::{ServerOptions, serve};
 
--- a/crates/firdock-node/src/http/caller.rs
+++ b/crates/firdock-node/src/http/caller.rs
@@ -17,7 +17,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-use super::dead_peer::GIVE_UP_AFTER;
+use super::dead_peer::DEAD_PEER_TIMEOUT;
 
 #[derive(Debug, Default)]
 struct Inner {
@@ -42,7 +42,7 @@
     ///
     /// A caller whose window is full looks like a lost one to the operating system's time limit. It is
     /// waited for once the endpoint is done, when that costs bytes alone.
-    pub fn set_patient(&self, patient: bool) {
+    pub fn set_stall_tolerant(&self, patient: bool) {
         if self.0.patient.swap(patient, Ordering::Relaxed) != patient {
             self.0.woken.notify_one();
         }
@@ -106,7 +106,11 @@
             return Ok(());
         }
         self.patient = patient;
-        let limit = if patient { CALLER_STALL } else { GIVE_UP_AFTER };
+        let limit = if patient {
+            CALLER_STALL
+        } else {
+            DEAD_PEER_TIMEOUT
+        };
         SockRef::from(&self.stream).set_tcp_user_timeout(Some(limit))
     }
 }
--- a/crates/firdock-node/src/http/client.rs
+++ b/crates/firdock-node/src/http/client.rs
@@ -17,7 +17,7 @@
 use tokio::task::AbortHandle;
 use tokio::time::timeout;
 
-use super::dead_peer::bound_silence;
+use super::dead_peer::set_dead_peer_timeouts;
 
 /// Why a call failed.
 #[derive(Debug, Snafu)]
@@ -82,7 +82,7 @@
         Err(_) => return ConnectTimeSnafu { address }.fail(),
     };
     let _ = stream.set_nodelay(true);
-    bound_silence(&stream).context(ConnectSnafu { address })?;
+    set_dead_peer_timeouts(&stream).context(ConnectSnafu { address })?;
     let (sender, pump) = http1::handshake(TokioIo::new(stream))
         .await
         .context(HttpSnafu)?;
--- a/crates/firdock-node/src/http/dead_peer.rs
+++ b/crates/firdock-node/src/http/dead_peer.rs
@@ -20,19 +20,19 @@
 /// Time after which a connection is given up on which nothing that was sent arrives, the same as by
 /// the questions. Callers leave a stream of which they hear nothing for 4.8 s on the sites with the
 /// longest targets, so that one that may be resumed still goes on.
-pub const GIVE_UP_AFTER: Duration = Duration::from_secs(4);
+pub const DEAD_PEER_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Bounds the time for which a connection may be silent though its far end is lost.
 ///
 /// # Errors
 ///
 /// Returns the operating system's error.
-pub fn bound_silence(stream: &TcpStream) -> io::Result<()> {
+pub fn set_dead_peer_timeouts(stream: &TcpStream) -> io::Result<()> {
     let socket = SockRef::from(stream);
     let questions = TcpKeepalive::new()
         .with_time(ASK_AFTER)
         .with_interval(ASK_PAUSE)
         .with_retries(QUESTIONS);
     socket.set_tcp_keepalive(&questions)?;
-    socket.set_tcp_user_timeout(Some(GIVE_UP_AFTER))
+    socket.set_tcp_user_timeout(Some(DEAD_PEER_TIMEOUT))
 }
--- a/crates/firdock-node/src/http/server.rs
+++ b/crates/firdock-node/src/http/server.rs
@@ -15,7 +15,7 @@
 use tokio::sync::{Semaphore, watch};
 
 use super::caller::{CallerHandle, CallerStream};
-use super::dead_peer::bound_silence;
+use super::dead_peer::set_dead_peer_timeouts;
 
 /// Pause after the operating system refused to accept, such as when descriptors ran out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
@@ -100,7 +100,7 @@
     B::Error: std::error::Error + Send + Sync + 'static,
 {
     let _ = stream.set_nodelay(true);
-    if bound_silence(&stream).is_err() {
+    if set_dead_peer_timeouts(&stream).is_err() {
         // The caller has closed it already.
         return;
     }
--- a/crates/firdock-node/src/ingress.rs
+++ b/crates/firdock-node/src/ingress.rs
@@ -17,7 +17,7 @@
 pub use body::AnswerBody;
 pub use handler::{Ingress, IngressLimits};
 pub use interface::{CallBody, IncomingCall, Interface};
-pub use model::{BadCall, ModelCall, Usage};
+pub use model::{ModelCall, ModelCallError, Usage};
 pub use own::OwnInterface;
 pub(crate) use request::new_request;
 pub use state::{IngressPhase, IngressState};
--- a/crates/firdock-node/src/ingress/answer.rs
+++ b/crates/firdock-node/src/ingress/answer.rs
@@ -155,13 +155,13 @@
             let seconds = after.as_secs_f64().ceil() as u64;
             headers.insert(header::RETRY_AFTER, HeaderValue::from(seconds));
         }
-        mark(headers, self.outcome, request);
+        set_outcome_headers(headers, self.outcome, request);
         response
     }
 }
 
 /// Puts the outcome and the request's id on an answer.
-pub(super) fn mark(headers: &mut HeaderMap, outcome: Outcome, request: &str) {
+pub(super) fn set_outcome_headers(headers: &mut HeaderMap, outcome: Outcome, request: &str) {
     headers.insert(OUTCOME_HEADER, HeaderValue::from_static(outcome.as_str()));
     if let Ok(value) = HeaderValue::from_str(request) {
         headers.insert(REQUEST_ID_HEADER, value);
--- a/crates/firdock-node/src/ingress/handler.rs
+++ b/crates/firdock-node/src/ingress/handler.rs
@@ -124,7 +124,7 @@
             self.clock.now(),
         );
         let trace = span.context;
-        let call = self.interface.label(request.headers());
+        let call = self.interface.caller_request_id(request.headers());
         let caller = CallerSide {
             handle: request.extensions().get::<CallerHandle>().cloned(),
             version: request.version(),
@@ -250,8 +250,11 @@
             let close = HeaderValue::from_static("close");
             response.headers_mut().insert(header::CONNECTION, close);
         }
-        self.interface
-            .mark(response.headers_mut(), Outcome::Answered, &id.to_string());
+        self.interface.set_outcome_headers(
+            response.headers_mut(),
+            Outcome::Answered,
+            &id.to_string(),
+        );
         response
     }
 }
--- a/crates/firdock-node/src/ingress/interface.rs
+++ b/crates/firdock-node/src/ingress/interface.rs
@@ -79,11 +79,11 @@
     fn read(&self, call: IncomingCall) -> impl Future<Output = Result<Payload, Problem>> + Send;
 
     /// Gives the id that a caller gave a call, for the logs.
-    fn label(&self, headers: &HeaderMap) -> Option<String>;
+    fn caller_request_id(&self, headers: &HeaderMap) -> Option<String>;
 
     /// Writes an answer of firdock's own.
     fn refuse(&self, problem: &Problem, id: &str) -> Response<AnswerBody>;
 
     /// Puts on an endpoint's answer what firdock adds to it.
-    fn mark(&self, headers: &mut HeaderMap, outcome: Outcome, id: &str);
+    fn set_outcome_headers(&self, headers: &mut HeaderMap, outcome: Outcome, id: &str);
 }
--- a/crates/firdock-node/src/ingress/model.rs
+++ b/crates/firdock-node/src/ingress/model.rs
@@ -16,7 +16,7 @@
 /// What is wrong with a model call.
 #[derive(Debug, Snafu)]
 #[non_exhaustive]
-pub enum BadCall {
+pub enum ModelCallError {
     /// The body is no JSON.
     #[snafu(display("the body is no JSON object"))]
     Json {
@@ -62,7 +62,7 @@
     /// # Errors
     ///
     /// Fails with the field that is missing or of the wrong type.
-    pub fn parse(path: &str, bytes: &Bytes) -> Result<Self, BadCall> {
+    pub fn parse(path: &str, bytes: &Bytes) -> Result<Self, ModelCallError> {
         let body = serde_json::from_slice::<Value>(bytes).context(JsonSnafu)?;
         let expected = "a model name is needed";
         let model = body["model"].as_str().context(FieldSnafu {
@@ -134,7 +134,7 @@
     }
 }
 
-fn prompt_text(body: &Value) -> Result<String, BadCall> {
+fn prompt_text(body: &Value) -> Result<String, ModelCallError> {
     let expected = "a string or a list of one string is needed";
     let prompt = &body["prompt"];
     let single = prompt.as_array().filter(|a| a.len() == 1).map(|a| &a[0]);
@@ -147,7 +147,7 @@
         .to_owned())
 }
 
-fn chat_text(body: &Value) -> Result<String, BadCall> {
+fn chat_text(body: &Value) -> Result<String, ModelCallError> {
     let expected = "a list of messages is needed";
     let messages = body["messages"].as_array();
     let messages = messages.context(FieldSnafu {
@@ -167,7 +167,7 @@
     Ok(text)
 }
 
-fn read_stream(body: &Value) -> Result<bool, BadCall> {
+fn read_stream(body: &Value) -> Result<bool, ModelCallError> {
     match &body["stream"] {
         Value::Null => Ok(false),
         Value::Bool(stream) => Ok(*stream),
@@ -179,7 +179,7 @@
     }
 }
 
-fn read_max_tokens(body: &Value) -> Result<u32, BadCall> {
+fn read_max_tokens(body: &Value) -> Result<u32, ModelCallError> {
     let either = [&body["max_tokens"], &body["max_completion_tokens"]];
     let Some(value) = either.into_iter().find(|v| !v.is_null()) else {
         return Ok(DEFAULT_MAX_TOKENS);
--- a/crates/firdock-node/src/ingress/own.rs
+++ b/crates/firdock-node/src/ingress/own.rs
@@ -5,7 +5,7 @@
 use hyper::header::{self, HeaderName};
 use hyper::{HeaderMap, Response, StatusCode};
 
-use super::answer::{Problem, mark};
+use super::answer::{Problem, set_outcome_headers};
 use super::body::AnswerBody;
 use super::interface::{IncomingCall, Interface};
 use super::key::MAX_KEY_BYTES;
@@ -58,7 +58,7 @@
     }
 
     /// Gives nothing: callers of the own interface learn the id that firdock gave.
-    fn label(&self, _headers: &HeaderMap) -> Option<String> {
+    fn caller_request_id(&self, _headers: &HeaderMap) -> Option<String> {
         None
     }
 
@@ -66,8 +66,8 @@
         problem.response(id)
     }
 
-    fn mark(&self, headers: &mut HeaderMap, outcome: Outcome, id: &str) {
-        mark(headers, outcome, id);
+    fn set_outcome_headers(&self, headers: &mut HeaderMap, outcome: Outcome, id: &str) {
+        set_outcome_headers(headers, outcome, id);
     }
 }
 
--- a/crates/firdock-node/src/input.rs
+++ b/crates/firdock-node/src/input.rs
@@ -12,7 +12,7 @@
 use crate::telemetry::LogKind;
 
 /// Inputs that may wait for the scheduler.
-pub const INPUTS_WAITING: usize = 4_096;
+pub const INPUT_QUEUE_CAPACITY: usize = 4_096;
 
 /// Something for the scheduler.
 #[derive(Debug)]
--- a/crates/firdock-node/src/instance.rs
+++ b/crates/firdock-node/src/instance.rs
@@ -22,9 +22,9 @@
 use self::start::spawn_driver;
 use crate::config::Hub;
 use crate::http::{ServerOptions, serve};
-use crate::input::{INPUTS_WAITING, Input};
+use crate::input::{INPUT_QUEUE_CAPACITY, Input};
 use crate::peer::{PeerServer, SelfNews, beat, serve_peers};
-use crate::telemetry::silent;
+use crate::telemetry::discard_logger;
 
 /// Time in which the balancer notices that a stopping instance is not ready any more.
 const BALANCER_TIME: Duration = Duration::from_millis(1_500);
@@ -65,7 +65,7 @@
     pub fn new(settings: Settings) -> Self {
         Self {
             settings,
-            log: silent(),
+            log: discard_logger(),
         }
     }
 
@@ -91,7 +91,7 @@
             .unwrap_or_else(|_| zero_address());
         let peers = peer_socket.local_addr().unwrap_or_else(|_| zero_address());
 
-        let (inputs, waiting) = mpsc::channel(INPUTS_WAITING);
+        let (inputs, waiting) = mpsc::channel(INPUT_QUEUE_CAPACITY);
         let (stop_ingress, ingress_stops) = watch::channel(false);
         let (stop_rest, rest_stops) = watch::channel(false);
         let (drained, drain_seen) = watch::channel(false);
--- a/crates/firdock-node/src/instance/parts.rs
+++ b/crates/firdock-node/src/instance/parts.rs
@@ -30,7 +30,7 @@
 use crate::peer::{Dialer, SelfNews, ask_for_state};
 use crate::platform::{HttpInstances, HttpLog};
 use crate::site::Site;
-use crate::source::WantedRecords;
+use crate::source::PendingRecords;
 use crate::telemetry::{LogLimiter, Metrics};
 
 /// Pause between two looks at which endpoints there are.
@@ -124,7 +124,7 @@
             inputs: inputs.clone(),
             news,
             // Orders come from a platform's source, which keeps their state.
-            records: watch::channel(WantedRecords::default()).0,
+            records: watch::channel(PendingRecords::default()).0,
             drained,
         };
         Driver::new(Scheduler::new(settings), parts)
@@ -215,7 +215,7 @@
         let mut tasks = HashMap::new();
         loop {
             let view = self.site.view();
-            let places: HashMap<_, _> = view.places().collect();
+            let places: HashMap<_, _> = view.locations().collect();
             tasks.retain(|name: &String, (address, task)| {
                 let keep = places.get(name).is_some_and(|p| p.address == *address);
                 if !keep {
@@ -223,14 +223,14 @@
                 }
                 keep
             });
-            for (name, place) in places {
+            for (name, location) in places {
                 tasks.entry(name.clone()).or_insert_with(|| {
                     let target = Target {
                         name: name.clone(),
-                        address: place.address,
+                        address: location.address,
                     };
                     let watching = watch_reports(self.engine, target, pause, limit, inputs.clone());
-                    (place.address, tokio::spawn(watching))
+                    (location.address, tokio::spawn(watching))
                 });
             }
             let stopped = timeout(ENDPOINTS_PAUSE, stop.wait_for(|s| *s)).await;
--- a/crates/firdock-node/src/site.rs
+++ b/crates/firdock-node/src/site.rs
@@ -18,7 +18,7 @@
 
 /// Where an endpoint is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Place {
+pub struct EndpointLocation {
     /// Address.
     pub address: SocketAddr,
     /// Engine or plain server.
@@ -32,7 +32,7 @@
 pub struct SiteView {
     accounts: HashMap<[u8; INDEX_BYTES], Vec<(KeyHash, AccountId)>>,
     services: Vec<Service>,
-    places: HashMap<EndpointId, Place>,
+    locations: HashMap<EndpointId, EndpointLocation>,
 }
 
 impl SiteView {
@@ -52,9 +52,9 @@
         }
         for e in &catalog.endpoints {
             if let Some(address) = e.address {
-                view.places.insert(
+                view.locations.insert(
                     e.name.clone(),
-                    Place {
+                    EndpointLocation {
                         address,
                         backend: e.backend,
                         event_tokens: e.event_tokens,
@@ -109,13 +109,15 @@
 
     /// Finds an endpoint's place.
     #[must_use]
-    pub fn place(&self, endpoint: &str) -> Option<Place> {
-        self.places.get(endpoint).copied()
+    pub fn location(&self, endpoint: &str) -> Option<EndpointLocation> {
+        self.locations.get(endpoint).copied()
     }
 
     /// Goes over all endpoints' places.
-    pub fn places(&self) -> impl Iterator<Item = (&EndpointId, Place)> {
-        self.places.iter().map(|(name, place)| (name, *place))
+    pub fn locations(&self) -> impl Iterator<Item = (&EndpointId, EndpointLocation)> {
+        self.locations
+            .iter()
+            .map(|(name, location)| (name, *location))
     }
 }
 
--- a/crates/firdock-node/src/source.rs
+++ b/crates/firdock-node/src/source.rs
@@ -49,13 +49,13 @@
 /// What is to be kept in the platform's store: states of roll-outs, the newest of each pool, and requests
 /// in quarantine.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct WantedRecords {
+pub struct PendingRecords {
     by_pool: BTreeMap<PoolId, RolloutRecord>,
     quarantined: BTreeMap<ContentId, (Time, ToldSuspect)>,
     released: BTreeSet<ContentId>,
 }
 
-impl WantedRecords {
+impl PendingRecords {
     /// Adds a state, in place of an earlier one of its pool.
     pub fn add(&mut self, record: RolloutRecord) {
         self.by_pool.insert(record.pool.clone(), record);
@@ -92,7 +92,7 @@
 /// Takes what a source reads.
 #[derive(Debug, Clone)]
 pub struct SourceSink {
-    pub(crate) records: watch::Receiver<WantedRecords>,
+    pub(crate) records: watch::Receiver<PendingRecords>,
     pub(crate) inputs: mpsc::Sender<Input>,
     pub(crate) peers: Arc<PeerBook>,
     pub(crate) reads: Arc<SharedReads>,
@@ -148,7 +148,7 @@
     }
 
     /// Counts a call to the store, and writes a line about it.
-    pub fn note_call(&self, call: StoreCall) {
+    pub fn record_store_call(&self, call: StoreCall) {
         self.metrics.count_store_call(call);
         if self
             .log_limiter
@@ -161,7 +161,7 @@
 
     /// Counts an entry of an endpoint that names none to use; tells whether a line may be written of it.
     #[must_use]
-    pub fn note_refused_entry(&self) -> bool {
+    pub fn record_refused_entry(&self) -> bool {
         self.metrics.count_refused_entry();
         self.log_limiter
             .allow(&self.log, self.clock.now(), LogKind::RefusedEntry)
@@ -216,7 +216,7 @@
 
     /// Gives the states of roll-outs that are to be kept, as they change.
     #[must_use]
-    pub fn records(&self) -> watch::Receiver<WantedRecords> {
+    pub fn records(&self) -> watch::Receiver<PendingRecords> {
         self.records.clone()
     }
 
@@ -255,7 +255,7 @@
     }
 
     /// Tells of another instance and where it takes heartbeats.
-    pub fn know_peer(&self, peer: KnownPeer) {
+    pub fn add_peer(&self, peer: KnownPeer) {
         self.peers.know_listed(peer, self.clock.now());
     }
 
@@ -266,7 +266,7 @@
 
     /// Tells whether a peer told that this instance is listed at an address.
     #[must_use]
-    pub fn tells_of_me(&self, address: SocketAddr) -> bool {
+    pub fn peers_list_address(&self, address: SocketAddr) -> bool {
         self.peers.own_listed() == Some(address)
     }
 
--- a/crates/firdock-node/src/status.rs
+++ b/crates/firdock-node/src/status.rs
@@ -58,7 +58,7 @@
 /// Answers whoever looks at an instance from outside: its endpoints, the
 /// requests under which endpoints ended, or its metrics on any other path.
 #[must_use]
-pub fn figures(metrics: &Metrics, path: &str) -> Response<Full<Bytes>> {
+pub fn metrics_response(metrics: &Metrics, path: &str) -> Response<Full<Bytes>> {
     match path {
         ENDPOINTS_PATH => return list(&metrics.endpoints().get()),
         SUSPECTS_PATH => return list(&*metrics.suspects().get()),
--- a/crates/firdock-node/src/telemetry.rs
+++ b/crates/firdock-node/src/telemetry.rs
@@ -17,7 +17,7 @@
 pub use answer_metrics::AnswerMetrics;
 pub use decisions::DecisionLog;
 pub use endpoints::EndpointList;
-pub use log::{Level, LogGuard, logger, silent};
+pub use log::{Level, LogGuard, discard_logger, logger};
 pub use log_limiter::{LogKind, LogLimiter};
 pub use metrics::Metrics;
 pub use rollouts::RolloutLog;
--- a/crates/firdock-node/src/telemetry/log.rs
+++ b/crates/firdock-node/src/telemetry/log.rs
@@ -56,6 +56,6 @@
 }
 
 /// Makes a logger that drops everything, for tests and measurements.
-pub fn silent() -> Logger {
+pub fn discard_logger() -> Logger {
     Logger::root(slog::Discard, o!())
 }
--- a/crates/firdock-node/tests/node/party.rs
+++ b/crates/firdock-node/tests/node/party.rs
@@ -6,7 +6,7 @@
 
 use firdock_node::clock::Clock;
 use firdock_node::peer::{Beacons, PeerBook, SelfNews, SharedReads};
-use firdock_node::telemetry::silent;
+use firdock_node::telemetry::discard_logger;
 use firdock_policy::event::Member;
 use tokio::net::UdpSocket;
 use tokio::sync::{mpsc, watch};
@@ -49,7 +49,7 @@
             pause: Duration::from_millis(20),
             link: 0.0,
             clock,
-            log: silent(),
+            log: discard_logger(),
         };
         Self {
             beacons,
--- a/crates/firdock-node/tests/node/placement.rs
+++ b/crates/firdock-node/tests/node/placement.rs
@@ -11,7 +11,7 @@
     Coordinator, Course, Membership, News, Noticed, Paced, Report, Wanted, read_reply, read_report,
     write_reply, write_report,
 };
-use firdock_node::telemetry::silent;
+use firdock_node::telemetry::discard_logger;
 use firdock_policy::event::Member;
 use firdock_policy::load::Pace;
 use firdock_policy::notice::Notice;
@@ -304,7 +304,7 @@
             incarnation: Uuid::from_u128(2),
         };
         let zone = "zone".to_owned();
-        let member = Membership::new(me, zone, Arc::clone(&book), silent());
+        let member = Membership::new(me, zone, Arc::clone(&book), discard_logger());
         let mut asking = Self {
             member,
             scheduler: Scheduler::new(policy()),
--- a/crates/firdock-node/tests/node/seen.rs
+++ b/crates/firdock-node/tests/node/seen.rs
@@ -7,7 +7,7 @@
 use firdock_core::resource::{Catalog, Endpoint, Resource};
 use firdock_core::settings::Settings;
 use firdock_node::telemetry::change_tracker::{Change, ChangeTracker};
-use firdock_node::telemetry::{EndpointList, StateChangeLog, silent};
+use firdock_node::telemetry::{EndpointList, StateChangeLog, discard_logger};
 use firdock_policy::{Event, Policy as _, PolicySettings, Scheduler};
 use uuid::Uuid;
 
@@ -59,7 +59,7 @@
 fn an_endpoint_that_moves_to_another_pool_is_listed_there() {
     let now = Duration::from_secs(100);
     let list = EndpointList::default();
-    let mut state_changes = StateChangeLog::new(silent(), Arc::default(), list.clone());
+    let mut state_changes = StateChangeLog::new(discard_logger(), Arc::default(), list.clone());
     let mut s = Scheduler::new(PolicySettings::new(&Settings::default(), Uuid::nil()));
     for pool in ["one", "other"] {
         let endpoint = Resource::Endpoint(Endpoint {
