--- a/crates/firdock-standin/src/cmd/rollouts.rs
+++ b/crates/firdock-standin/src/cmd/rollouts.rs
@@ -5,7 +5,7 @@
 
 use clap::{Arg, ArgMatches, Command, value_parser};
 use firdock_core::settings::Rollouts;
-use firdock_standin::rollouts::{Allowance, Badness, Case, Outcome, Steps, Way, run};
+use firdock_standin::rollouts::{Allowance, Badness, Case, Outcome, RolloutStrategy, Steps, run};
 use rand::SeedableRng as _;
 use rand::rngs::SmallRng;
 
@@ -53,11 +53,17 @@
     ExitCode::SUCCESS
 }
 
-fn print(rate: f64, endpoints: usize, badness: Badness, way: &impl Way, seeds: u64) {
+fn print(
+    rate: f64,
+    endpoints: usize,
+    badness: Badness,
+    strategy: &impl RolloutStrategy,
+    seeds: u64,
+) {
     let play = |seed: u64| {
         let mut rng = SmallRng::seed_from_u64(seed);
         let case = Case::draw(badness, rate, endpoints, &mut rng);
-        run(&case, way, BOUNDS, seed)
+        run(&case, strategy, BOUNDS, seed)
     };
     let outcomes: Vec<Outcome> = (0..seeds).map(play).collect();
     let part = |o: &Outcome| o.exposed as f64 / o.sent.max(1) as f64;
@@ -74,7 +80,7 @@
     println!(
         "{rate:>5.0}/s {endpoints:>3} {:12} {:10} {mean:>13.3} {most:>6.3} {:>11.1} {:>9.1} {:>14.1}  {:>14} {}",
         badness.name(),
-        way.name(),
+        strategy.name(),
         percent(outcomes.iter().filter(over).count()),
         percent(outcomes.iter().filter(|o| o.halted.is_some()).count()),
         percent(outcomes.iter().filter(|o| o.moved.is_some()).count()),
--- a/crates/firdock-standin/src/rollouts.rs
+++ b/crates/firdock-standin/src/rollouts.rs
@@ -6,8 +6,8 @@
 
 mod case;
 mod run;
-mod way;
+mod strategy;
 
 pub use case::{Badness, Case};
 pub use run::{Outcome, run};
-pub use way::{Allowance, Decision, Steps, Way};
+pub use strategy::{Allowance, Decision, RolloutStrategy, Steps};
--- a/crates/firdock-standin/src/rollouts/run.rs
+++ b/crates/firdock-standin/src/rollouts/run.rs
@@ -10,7 +10,7 @@
 use rand::{Rng as _, SeedableRng as _};
 
 use super::case::{Badness, Case};
-use super::way::{Decision, Way};
+use super::strategy::{Decision, RolloutStrategy};
 
 /// Time between two steps of the model.
 const STEP: Duration = Duration::from_millis(50);
@@ -151,7 +151,7 @@
 }
 
 /// Plays a drawn roll-out, decided in one way.
-pub fn run(case: &Case, way: &impl Way, bounds: Rollouts, seed: u64) -> Outcome {
+pub fn run(case: &Case, way: &impl RolloutStrategy, bounds: Rollouts, seed: u64) -> Outcome {
     let mut model = Model::new(case, seed);
     let mut outcome = Outcome::default();
     let mut told: VecDeque<(Duration, Evidence)> = VecDeque::new();
--- a/crates/firdock-standin/src/rollouts/way.rs
+++ b/crates/firdock-standin/src/rollouts/strategy.rs
@@ -17,7 +17,7 @@
 }
 
 /// A way to decide.
-pub trait Way {
+pub trait RolloutStrategy {
     /// Gives the name.
     fn name(&self) -> &'static str;
 
@@ -38,7 +38,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Allowance;
 
-impl Way for Allowance {
+impl RolloutStrategy for Allowance {
     fn name(&self) -> &'static str {
         "allowance"
     }
@@ -77,7 +77,7 @@
 /// Band of answers that took four times as long as expected, and beyond.
 const SLOW_BAND: usize = BANDS / 2;
 
-impl Way for Steps {
+impl RolloutStrategy for Steps {
     fn name(&self) -> &'static str {
         "steps"
     }
--- a/crates/firdock-wire/benches/codec.rs
+++ b/crates/firdock-wire/benches/codec.rs
@@ -29,7 +29,7 @@
     })
 }
 
-fn both_ways(codec: &mut FrameCodec, body: &Body) -> usize {
+fn round_trip(codec: &mut FrameCodec, body: &Body) -> usize {
     let mut bytes = BytesMut::new();
     if codec.encode(body.clone(), &mut bytes).is_err() {
         return 0;
@@ -49,8 +49,8 @@
         ("heartbeat_11_services", heartbeat(11)),
         ("hand_over_100_kib", large),
     ] {
-        println!("{name}: {} bytes", both_ways(&mut codec, &body));
-        c.bench_function(name, |b| b.iter(|| both_ways(&mut codec, &body)));
+        println!("{name}: {} bytes", round_trip(&mut codec, &body));
+        c.bench_function(name, |b| b.iter(|| round_trip(&mut codec, &body)));
     }
 }
 
