--- a/crates/firdock-node/src/telemetry/metrics.rs
+++ b/crates/firdock-node/src/telemetry/metrics.rs
@@ -83,7 +83,7 @@
     held_time: Histogram,
     total: Histogram,
     store_calls: Family<ByCall, Counter>,
-    answer_metrics: AnswerMetrics,
+    buffered_answers: AnswerMetrics,
     endpoints: EndpointList,
     suspects: SuspectList,
 }
@@ -138,7 +138,7 @@
             held_time: latency(),
             total: latency(),
             store_calls: Family::default(),
-            answer_metrics: AnswerMetrics::default(),
+            buffered_answers: AnswerMetrics::default(),
             endpoints: EndpointList::default(),
             suspects: SuspectList::default(),
         };
@@ -149,7 +149,7 @@
     /// Gives the metrics of answers that wait for their callers.
     #[must_use]
     pub fn answer_metrics(&self) -> AnswerMetrics {
-        self.answer_metrics.clone()
+        self.buffered_answers.clone()
     }
 
     /// Gives the list of what is believed of endpoints.
--- a/crates/firdock-node/src/telemetry/metrics/register.rs
+++ b/crates/firdock-node/src/telemetry/metrics/register.rs
@@ -82,7 +82,7 @@
             "Calls to the platform's store, by what they were for",
             self.store_calls.clone(),
         );
-        self.answer_metrics.register(&mut r);
+        self.buffered_answers.register(&mut r);
         r.register(
             "decision_seconds",
             "Time of one decision",
