--- a/crates/firdock-node/src/driver.rs
+++ b/crates/firdock-node/src/driver.rs
@@ -216,7 +216,9 @@
             Event::LivenessChecked(look) => self
                 .decisions
                 .liveness_checked(self.parts.clock.now(), look),
-            Event::NoticeReported(told) => self.decisions.endpoint_notice(self.parts.clock.now(), told),
+            Event::NoticeReported(told) => {
+                self.decisions.endpoint_notice(self.parts.clock.now(), told)
+            }
             _ => {}
         }
         self.apply(event);
--- a/crates/firdock-node/src/endpoint.rs
+++ b/crates/firdock-node/src/endpoint.rs
@@ -60,7 +60,11 @@
 /// Carries dispatches out at endpoints.
 pub trait Dispatcher: Clone + Send + Sync + 'static {
     /// Runs a dispatch to its end; gives a word on how it ended for the trace.
-    fn run(&self, place: EndpointLocation, run: DispatchRun) -> impl Future<Output = &'static str> + Send;
+    fn run(
+        &self,
+        place: EndpointLocation,
+        run: DispatchRun,
+    ) -> impl Future<Output = &'static str> + Send;
 
     /// Tells an endpoint to stop working on a request whose connection was closed.
     fn cancel(
--- a/crates/firdock-node/src/endpoint/run_plain.rs
+++ b/crates/firdock-node/src/endpoint/run_plain.rs
@@ -10,7 +10,11 @@
 use crate::exchange::AnswerPart;
 
 /// Runs a dispatch to a plain server; gives a word on how it ended for the trace.
-pub async fn run<P: PlainClient>(plain: P, run: DispatchRun, answer_cache: AnswerCache) -> &'static str {
+pub async fn run<P: PlainClient>(
+    plain: P,
+    run: DispatchRun,
+    answer_cache: AnswerCache,
+) -> &'static str {
     if let Some(word) = run.stopped_before_write().await {
         return word;
     }
--- a/crates/firdock-node/src/exchange/budget.rs
+++ b/crates/firdock-node/src/exchange/budget.rs
@@ -197,7 +197,9 @@
 
     pub(super) fn take(&self, bytes: usize) {
         let mut state = self.inner.lock();
-        state.buffers.consume(self.inner.clock.now(), self.id, bytes);
+        state
+            .buffers
+            .consume(self.inner.clock.now(), self.id, bytes);
     }
 
     pub(super) fn mark_complete(&self) {
