--- a/crates/firdock-node/src/driver.rs
+++ b/crates/firdock-node/src/driver.rs
@@ -217,7 +217,7 @@
                 .decisions
                 .liveness_checked(self.parts.clock.now(), look),
             Event::NoticeReported(told) => {
-                self.decisions.endpoint_notice(self.parts.clock.now(), told)
+                self.decisions.endpoint_notice(self.parts.clock.now(), told);
             }
             _ => {}
         }
@@ -372,7 +372,7 @@
             }
             Action::CheckLiveness { endpoint, start } => self.check_liveness(&endpoint, start),
             Action::Withhold { id, dispatch } => {
-                self.tell_dispatch(id, dispatch, EndpointChange::Closed)
+                self.tell_dispatch(id, dispatch, EndpointChange::Closed);
             }
             Action::Ask { id } => self.ask_placement(id),
             Action::Decline(grant) => self.decline_placement(&grant),
--- a/crates/firdock-policy/src/scheduler.rs
+++ b/crates/firdock-policy/src/scheduler.rs
@@ -73,7 +73,7 @@
             Event::GroupWork(group) => t.reported_work.update(now, group.zone, group.work),
             Event::Reach(count) => t.reachable = Some(ReachableInstances { at: now, count }),
             Event::ConfigConfirmed(at) => {
-                t.config_confirmed_at = t.config_confirmed_at.max(Some(at))
+                t.config_confirmed_at = t.config_confirmed_at.max(Some(at));
             }
             Event::Coordinated(answers) => coordinate::set_coordinated(t, now, answers),
             Event::Granted(grant) => coordinate::apply_grant(t, now, &grant, out),
