--- a/crates/firdock-node/src/endpoint/run.rs
+++ b/crates/firdock-node/src/endpoint/run.rs
@@ -152,7 +152,7 @@
     ///
     /// # Errors
     ///
-    /// Fails with [`Stop::Caller`].
+    /// Fails with [`DispatchError::CallerGone`].
     pub async fn pass(&self, part: AnswerPart) -> Result<(), DispatchError> {
         let sending = timeout(self.limits.caller_stall, self.exchange.reply.send(part)).await;
         match sending {
