--- a/crates/firdock-policy/src/system/place.rs
+++ b/crates/firdock-policy/src/system/place.rs
@@ -1,8 +1,8 @@
 //! Placement: held requests go to endpoints that have room, higher tiers first.
 
 mod choice;
+mod fair_order;
 mod lane;
-mod shared;
 
 use firdock_core::resource::Tier;
 use firdock_core::{Reason, RequestId, TierRank};
@@ -30,7 +30,7 @@
             continue;
         }
         if t.settings.account_shares.is_on() {
-            shared::run(t, now, rank, out);
+            fair_order::run(t, now, rank, out);
         } else {
             run_tier(t, now, rank, out);
         }
