--- a/crates/firdock-policy/src/system/admit.rs
+++ b/crates/firdock-policy/src/system/admit.rs
@@ -17,7 +17,7 @@
 /// Takes a request that arrived.
 pub fn admit_request(t: &mut Tables, now: Time, new: NewRequest, out: &mut Vec<Action>) {
     let Some((service, account)) = in_force(t, &new) else {
-        reject(t, &new, undeclared(&new), out);
+        reject(t, &new, undeclared_verdict(&new), out);
         return;
     };
     let unserved = t.services.get(service).endpoints.is_empty();
@@ -75,7 +75,7 @@
 /// Gives the answer to a request whose service or account is not in force here.
 ///
 /// Its key may have run while the service was in force, or runs at an instance where it still is.
-fn undeclared(new: &NewRequest) -> Verdict {
+fn undeclared_verdict(new: &NewRequest) -> Verdict {
     no_endpoint(if new.key.is_some() {
         Outcome::Unknown
     } else {
@@ -94,7 +94,7 @@
 /// Answers a request that never entered the tables.
 fn reject(t: &mut Tables, new: &NewRequest, verdict: Verdict, out: &mut Vec<Action>) {
     lifecycle::count_verdict(t, verdict);
-    out.push(lifecycle::final_word(new, verdict, Vec::new()));
+    out.push(lifecycle::final_answer(new, verdict, Vec::new()));
 }
 
 /// Puts a request into the tables, as held.
--- a/crates/firdock-policy/src/system/config.rs
+++ b/crates/firdock-policy/src/system/config.rs
@@ -55,7 +55,7 @@
         row.absent_since = None;
         row.declared = declared.clone();
     }
-    suspect::entries_gone(t, now, out);
+    suspect::record_removed_entries(t, now, out);
 }
 
 fn apply_services(t: &mut Tables, catalog: &Catalog) {
--- a/crates/firdock-policy/src/system/coordinate.rs
+++ b/crates/firdock-policy/src/system/coordinate.rs
@@ -37,7 +37,8 @@
     }
     let open =
         |r: &RequestRow| r.phase == Phase::Held && r.placement == PlacementState::NotRequested;
-    let new = |r: &&RequestRow| open(r) && waits(t, r) && suspect::gate(t, r) != Gate::Busy;
+    let new =
+        |r: &&RequestRow| open(r) && waits(t, r) && suspect::gate(t, r) != Gate::DuplicateRunning;
     let ids: Vec<RequestId> = t.requests.iter().filter(new).map(|r| r.new.id).collect();
     for id in ids {
         if let Some(row) = t.requests.get_mut(id) {
@@ -69,7 +70,7 @@
         return;
     }
     let usable = endpoint.filter(|at| may_use(t, now, row, *at));
-    let busy = suspect::gate(t, row) == Gate::Busy;
+    let busy = suspect::gate(t, row) == Gate::DuplicateRunning;
     if let Some(at) = usable.filter(|_| row.phase == Phase::Held && !busy) {
         if place::may_send(t, now, grant.id, out) {
             place::send_to(t, now, grant.id, (at, grant.predicted), out);
@@ -89,7 +90,7 @@
     let at = t.endpoints.find_start(&grant.endpoint);
     let closed = at.and_then(|at| t.endpoints.get(at).check_available("", now).err());
     let row = t.requests.get(grant.id);
-    let busy = row.is_some_and(|row| suspect::gate(t, row) == Gate::Busy);
+    let busy = row.is_some_and(|row| suspect::gate(t, row) == Gate::DuplicateRunning);
     let Some(row) = t.requests.get_mut(grant.id) else {
         return;
     };
@@ -129,7 +130,7 @@
     let service = row.service;
     let outcome = row.outcome_unanswered();
     lifecycle::count_shed(t, service);
-    lifecycle::answer(t, now, id, Verdict { outcome, ..verdict }, out);
+    lifecycle::finish_with_verdict(t, now, id, Verdict { outcome, ..verdict }, out);
 }
 
 /// Takes a request into a coordinator's tables that a member already runs.
--- a/crates/firdock-policy/src/system/dispatch_updates.rs
+++ b/crates/firdock-policy/src/system/dispatch_updates.rs
@@ -64,7 +64,7 @@
     }
     if t.settings.coordinates && matches!(row.phase, Phase::Dispatching(_)) {
         // The member gave the place back, or its request was never sent.
-        fair_share::take_back(t, now, id);
+        fair_share::refund(t, now, id);
     }
     lifecycle::count_waste(t, id, WasteCause::CallerLeft);
     let row = t.requests.get(id);
@@ -84,13 +84,13 @@
     if unreachable {
         health::eject(t, now, at);
     }
-    fair_share::take_back(t, now, id);
+    fair_share::refund(t, now, id);
     if t.settings.coordinates {
         lifecycle::finish(t, now, id, Outcome::NotRun);
         return;
     }
     lifecycle::set_phase(t, id, Phase::Held, true);
-    take_back_run(t, id);
+    uncount_run(t, id);
     if unreachable {
         return;
     }
@@ -108,7 +108,7 @@
 }
 
 /// Notes that the last dispatch ran nowhere.
-fn take_back_run(t: &mut Tables, id: RequestId) {
+fn uncount_run(t: &mut Tables, id: RequestId) {
     if let Some(row) = t.requests.get_mut(id) {
         row.runs -= 1;
     }
@@ -118,19 +118,19 @@
     withheld(t, now, id);
     let keyed = t.requests.get(id).is_some_and(|r| r.new.key.is_some());
     if keyed {
-        lifecycle::answer(t, now, id, key::unconfirmed_verdict(), out);
+        lifecycle::finish_with_verdict(t, now, id, key::unconfirmed_verdict(), out);
     }
 }
 
 /// Takes a request back of which nothing was sent: the endpoint may still get it, once it may be sent.
 fn withheld(t: &mut Tables, now: Time, id: RequestId) {
-    fair_share::take_back(t, now, id);
+    fair_share::refund(t, now, id);
     if t.settings.coordinates {
         lifecycle::finish(t, now, id, Outcome::NotRun);
         return;
     }
     lifecycle::set_phase(t, id, Phase::Held, true);
-    take_back_run(t, id);
+    uncount_run(t, id);
     if let Some(row) = t.requests.get_mut(id) {
         row.tried.pop();
     }
@@ -227,9 +227,9 @@
         t.services.get_mut(service).learn_output(output);
         fair_share::settle(t, now, id, output);
     }
-    lifecycle::answered(t, now, id);
+    lifecycle::complete(t, now, id);
     if let Some(content) = content {
-        suspect::answered(t, now, content);
+        suspect::record_answer(t, now, content);
     }
 }
 
@@ -262,12 +262,12 @@
 ) {
     lifecycle::count_waste(t, id, WasteCause::EndpointLost);
     rollout::lost(t, id, at);
-    if !backs_off(t, now, id, at) {
+    if !is_backing_off(t, now, id, at) {
         health::record_broken_dispatch(t, now, at);
     }
     // By what was held against it before: one end is no reason yet to give a caller up.
-    let goes_on = may_go_on(t, id, at);
-    suspect::broke(t, now, id, at, out);
+    let goes_on = may_retry(t, id, at);
+    suspect::record_broken_run(t, now, id, at, out);
     if t.settings.coordinates {
         lifecycle::finish(t, now, id, Outcome::Unknown);
         return;
@@ -292,12 +292,12 @@
         reason,
         retry_after,
     };
-    lifecycle::answer(t, now, id, verdict, out);
+    lifecycle::finish_with_verdict(t, now, id, verdict, out);
 }
 
 /// Tells whether the endpoint wants no request now from the instance that sent it one: what breaks
 /// meanwhile is no failure of it, and nothing would be spared by an ejection.
-fn backs_off(t: &Tables, now: Time, id: RequestId, at: usize) -> bool {
+fn is_backing_off(t: &Tables, now: Time, id: RequestId, at: usize) -> bool {
     let Some(row) = t.requests.get(id) else {
         return false;
     };
@@ -306,7 +306,7 @@
 }
 
 /// Tells whether a broken request may run on a second endpoint.
-fn may_go_on(t: &Tables, id: RequestId, at: usize) -> bool {
+fn may_retry(t: &Tables, id: RequestId, at: usize) -> bool {
     let Some(row) = t.requests.get(id) else {
         return false;
     };
--- a/crates/firdock-policy/src/system/fair_share.rs
+++ b/crates/firdock-policy/src/system/fair_share.rs
@@ -122,7 +122,7 @@
 }
 
 /// Takes back the work of a dispatch that ran nowhere.
-pub fn take_back(t: &mut Tables, now: Time, id: RequestId) {
+pub fn refund(t: &mut Tables, now: Time, id: RequestId) {
     let charged = t.requests.get(id).map_or(0.0, |r| r.charged_work);
     if charged > 0.0 {
         book(t, now, id, -charged);
@@ -152,7 +152,7 @@
 }
 
 fn work_of(t: &Tables, row: &RequestRow, output: f64) -> f64 {
-    let endpoint = place::takers(t, row).next();
+    let endpoint = place::eligible_endpoints(t, row).next();
     endpoint.map_or(0.0, |e| cost::declared_secs(row, e, output))
 }
 
--- a/crates/firdock-policy/src/system/handover.rs
+++ b/crates/firdock-policy/src/system/handover.rs
@@ -143,7 +143,7 @@
         HandOverEvent::Ended(id) => ended(t, now, *id),
         HandOverEvent::Unknown(id, verdict) => {
             if handed_to(t, *id).is_some() {
-                lifecycle::answer(t, now, *id, *verdict, out);
+                lifecycle::finish_with_verdict(t, now, *id, *verdict, out);
             }
         }
         HandOverEvent::Broke(id) => broke(t, now, *id, out),
@@ -193,12 +193,12 @@
         let service = row.service;
         lifecycle::count_shed(t, service);
     }
-    lifecycle::answer(t, now, id, verdict, out);
+    lifecycle::finish_with_verdict(t, now, id, verdict, out);
 }
 
 fn ended(t: &mut Tables, now: Time, id: RequestId) {
     if handed_to(t, id).is_some() {
-        lifecycle::answered(t, now, id);
+        lifecycle::complete(t, now, id);
     }
 }
 
@@ -216,7 +216,7 @@
         reason,
         retry_after: None,
     };
-    lifecycle::answer(t, now, id, verdict, out);
+    lifecycle::finish_with_verdict(t, now, id, verdict, out);
 }
 
 /// Ends hand-overs to peers that fell silent: a cut link may not show for many minutes.
--- a/crates/firdock-policy/src/system/lifecycle.rs
+++ b/crates/firdock-policy/src/system/lifecycle.rs
@@ -18,7 +18,7 @@
 /// Shortest and longest time after which callers are told to come back.
 ///
 /// Sooner than a second, the load that kept a request out is still there.
-const RETRY_TIMES: (Duration, Duration) = (Duration::from_secs(1), Duration::from_mins(1));
+const RETRY_AFTER_RANGE: (Duration, Duration) = (Duration::from_secs(1), Duration::from_mins(1));
 
 /// Moves a request to another phase and keeps every count in step.
 pub fn set_phase(t: &mut Tables, id: RequestId, phase: Phase, front: bool) {
@@ -42,12 +42,12 @@
             row.placement = PlacementState::NotRequested;
         }
     }
-    leave_place(t, id, old, phase);
+    release_place(t, id, old, phase);
     t.requests.set_phase(id, phase);
 }
 
 /// Takes the request off the endpoint or peer that it leaves.
-fn leave_place(t: &mut Tables, id: RequestId, old: Phase, new: Phase) {
+fn release_place(t: &mut Tables, id: RequestId, old: Phase, new: Phase) {
     match (old, new) {
         (Phase::Dispatching(a), Phase::Running(b)) if a == b => {}
         (Phase::Dispatching(e) | Phase::Running(e), _) => {
@@ -79,7 +79,7 @@
         t.services.get_mut(service).queue.remove(account, id);
         t.accounts.get_mut(account).held -= 1;
     } else {
-        leave_place(t, id, phase, Phase::Held);
+        release_place(t, id, phase, Phase::Held);
     }
     let row = t.requests.remove(id)?;
     attempts::count(t, now, &row, outcome);
@@ -97,7 +97,7 @@
 }
 
 /// Ends a request whose whole answer was passed on, and counts whether it began in time.
-pub fn answered(t: &mut Tables, now: Time, id: RequestId) {
+pub fn complete(t: &mut Tables, now: Time, id: RequestId) {
     let Some(row) = t.requests.get(id) else {
         return;
     };
@@ -121,7 +121,13 @@
 /// # Panics
 ///
 /// Panics if `not-run` would be untrue: a request that may have run is never said not to have.
-pub fn answer(t: &mut Tables, now: Time, id: RequestId, verdict: Verdict, out: &mut Vec<Action>) {
+pub fn finish_with_verdict(
+    t: &mut Tables,
+    now: Time,
+    id: RequestId,
+    verdict: Verdict,
+    out: &mut Vec<Action>,
+) {
     let Some(row) = t.requests.get(id) else {
         return;
     };
@@ -131,7 +137,7 @@
         "request {id} may have run and would be told `not-run`"
     );
     if row.head_sent() {
-        cut(t, now, id, verdict.reason, out);
+        cut_answer(t, now, id, verdict.reason, out);
         return;
     }
     if row.failure == EndpointFailure::Buffered && verdict.outcome == Outcome::Unknown {
@@ -145,7 +151,7 @@
     };
     count_refusal(t, &row, verdict.reason);
     *t.stats.reasons.entry(verdict.reason).or_default() += 1;
-    out.push(final_word(&row.new, verdict, row.tried));
+    out.push(final_answer(&row.new, verdict, row.tried));
 }
 
 /// Counts by account what was refused for load, where accounts have shares.
@@ -162,7 +168,7 @@
 }
 
 /// Ends an answer that has begun and cannot be completed.
-pub fn cut(t: &mut Tables, now: Time, id: RequestId, reason: Reason, out: &mut Vec<Action>) {
+pub fn cut_answer(t: &mut Tables, now: Time, id: RequestId, reason: Reason, out: &mut Vec<Action>) {
     if finish(t, now, id, Outcome::Unknown).is_some() {
         *t.stats.reasons.entry(reason).or_default() += 1;
         out.push(Action::Cut { id, reason });
@@ -179,13 +185,13 @@
         reason,
         retry_after: Some(retry_after(t, now, row)),
     };
-    answer(t, now, id, verdict, out);
+    finish_with_verdict(t, now, id, verdict, out);
 }
 
 /// Estimates when the queue will have room, and an endpoint of the request takes any.
 fn retry_after(t: &Tables, now: Time, row: &RequestRow) -> Duration {
     let wait = t.requests.held() as f64 / t.finish_rate.max(1.0);
-    let room = Duration::from_secs_f64(wait).clamp(RETRY_TIMES.0, RETRY_TIMES.1);
+    let room = Duration::from_secs_f64(wait).clamp(RETRY_AFTER_RANGE.0, RETRY_AFTER_RANGE.1);
     let open = backoff::retry_after(t, now, row).unwrap_or_default();
     room.max(open)
 }
@@ -197,7 +203,7 @@
 }
 
 /// Gives the final answer in the form that fits where the request came from.
-pub fn final_word(new: &NewRequest, verdict: Verdict, tried: Vec<StartId>) -> Action {
+pub fn final_answer(new: &NewRequest, verdict: Verdict, tried: Vec<StartId>) -> Action {
     let id = new.id;
     match (&new.origin, verdict.outcome) {
         (Origin::Peer(_), Outcome::NotRun) => Action::RefuseHandOver { id, verdict, tried },
--- a/crates/firdock-policy/src/system/liveness.rs
+++ b/crates/firdock-policy/src/system/liveness.rs
@@ -41,14 +41,14 @@
         if let Some(at) = at.filter(|at| t.endpoints.get(*at).is_healthy()) {
             health::eject(t, now, at);
         }
-        suspect::endpoint_ended(t, now, &result.start, out);
+        suspect::record_exit(t, now, &result.start, out);
         return;
     }
     let Some((at, state)) = at.zip(state) else {
         return;
     };
     if result.found == Liveness::Open {
-        suspect::endpoint_open(t, &result.start, state.began);
+        suspect::record_open_address(t, &result.start, state.began);
     }
     if state.again {
         start_check(t, now, at, out);
--- a/crates/firdock-policy/src/system/place.rs
+++ b/crates/firdock-policy/src/system/place.rs
@@ -8,7 +8,7 @@
 use firdock_core::{Reason, RequestId, TierRank};
 
 use self::choice::{Choice, Placement, choose, estimate};
-use self::lane::{is_held_up, try_lane};
+use self::lane::{is_backing_off, try_lane};
 use super::suspect::{self, Gate};
 use super::{coordinate, fair_share, key, lifecycle, rollout};
 use crate::action::{Action, Dispatch};
@@ -18,7 +18,7 @@
 use crate::time::Time;
 
 /// Lanes of a queue that are looked at before the queue counts as blocked.
-const MAX_LOOKS: usize = 8;
+const MAX_LANE_HEADS: usize = 8;
 
 /// Dispatches held requests until none can be placed.
 pub fn run(t: &mut Tables, now: Time, out: &mut Vec<Action>) {
@@ -32,12 +32,12 @@
         if t.settings.account_shares.is_on() {
             fair_order::run(t, now, rank, out);
         } else {
-            run_tier(t, now, rank, out);
+            place_tier(t, now, rank, out);
         }
     }
 }
 
-fn run_tier(t: &mut Tables, now: Time, rank: TierRank, out: &mut Vec<Action>) {
+fn place_tier(t: &mut Tables, now: Time, rank: TierRank, out: &mut Vec<Action>) {
     let waiting =
         |(i, s): (usize, &crate::table::service::ServiceRow)| (!s.queue.is_empty()).then_some(i);
     let services: Vec<usize> = t.services.iter().filter_map(waiting).collect();
@@ -62,14 +62,14 @@
         .heads()
         .map(|(_, id)| id)
         .filter(ranked)
-        .take(MAX_LOOKS)
+        .take(MAX_LANE_HEADS)
         .collect();
     for id in heads {
         match try_lane(t, now, id, out) {
-            Tried::Left => return true,
-            Tried::Waits | Tried::HeldUp | Tried::Busy => {}
+            PlaceResult::Dequeued => return true,
+            PlaceResult::Waiting | PlaceResult::BackingOff | PlaceResult::DuplicateRunning => {}
             // Whatever blocks this request blocks the rest of the queue as well.
-            Tried::Blocked => return false,
+            PlaceResult::Blocked => return false,
         }
     }
     false
@@ -77,50 +77,50 @@
 
 /// What came of a try to place a held request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Tried {
+enum PlaceResult {
     /// It left the queue.
-    Left,
+    Dequeued,
     /// It stays, and others of its queue may still go.
-    Waits,
+    Waiting,
     /// It stays, since endpoints want nothing of the instance that asks; those of others may go.
-    HeldUp,
+    BackingOff,
     /// It stays, since another try of it runs; all others may go.
-    Busy,
+    DuplicateRunning,
     /// It stays, and so does the rest of its queue.
     Blocked,
 }
 
-fn try_place(t: &mut Tables, now: Time, id: RequestId, out: &mut Vec<Action>) -> Tried {
+fn try_place(t: &mut Tables, now: Time, id: RequestId, out: &mut Vec<Action>) -> PlaceResult {
     let Some(row) = t.requests.get(id) else {
-        return Tried::Waits;
+        return PlaceResult::Waiting;
     };
     let coordinated = coordinate::waits(t, row);
     let gate = suspect::gate(t, row);
     // A coordinator's member ends what is in quarantine, and gives its places up.
-    if gate == Gate::Busy || (gate == Gate::Quarantined && t.settings.coordinates) {
-        return Tried::Busy;
+    if gate == Gate::DuplicateRunning || (gate == Gate::Quarantined && t.settings.coordinates) {
+        return PlaceResult::DuplicateRunning;
     }
     if !may_send(t, now, id, out) {
-        return Tried::Left;
+        return PlaceResult::Dequeued;
     }
     let Some(row) = t.requests.get(id).filter(|_| !coordinated) else {
-        return Tried::Waits;
+        return PlaceResult::Waiting;
     };
     match choose(t, now, row) {
         Placement::On(choice) => {
             dispatch(t, now, id, choice, out);
-            return Tried::Left;
+            return PlaceResult::Dequeued;
         }
-        Placement::Wait => return Tried::Waits,
-        Placement::Blocked if is_held_up(t, now, row) => return Tried::HeldUp,
-        Placement::Blocked if row.tried.is_empty() => return Tried::Blocked,
+        Placement::Wait => return PlaceResult::Waiting,
+        Placement::Blocked if is_backing_off(t, now, row) => return PlaceResult::BackingOff,
+        Placement::Blocked if row.tried.is_empty() => return PlaceResult::Blocked,
         Placement::Blocked => {}
     }
-    if exhausted(t, row) {
+    if all_eligible_tried(t, row) {
         lifecycle::give_up(t, now, id, Reason::NoEndpoint, out);
-        return Tried::Left;
+        return PlaceResult::Dequeued;
     }
-    Tried::Waits
+    PlaceResult::Waiting
 }
 
 /// Notes until when a request may be sent, by its key and by the configuration in force; ends it where
@@ -134,9 +134,9 @@
         return false;
     }
     let confirm_by = key::confirm_by(t, row);
-    let fresh_by = fresh_by(t, row);
+    let fresh_by = config_valid_until(t, row);
     if confirm_by.is_some_and(|until| until <= now) {
-        lifecycle::answer(t, now, id, key::unconfirmed_verdict(), out);
+        lifecycle::finish_with_verdict(t, now, id, key::unconfirmed_verdict(), out);
         return false;
     }
     if fresh_by.is_some_and(|until| until <= now) {
@@ -181,18 +181,21 @@
 /// Gives until when a request may be sent by the configuration in force.
 ///
 /// Only a key can be taken away from a caller, so that public services go on.
-fn fresh_by(t: &Tables, row: &RequestRow) -> Option<Time> {
+fn config_valid_until(t: &Tables, row: &RequestRow) -> Option<Time> {
     let public = t.services.get(row.service).declared.public;
     t.config_valid_until().filter(|_| !public)
 }
 
 /// Tells whether every endpoint that takes the request has had it.
-fn exhausted(t: &Tables, row: &RequestRow) -> bool {
-    takers(t, row).all(|e| row.tried.contains(&e.start_id))
+fn all_eligible_tried(t: &Tables, row: &RequestRow) -> bool {
+    eligible_endpoints(t, row).all(|e| row.tried.contains(&e.start_id))
 }
 
 /// Goes over the endpoints of a request's service that belong to the pool that it goes to.
-pub fn takers<'a>(t: &'a Tables, row: &'a RequestRow) -> impl Iterator<Item = &'a EndpointRow> {
+pub fn eligible_endpoints<'a>(
+    t: &'a Tables,
+    row: &'a RequestRow,
+) -> impl Iterator<Item = &'a EndpointRow> {
     let endpoints = t.services.get(row.service).endpoints.iter();
     endpoints
         .map(|e| t.endpoints.get(*e))
@@ -202,7 +205,7 @@
 /// Gives one of the engines that take a request; `None` where it goes to plain endpoints, since all
 /// endpoints of a pool are of one kind.
 pub fn engine_for<'a>(t: &'a Tables, row: &'a RequestRow) -> Option<&'a EndpointRow> {
-    takers(t, row).next().filter(|e| e.is_engine())
+    eligible_endpoints(t, row).next().filter(|e| e.is_engine())
 }
 
 /// Tells whether an endpoint belongs to the pool that the request goes to.
@@ -219,7 +222,7 @@
 /// Panics if the endpoint had the request before or may not get it, or if a request that may not be
 /// repeated may have run already.
 fn dispatch(t: &mut Tables, now: Time, id: RequestId, choice: Choice, out: &mut Vec<Action>) {
-    charge(t, id, choice);
+    charge_lane(t, id, choice);
     fair_share::charge(t, now, id);
     let most = t.max_retry_credit();
     lifecycle::set_phase(t, id, Phase::Dispatching(choice.endpoint), false);
@@ -288,7 +291,7 @@
 }
 
 /// Charges the account's lane for the work, by its share.
-fn charge(t: &mut Tables, id: RequestId, choice: Choice) {
+fn charge_lane(t: &mut Tables, id: RequestId, choice: Choice) {
     let Some(row) = t.requests.get(id) else {
         return;
     };
--- a/crates/firdock-policy/src/system/place/choice.rs
+++ b/crates/firdock-policy/src/system/place/choice.rs
@@ -15,11 +15,11 @@
 const MAX_PREFILL_SECS: f64 = 1.0;
 
 /// Part of a tier's target for which a request may wait for a better endpoint.
-const WAIT_LIMIT: f64 = 0.3;
+const MAX_WAIT_FRACTION: f64 = 0.3;
 /// Requests held beyond which nothing waits: an endpoint left idle then costs more than a prefix.
-const WAIT_HELD: usize = 16;
+const MAX_HELD_TO_WAIT: usize = 16;
 /// Part of a request's time on a full endpoint that it is expected to wait for room there.
-const WAIT_PART: f64 = 0.6;
+const EXPECTED_WAIT_FRACTION: f64 = 0.6;
 
 /// What to do with a held request.
 #[derive(Debug, Clone, Copy)]
@@ -64,12 +64,16 @@
             estimate,
         });
     }
-    let Some(best) = best_of(t, now, row, &open) else {
+    let Some(best) = lowest_score(t, now, row, &open) else {
         return Placement::Blocked;
     };
     if lateness::may_wait(t, now, row, &best.estimate) {
-        let taken: Vec<usize> = full.iter().copied().filter(|e| comes_free(t, *e)).collect();
-        let taken = best_of(t, now, row, &taken);
+        let taken: Vec<usize> = full
+            .iter()
+            .copied()
+            .filter(|e| frees_up_here(t, *e))
+            .collect();
+        let taken = lowest_score(t, now, row, &taken);
         if taken.is_some_and(|taken| lateness::is_better(&best.estimate, &taken.estimate)) {
             return Placement::Wait;
         }
@@ -80,9 +84,9 @@
             .into_iter()
             .filter(|e| prefill_fits(t.endpoints.get(*e), now))
             .collect();
-        let better = best_of(t, now, row, &slots_used);
+        let better = lowest_score(t, now, row, &slots_used);
         let worth = better.is_some_and(|b| {
-            let wait = WAIT_PART * b.estimate.total_secs;
+            let wait = EXPECTED_WAIT_FRACTION * b.estimate.total_secs;
             b.estimate.score + wait < best.estimate.score
         });
         if worth {
@@ -93,13 +97,13 @@
 }
 
 /// Tells whether a place on a full engine comes free here, and is reckoned by the pace that it tells.
-fn comes_free(t: &Tables, at: usize) -> bool {
+fn frees_up_here(t: &Tables, at: usize) -> bool {
     let e = t.endpoints.get(at);
     e.running > 0 && pace_reports::trusted_pool_of(t, e).is_some()
 }
 
 /// Gives the endpoint with the least score.
-fn best_of(t: &Tables, now: Time, row: &RequestRow, endpoints: &[usize]) -> Option<Choice> {
+fn lowest_score(t: &Tables, now: Time, row: &RequestRow, endpoints: &[usize]) -> Option<Choice> {
     let service = t.services.get(row.service);
     let on = t.settings.mechanisms;
     let zone = if row.new.zone.is_empty() {
@@ -134,8 +138,8 @@
 /// Tells whether a request may wait for a better endpoint than those that have room.
 fn may_wait(t: &Tables, now: Time, row: &RequestRow) -> bool {
     let target = t.services.get(row.service).tier.target();
-    let early = now.saturating_sub(row.arrived) < target.mul_f64(WAIT_LIMIT);
-    let calm = t.requests.held() <= WAIT_HELD;
+    let early = now.saturating_sub(row.arrived) < target.mul_f64(MAX_WAIT_FRACTION);
+    let calm = t.requests.held() <= MAX_HELD_TO_WAIT;
     t.settings.mechanisms.wait_for_cache && early && calm && !row.new.blocks.is_empty()
 }
 
--- a/crates/firdock-policy/src/system/place/fair_order.rs
+++ b/crates/firdock-policy/src/system/place/fair_order.rs
@@ -4,7 +4,7 @@
 
 use firdock_core::{RequestId, TierRank};
 
-use super::Tried;
+use super::PlaceResult;
 use super::lane::try_lane;
 use crate::action::Action;
 use crate::system::fair_share;
@@ -36,9 +36,9 @@
             continue;
         }
         match try_lane(t, now, id, out) {
-            Tried::Left => return true,
-            Tried::Waits | Tried::HeldUp | Tried::Busy => {}
-            Tried::Blocked => {
+            PlaceResult::Dequeued => return true,
+            PlaceResult::Waiting | PlaceResult::BackingOff | PlaceResult::DuplicateRunning => {}
+            PlaceResult::Blocked => {
                 blocked.insert(service);
             }
         }
--- a/crates/firdock-policy/src/system/restart.rs
+++ b/crates/firdock-policy/src/system/restart.rs
@@ -32,7 +32,7 @@
     t.endpoints.get_mut(at).mark_replaced();
     t.stats.restarts += 1;
     let start = t.endpoints.get(at).start_id.clone();
-    suspect::endpoint_ended(t, now, &start, out);
+    suspect::record_exit(t, now, &start, out);
     let began = began(t, declared);
     for (id, sent, dispatch) in sent_to(t, at) {
         if began.is_none_or(|began| sent < began) {
--- a/crates/firdock-policy/src/system/suspect.rs
+++ b/crates/firdock-policy/src/system/suspect.rs
@@ -16,7 +16,7 @@
 use crate::time::Time;
 
 /// Time within which a run hears that a later start has taken its endpoint's place.
-const JUST_NOW: Duration = Duration::from_secs(1);
+const REPLACEMENT_WINDOW: Duration = Duration::from_secs(1);
 
 /// Whether a request may be sent now, by what is known of its content.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -24,7 +24,7 @@
     /// It may.
     Open,
     /// Another try of it runs, under which the endpoint may end.
-    Busy,
+    DuplicateRunning,
     /// It has ended too many endpoints.
     Quarantined,
 }
@@ -43,18 +43,19 @@
         return Gate::Quarantined;
     }
     let is_suspected = !suspect.counted().is_empty();
-    if is_suspected && runs_elsewhere(t, row, suspect.content.id) {
-        Gate::Busy
+    if is_suspected && is_running_elsewhere(t, row, suspect.content.id) {
+        Gate::DuplicateRunning
     } else {
         Gate::Open
     }
 }
 
 /// Tells whether another request with the same content is on its way or runs.
-fn runs_elsewhere(t: &Tables, row: &RequestRow, content: ContentId) -> bool {
-    let on_board = |r: &RequestRow| matches!(r.phase, Phase::Dispatching(_) | Phase::Running(_));
+fn is_running_elsewhere(t: &Tables, row: &RequestRow, content: ContentId) -> bool {
+    let is_in_flight =
+        |r: &RequestRow| matches!(r.phase, Phase::Dispatching(_) | Phase::Running(_));
     let mut others = t.requests.iter().filter(|r| r.new.id != row.new.id);
-    others.any(|r| r.content_id() == Some(content) && on_board(r))
+    others.any(|r| r.content_id() == Some(content) && is_in_flight(r))
 }
 
 /// Tells whether a request of which a run broke may be tried once more by ourselves: not while an end
@@ -84,14 +85,20 @@
         outcome,
         ..verdict()
     };
-    lifecycle::answer(t, now, id, told, out);
+    lifecycle::finish_with_verdict(t, now, id, told, out);
 }
 
 /// Takes a run that broke, while its row is still there: where its connection ended early, the
 /// endpoint's end may be held against it.
-pub fn broke(t: &mut Tables, now: Time, id: RequestId, at: usize, out: &mut Vec<Action>) {
+pub fn record_broken_run(
+    t: &mut Tables,
+    now: Time,
+    id: RequestId,
+    at: usize,
+    out: &mut Vec<Action>,
+) {
     let row = t.requests.get(id).filter(|_| !t.settings.coordinates);
-    let Some((cause, run)) = row.and_then(|row| blamed(t, now, row, at)) else {
+    let Some((cause, run)) = row.and_then(|row| blamed_run(t, now, row, at)) else {
         return;
     };
     let e = t.endpoints.get(at);
@@ -100,7 +107,9 @@
         return;
     }
     // One whose entry went before left in order; a later start takes the place of a listed one at once.
-    let was_listed = e.present || e.absent_since.is_some_and(|gone| gone + JUST_NOW > now);
+    let was_listed = e.present
+        || e.absent_since
+            .is_some_and(|gone| gone + REPLACEMENT_WINDOW > now);
     let ended = match cause {
         BreakCause::Closed if e.present => t.endpoint_exits.record_run(now, &run),
         BreakCause::Restarted if was_listed => Some(now),
@@ -111,7 +120,12 @@
     }
 }
 
-fn blamed(t: &Tables, now: Time, row: &RequestRow, at: usize) -> Option<(BreakCause, BrokenRun)> {
+fn blamed_run(
+    t: &Tables,
+    now: Time,
+    row: &RequestRow,
+    at: usize,
+) -> Option<(BreakCause, BrokenRun)> {
     let run = BrokenRun {
         start: t.endpoints.get(at).start_id.clone(),
         content: Arc::clone(row.new.content.as_ref()?),
@@ -124,7 +138,7 @@
 }
 
 /// Takes it that an endpoint's process has ended; all that broke there was on board.
-pub fn endpoint_ended(t: &mut Tables, now: Time, start: &StartId, out: &mut Vec<Action>) {
+pub fn record_exit(t: &mut Tables, now: Time, start: &StartId, out: &mut Vec<Action>) {
     for run in t.endpoint_exits.record_exit(now, start) {
         blame(t, now, &run, run.broke, out);
     }
@@ -133,7 +147,7 @@
 /// Takes it that entries are gone with this configuration: what broke there before broke with the
 /// endpoint's end, unless it said that it leaves. What breaks later does not count, since an endpoint may
 /// leave so.
-pub fn entries_gone(t: &mut Tables, now: Time, out: &mut Vec<Action>) {
+pub fn record_removed_entries(t: &mut Tables, now: Time, out: &mut Vec<Action>) {
     if !t.endpoint_exits.has_runs() {
         return;
     }
@@ -153,13 +167,13 @@
 
 /// Takes it that an endpoint's address takes connections: what broke there until the look began broke for
 /// another reason. Ends that were seen stand: the address may be another start's by now.
-pub fn endpoint_open(t: &mut Tables, start: &StartId, began: Time) {
+pub fn record_open_address(t: &mut Tables, start: &StartId, began: Time) {
     t.endpoint_exits.drop_runs_until(start, began);
 }
 
 /// Takes it that a request was answered whole: the endpoint that ran it lives, so that what was held
 /// against it is void.
-pub fn answered(t: &mut Tables, now: Time, content: ContentId) {
+pub fn record_answer(t: &mut Tables, now: Time, content: ContentId) {
     t.suspects.clear(now, content, now);
 }
 
@@ -173,7 +187,7 @@
     for one in told {
         let id = one.content.id;
         if t.suspects.merge_report(now, one) {
-            act(t, now, id, out);
+            enforce_quarantine(t, now, id, out);
         }
     }
 }
@@ -181,13 +195,13 @@
 fn blame(t: &mut Tables, now: Time, run: &BrokenRun, at: Time, out: &mut Vec<Action>) {
     t.stats.blamed += 1;
     if t.suspects.record_exit(now, run, at) {
-        act(t, now, run.content.id, out);
+        enforce_quarantine(t, now, run.content.id, out);
     }
 }
 
 /// Does what follows where a request came into quarantine: what is on its way and not written yet is
 /// given back, and what waits is refused. What runs goes on, and speaks for it if it is answered.
-fn act(t: &mut Tables, now: Time, content: ContentId, out: &mut Vec<Action>) {
+fn enforce_quarantine(t: &mut Tables, now: Time, content: ContentId, out: &mut Vec<Action>) {
     // Members of a coordinator end their requests themselves.
     if t.settings.coordinates || !t.suspects.is_quarantined(content) {
         return;
