--- a/crates/firdock-policy/src/system.rs
+++ b/crates/firdock-policy/src/system.rs
@@ -1,4 +1,4 @@
-//! The systems that run over the tables, one file a job.
+//! Scheduling logic that runs over the tables, one module per concern.
 
 pub mod admit;
 pub mod attempts;
--- a/crates/firdock-policy/src/system/admit.rs
+++ b/crates/firdock-policy/src/system/admit.rs
@@ -1,4 +1,4 @@
-//! Admission: a request is matched to its service and account, and held.
+//! Admission: matches a request to its service and account, and holds it.
 
 use std::time::Duration;
 
@@ -11,10 +11,10 @@
 use crate::table::Tables;
 use crate::time::{LogTime, Time};
 
-/// Time after which a caller should try again where nothing serves the request.
+/// Retry time sent to callers when no endpoint serves the request.
 const NO_ENDPOINT_RETRY: Duration = Duration::from_secs(5);
 
-/// Takes a request that arrived.
+/// Handles the arrival of a request.
 pub fn admit_request(t: &mut Tables, now: Time, new: NewRequest, out: &mut Vec<Action>) {
     let Some((service, account)) = in_force(t, &new) else {
         reject(t, &new, undeclared_verdict(&new), out);
@@ -29,7 +29,7 @@
             out.push(Action::Replay { id, earlier });
         }
         key::Decision::PassOn(owner) => {
-            // The owner charges it; here nothing was taken that could be given back.
+            // The owner of the key charges the account limit, so there is nothing to refund here.
             insert(t, now, new, service, account, 0.0);
             super::handover::to_key_owner(t, now, id, &owner, out);
         }
@@ -50,13 +50,13 @@
     }
 }
 
-/// Tells whether nothing of a request may be sent, whatever its id.
+/// Returns whether the content of a request is quarantined, under whatever request id it arrives.
 fn is_quarantined(t: &Tables, new: &NewRequest) -> bool {
     let content = new.content.as_ref();
     content.is_some_and(|content| t.suspects.is_quarantined(content.id))
 }
 
-/// Gives the rows of a request's service and account, if both are in force.
+/// Returns the rows of a request's service and account, if both are in force.
 pub fn in_force(t: &Tables, new: &NewRequest) -> Option<(usize, usize)> {
     let service = t.services.find(&new.service)?;
     let account = t.accounts.find(&new.account)?;
@@ -64,7 +64,7 @@
     present.then_some((service, account))
 }
 
-/// Notes that a request that was taken in runs under its key.
+/// Records that an admitted request runs under its key.
 fn claim_key(t: &mut Tables, id: RequestId, claim: Option<KeyClaim>, minted: LogTime) {
     if let (Some(row), Some(claim)) = (t.requests.get_mut(id), claim) {
         row.minted = Some(minted);
@@ -72,9 +72,10 @@
     }
 }
 
-/// Gives the answer to a request whose service or account is not in force here.
+/// Returns the verdict for a request whose service or account is not in force here.
 ///
-/// Its key may have run while the service was in force, or runs at an instance where it still is.
+/// A request with a key may have run while the service was in force, or may run at an instance
+/// where it still is, so its outcome is unknown.
 fn undeclared_verdict(new: &NewRequest) -> Verdict {
     no_endpoint(if new.key.is_some() {
         Outcome::Unknown
@@ -97,7 +98,7 @@
     out.push(lifecycle::final_answer(new, verdict, Vec::new()));
 }
 
-/// Puts a request into the tables, as held.
+/// Inserts a request into the tables in phase `Held`.
 pub fn insert(
     t: &mut Tables,
     now: Time,
--- a/crates/firdock-policy/src/system/dispatch_updates.rs
+++ b/crates/firdock-policy/src/system/dispatch_updates.rs
@@ -1,4 +1,4 @@
-//! News of dispatches: started, tokens, ended, refused, broken.
+//! Updates on dispatches: started, tokens, ended, refused, broken.
 
 use firdock_core::{Outcome, Reason, RequestId};
 
@@ -12,7 +12,7 @@
 use crate::table::Tables;
 use crate::time::Time;
 
-/// Takes news of a dispatch; late news of an earlier dispatch is dropped and counted.
+/// Handles an update on a dispatch. A late update on an earlier dispatch is dropped and counted.
 pub fn handle_update(t: &mut Tables, now: Time, e: &EndpointEvent, out: &mut Vec<Action>) {
     let current = t.requests.get(e.id).filter(|r| r.dispatch == e.dispatch);
     let Some(Phase::Dispatching(at) | Phase::Running(at)) = current.map(|r| r.phase) else {
@@ -41,7 +41,7 @@
     }
 }
 
-/// Takes it that the caller went away: held work is dropped, running work is cancelled.
+/// Handles the departure of a caller: a held request is dropped, a running one is cancelled.
 pub fn caller_left(t: &mut Tables, now: Time, id: RequestId, out: &mut Vec<Action>) {
     let Some(row) = t.requests.get(id) else {
         return;
@@ -63,7 +63,7 @@
         }
     }
     if t.settings.coordinates && matches!(row.phase, Phase::Dispatching(_)) {
-        // The member gave the place back, or its request was never sent.
+        // The member returned the slot, or its request was never sent.
         fair_share::refund(t, now, id);
     }
     lifecycle::count_waste(t, id, WasteCause::CallerLeft);
@@ -98,7 +98,8 @@
     let Some(row) = t.requests.get(id).filter(|_| shared) else {
         return;
     };
-    // The endpoint had the request, so another one is a second try that counts for the site.
+    // The endpoint received the request, so sending it to another one is a retry that counts
+    // towards the site's retry budget.
     let most = t.max_retry_credit();
     if t.retry_budgets.allow(row.pool_key(), most) {
         t.retry_budgets.spend(row.pool_key(), most);
@@ -107,7 +108,7 @@
     }
 }
 
-/// Notes that the last dispatch ran nowhere.
+/// Records that the last dispatch did not run.
 fn uncount_run(t: &mut Tables, id: RequestId) {
     if let Some(row) = t.requests.get_mut(id) {
         row.runs -= 1;
@@ -122,7 +123,7 @@
     }
 }
 
-/// Takes a request back of which nothing was sent: the endpoint may still get it, once it may be sent.
+/// Takes back a request that was not sent. The same endpoint may still get it later.
 fn withheld(t: &mut Tables, now: Time, id: RequestId) {
     fair_share::refund(t, now, id);
     if t.settings.coordinates {
@@ -144,21 +145,21 @@
     }
 }
 
-/// Notes that the endpoint's answer that it failed can be passed on.
+/// Records that the endpoint's failure response can be forwarded to the caller.
 fn failure_kept(t: &mut Tables, id: RequestId) {
     if let Some(row) = t.requests.get_mut(id) {
         row.failure = EndpointFailure::Buffered;
     }
 }
 
-/// Notes that the answer's end proves nothing.
+/// Records that the end of the answer does not prove it complete.
 fn unproven(t: &mut Tables, id: RequestId) {
     if let Some(row) = t.requests.get_mut(id) {
         row.completion_proof = CompletionProof::Unproven;
     }
 }
 
-/// Notes that the answer can only go on where it began.
+/// Records that the answer can only be continued by the endpoint that began it.
 fn unresumable(t: &mut Tables, id: RequestId) {
     if let Some(row) = t.requests.get_mut(id) {
         row.delivered_part = DeliveredPart::Unresumable;
@@ -172,7 +173,8 @@
     }
 }
 
-/// Notes the first token of a dispatch: the prompt is computed, and the rate can be learned.
+/// Records the first token of a dispatch: the prompt has been processed, so the endpoint's rate can
+/// be learned.
 fn first_token(t: &mut Tables, now: Time, id: RequestId, at: usize, cached: u32) {
     let Some(row) = t.requests.get(id).filter(|r| r.first.is_none()) else {
         return;
@@ -233,7 +235,7 @@
     }
 }
 
-/// Notes how a dispatch comes to break, and has it looked whether its endpoint has ended.
+/// Records how a dispatch is about to break, and starts a liveness check if its connection closed.
 fn breaking(
     t: &mut Tables,
     now: Time,
@@ -251,7 +253,7 @@
     }
 }
 
-/// Takes a broken dispatch: the request goes on elsewhere if it may, else it ends.
+/// Handles a broken dispatch: retries the request elsewhere if permitted, otherwise ends it.
 fn broke(
     t: &mut Tables,
     now: Time,
@@ -265,7 +267,8 @@
     if !is_backing_off(t, now, id, at) {
         health::record_broken_dispatch(t, now, at);
     }
-    // By what was held against it before: one end is no reason yet to give a caller up.
+    // Decided by the exits recorded before this one: a single exit is no reason to give up on a
+    // caller.
     let goes_on = may_retry(t, id, at);
     suspect::record_broken_run(t, now, id, at, out);
     if t.settings.coordinates {
@@ -295,8 +298,9 @@
     lifecycle::finish_with_verdict(t, now, id, verdict, out);
 }
 
-/// Tells whether the endpoint wants no request now from the instance that sent it one: what breaks
-/// meanwhile is no failure of it, and nothing would be spared by an ejection.
+/// Returns whether the endpoint currently asks the request's instance to back off. A dispatch that
+/// breaks during a back-off does not count as a failure of the endpoint, and ejecting it would save
+/// nothing.
 fn is_backing_off(t: &Tables, now: Time, id: RequestId, at: usize) -> bool {
     let Some(row) = t.requests.get(id) else {
         return false;
@@ -305,7 +309,7 @@
     e.notices.backoff(&row.new.member, now).is_some()
 }
 
-/// Tells whether a broken request may run on a second endpoint.
+/// Returns whether a broken request may run on a second endpoint.
 fn may_retry(t: &Tables, id: RequestId, at: usize) -> bool {
     let Some(row) = t.requests.get(id) else {
         return false;
--- a/crates/firdock-policy/src/system/liveness.rs
+++ b/crates/firdock-policy/src/system/liveness.rs
@@ -1,5 +1,5 @@
-//! Looks at endpoints whose connections ended early: one that has ended is told apart from one that
-//! lives and broke off an answer.
+//! Liveness checks of endpoints whose connections closed early: distinguish a process that exited
+//! from one that is alive and broke off an answer.
 
 use super::{health, suspect};
 use crate::action::Action;
@@ -8,10 +8,10 @@
 use crate::table::endpoint::LivenessCheck;
 use crate::time::Time;
 
-/// Has it looked whether an endpoint is still there; one look at a time is made, and once more if
-/// something broke after it began.
+/// Starts a liveness check of an endpoint. Only one runs at a time; it is repeated if another
+/// dispatch breaks after it started.
 ///
-/// A coordinator has no connections, so that its members look.
+/// A coordinator has no connections to endpoints, so its members run the checks.
 pub fn start_check(t: &mut Tables, now: Time, at: usize, out: &mut Vec<Action>) {
     if t.settings.coordinates {
         return;
@@ -31,13 +31,13 @@
     });
 }
 
-/// Takes what a look found.
+/// Handles the result of a liveness check.
 pub fn handle_result(t: &mut Tables, now: Time, result: &LivenessResult, out: &mut Vec<Action>) {
     *t.stats.liveness_checks.entry(result.found).or_default() += 1;
     let at = t.endpoints.find_start(&result.start);
     let state = at.and_then(|at| t.endpoints.get_mut(at).liveness_check.take());
     if result.found == Liveness::Ended {
-        // It gets nothing for a while, and what broke there was on board.
+        // The endpoint is ejected, and its exit counts against the runs that broke there.
         if let Some(at) = at.filter(|at| t.endpoints.get(*at).is_healthy()) {
             health::eject(t, now, at);
         }
--- a/crates/firdock-policy/src/system/place.rs
+++ b/crates/firdock-policy/src/system/place.rs
@@ -1,4 +1,4 @@
-//! Placement: held requests go to endpoints that have room, higher tiers first.
+//! Placement: dispatches held requests to endpoints with free capacity, higher tiers first.
 
 mod choice;
 mod fair_order;
@@ -17,7 +17,7 @@
 use crate::table::endpoint::{EndpointRow, Health, UnavailableReason};
 use crate::time::Time;
 
-/// Lanes of a queue that are looked at before the queue counts as blocked.
+/// Number of lane heads of a queue that are tried before the queue counts as blocked.
 const MAX_LANE_HEADS: usize = 8;
 
 /// Dispatches held requests until none can be placed.
@@ -46,7 +46,7 @@
     }
 }
 
-/// Places the next request of a service and rank; tells whether one left the queue.
+/// Places the next request of a service and rank. Returns whether a request left the queue.
 fn place_next(
     t: &mut Tables,
     now: Time,
@@ -75,18 +75,20 @@
     false
 }
 
-/// What came of a try to place a held request.
+/// Result of an attempt to place a held request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum PlaceResult {
-    /// It left the queue.
+    /// The request left the queue.
     Dequeued,
-    /// It stays, and others of its queue may still go.
+    /// The request stays; others of its queue may still be placed.
     Waiting,
-    /// It stays, since endpoints want nothing of the instance that asks; those of others may go.
+    /// The request stays because endpoints asked its instance to back off; requests of other
+    /// instances may still be placed.
     BackingOff,
-    /// It stays, since another try of it runs; all others may go.
+    /// The request stays because another request with the same content is running; all others may
+    /// still be placed.
     DuplicateRunning,
-    /// It stays, and so does the rest of its queue.
+    /// The request stays, and so does the rest of its queue.
     Blocked,
 }
 
@@ -96,7 +98,7 @@
     };
     let coordinated = coordinate::waits(t, row);
     let gate = suspect::gate(t, row);
-    // A coordinator's member ends what is in quarantine, and gives its places up.
+    // On a coordinator, the member that owns a quarantined request ends it and releases its slot.
     if gate == Gate::DuplicateRunning || (gate == Gate::Quarantined && t.settings.coordinates) {
         return PlaceResult::DuplicateRunning;
     }
@@ -123,8 +125,9 @@
     PlaceResult::Waiting
 }
 
-/// Notes until when a request may be sent, by its key and by the configuration in force; ends it where
-/// that time has passed, or where it is in quarantine.
+/// Sets the time until which a request may be sent, as limited by its key and by the configuration
+/// in force. Ends the request and returns `false` if that time has passed or the request is
+/// quarantined.
 pub fn may_send(t: &mut Tables, now: Time, id: RequestId, out: &mut Vec<Action>) -> bool {
     let Some(row) = t.requests.get(id) else {
         return false;
@@ -148,7 +151,8 @@
         .get(id)
         .is_some_and(|r| r.deadline.is_some_and(|by| by <= now));
     if overdue {
-        // Its caller is gone: an instance that stood still for a while takes up what came meanwhile.
+        // The caller is gone: an instance that was paused handles events that queued up in the
+        // meantime.
         lifecycle::give_up(t, now, id, Reason::TimedOut, out);
         return false;
     }
@@ -160,7 +164,7 @@
 
 /// Sends a request to an endpoint that was chosen elsewhere.
 ///
-/// What is expected there is reckoned here where that was not told with it.
+/// Uses the local estimate of the time to the first token if the grant carries none.
 pub fn send_to(
     t: &mut Tables,
     now: Time,
@@ -178,20 +182,20 @@
     dispatch(t, now, id, Choice { endpoint, estimate }, out);
 }
 
-/// Gives until when a request may be sent by the configuration in force.
+/// Returns the time until which the configuration in force permits sending a request.
 ///
-/// Only a key can be taken away from a caller, so that public services go on.
+/// Only a key can be revoked from a caller, so public services are not limited.
 fn config_valid_until(t: &Tables, row: &RequestRow) -> Option<Time> {
     let public = t.services.get(row.service).declared.public;
     t.config_valid_until().filter(|_| !public)
 }
 
-/// Tells whether every endpoint that takes the request has had it.
+/// Returns whether the request was already sent to every eligible endpoint.
 fn all_eligible_tried(t: &Tables, row: &RequestRow) -> bool {
     eligible_endpoints(t, row).all(|e| row.tried.contains(&e.start_id))
 }
 
-/// Goes over the endpoints of a request's service that belong to the pool that it goes to.
+/// Iterates over the endpoints of a request's service that belong to the request's pool.
 pub fn eligible_endpoints<'a>(
     t: &'a Tables,
     row: &'a RequestRow,
@@ -202,13 +206,13 @@
         .filter(|e| in_pool(row, e))
 }
 
-/// Gives one of the engines that take a request; `None` where it goes to plain endpoints, since all
-/// endpoints of a pool are of one kind.
+/// Returns one of the engines that are eligible for a request, or `None` if the request goes to
+/// plain endpoints: all endpoints of a pool are of the same kind.
 pub fn engine_for<'a>(t: &'a Tables, row: &'a RequestRow) -> Option<&'a EndpointRow> {
     eligible_endpoints(t, row).next().filter(|e| e.is_engine())
 }
 
-/// Tells whether an endpoint belongs to the pool that the request goes to.
+/// Returns whether an endpoint belongs to the pool that the request goes to.
 pub fn in_pool(row: &RequestRow, e: &EndpointRow) -> bool {
     row.pool
         .as_ref()
@@ -219,8 +223,8 @@
 ///
 /// # Panics
 ///
-/// Panics if the endpoint had the request before or may not get it, or if a request that may not be
-/// repeated may have run already.
+/// Panics if the request was sent to this endpoint before, if the endpoint may not receive it, or
+/// if a request that is not repeatable may already have run.
 fn dispatch(t: &mut Tables, now: Time, id: RequestId, choice: Choice, out: &mut Vec<Action>) {
     charge_lane(t, id, choice);
     fair_share::charge(t, now, id);
@@ -239,7 +243,7 @@
     let row = t.requests.get(id);
     assert!(
         row.is_none_or(|row| suspect::gate(t, row) == Gate::Open),
-        "request {id} is suspected and was sent"
+        "request {id} was sent although its content is quarantined or already running"
     );
     let e = t.endpoints.get_mut(choice.endpoint);
     if matches!(e.health, Health::Ejected(_)) {
@@ -257,11 +261,11 @@
     let repeatable = t.services.get(row.service).declared.repeatable;
     assert!(
         !row.tried.contains(&start),
-        "request {id} went to endpoint {name} twice"
+        "request {id} was sent to endpoint {name} twice"
     );
     assert!(
         repeatable || !row.ran_before,
-        "request {id} may not be repeated"
+        "request {id} is not repeatable and was sent again"
     );
     row.tried.push(start);
     row.runs += 1;
@@ -290,7 +294,7 @@
     rollout::sent(t, id, choice.endpoint);
 }
 
-/// Charges the account's lane for the work, by its share.
+/// Charges the work to the account's lane, scaled by the account's share.
 fn charge_lane(t: &mut Tables, id: RequestId, choice: Choice) {
     let Some(row) = t.requests.get(id) else {
         return;
--- a/crates/firdock-policy/src/system/place/choice.rs
+++ b/crates/firdock-policy/src/system/place/choice.rs
@@ -1,5 +1,5 @@
-//! The choice of an endpoint for one request: which may take it, which have room, which is best, and
-//! whether another is worth waiting for.
+//! Chooses an endpoint for a request: which endpoints are eligible, which have capacity, which
+//! scores best, and whether a busy endpoint is worth waiting for.
 
 use std::cmp::Ordering;
 
@@ -11,28 +11,29 @@
 use crate::table::endpoint::EndpointRow;
 use crate::time::Time;
 
-/// Prefill work that may wait at an endpoint before it gets another prompt, in seconds.
+/// Prefill work, in seconds, that may be queued at an endpoint before it gets another prompt.
 const MAX_PREFILL_SECS: f64 = 1.0;
 
-/// Part of a tier's target for which a request may wait for a better endpoint.
+/// Fraction of a tier's target for which a request may wait for a better endpoint.
 const MAX_WAIT_FRACTION: f64 = 0.3;
-/// Requests held beyond which nothing waits: an endpoint left idle then costs more than a prefix.
+/// Number of held requests above which none waits: an idle endpoint then costs more than a cached
+/// prefix saves.
 const MAX_HELD_TO_WAIT: usize = 16;
-/// Part of a request's time on a full endpoint that it is expected to wait for room there.
+/// Expected wait for capacity at a full endpoint, as a fraction of the request's time there.
 const EXPECTED_WAIT_FRACTION: f64 = 0.6;
 
-/// What to do with a held request.
+/// Placement decision for a held request.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum Placement {
-    /// Send it.
+    /// Send the request.
     On(Choice),
-    /// Hold it: an endpoint without room is worth waiting for.
+    /// Hold the request: an endpoint without free capacity is worth waiting for.
     Wait,
-    /// No endpoint has room.
+    /// No endpoint has free capacity.
     Blocked,
 }
 
-/// An endpoint that was chosen for a request.
+/// Endpoint that was chosen for a request.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Choice {
     pub(super) endpoint: usize,
@@ -79,7 +80,7 @@
         }
     }
     if may_wait(t, now, row) {
-        // Slots free up one by one; prefill that waits there would only make the wait longer.
+        // Slots free up one by one; prefill queued there would only make the wait longer.
         let slots_used: Vec<usize> = full
             .into_iter()
             .filter(|e| prefill_fits(t.endpoints.get(*e), now))
@@ -96,13 +97,14 @@
     Placement::On(best)
 }
 
-/// Tells whether a place on a full engine comes free here, and is reckoned by the pace that it tells.
+/// Returns whether one of this instance's own requests will free a slot at the endpoint, and the
+/// endpoint's estimate is based on the pace that it reports.
 fn frees_up_here(t: &Tables, at: usize) -> bool {
     let e = t.endpoints.get(at);
     e.running > 0 && pace_reports::trusted_pool_of(t, e).is_some()
 }
 
-/// Gives the endpoint with the least score.
+/// Returns the endpoint with the lowest score.
 fn lowest_score(t: &Tables, now: Time, row: &RequestRow, endpoints: &[usize]) -> Option<Choice> {
     let service = t.services.get(row.service);
     let on = t.settings.mechanisms;
@@ -135,7 +137,7 @@
     })
 }
 
-/// Tells whether a request may wait for a better endpoint than those that have room.
+/// Returns whether a request may wait for a better endpoint than those with free capacity.
 fn may_wait(t: &Tables, now: Time, row: &RequestRow) -> bool {
     let target = t.services.get(row.service).tier.target();
     let early = now.saturating_sub(row.arrived) < target.mul_f64(MAX_WAIT_FRACTION);
@@ -143,7 +145,7 @@
     t.settings.mechanisms.wait_for_cache && early && calm && !row.new.blocks.is_empty()
 }
 
-/// Tells whether an endpoint may take the request at all.
+/// Returns whether an endpoint is eligible for the request at all.
 fn may_take(t: &Tables, now: Time, row: &RequestRow, at: usize) -> bool {
     let e = t.endpoints.get(at);
     let open = e.check_available(&row.new.member, now).is_ok();
@@ -155,10 +157,10 @@
     !t.settings.mechanisms.late_binding || (e.running < e.budget && prefill_fits(e, now))
 }
 
-/// Tells whether the prompts that wait at an endpoint leave room for another.
+/// Returns whether the queued prompts at an endpoint leave room for another one.
 ///
-/// A slot alone does not mean room: sixteen long prompts would wait for each other in the engine,
-/// where a more urgent request can no longer pass them nor a better endpoint be found.
+/// A free slot alone is not enough: sixteen long prompts would queue inside the engine, where a
+/// more urgent request can no longer overtake them and no better endpoint can be chosen.
 fn prefill_fits(e: &EndpointRow, now: Time) -> bool {
     e.running == 0 || e.waiting_tokens(now) <= MAX_PREFILL_SECS * e.declared.prefill_rate
 }
--- a/crates/firdock-policy/src/system/place/fair_order.rs
+++ b/crates/firdock-policy/src/system/place/fair_order.rs
@@ -1,4 +1,4 @@
-//! Placement where accounts have shares: over all services of a rank in one order.
+//! Placement with account shares: one order over all services of a rank.
 
 use std::collections::HashSet;
 
@@ -11,7 +11,8 @@
 use crate::table::Tables;
 use crate::time::Time;
 
-/// Places the requests of a rank over all services, the account first that had least for its weight.
+/// Places the requests of a rank over all services, starting with the account that had the least
+/// work for its weight.
 pub fn run(t: &mut Tables, now: Time, rank: TierRank, out: &mut Vec<Action>) {
     let mut blocked: HashSet<usize> = HashSet::new();
     while place_next(t, now, rank, &mut blocked, out) {}
--- a/crates/firdock-policy/src/system/place/lane.rs
+++ b/crates/firdock-policy/src/system/place/lane.rs
@@ -1,4 +1,5 @@
-//! The lanes of a queue, whose first requests go first unless their instance may not send them.
+//! Placement from one lane of a queue: the head goes first, unless its instance may not send it
+//! now.
 
 use firdock_core::RequestId;
 
@@ -9,12 +10,14 @@
 use crate::table::endpoint::{EndpointRow, UnavailableReason};
 use crate::time::Time;
 
-/// Requests of a lane that are looked at behind one that its instance may not send.
+/// Number of requests behind a lane's head that are considered when the head cannot be sent.
 const MAX_LANE_LOOKAHEAD: usize = 64;
 
-/// Tries the first request of a lane; where endpoints want nothing of the instance that asks for it, the
-/// next ones of other instances, and where another try of it runs, the next ones that ask for something
-/// else: no place stays empty for what may not be sent.
+/// Tries to place the head of a lane, and falls back to requests behind it so that no slot stays
+/// unused for a head that cannot be sent.
+///
+/// If endpoints asked the head's instance to back off, requests of other instances are tried; if
+/// another request with the same content is running, requests with other content are tried.
 pub(super) fn try_lane(
     t: &mut Tables,
     now: Time,
@@ -35,8 +38,8 @@
     tried
 }
 
-/// Gives the first requests behind the head of a lane, of its rank, that ask for something else: what
-/// waits for another try of itself holds up nothing but itself.
+/// Returns the first requests behind the head of a lane that have its rank but other content: a
+/// request that waits for a duplicate delays nothing else.
 fn next_with_other_content(t: &Tables, head: RequestId) -> Vec<RequestId> {
     let Some(first) = t.requests.get(head) else {
         return Vec::new();
@@ -49,7 +52,8 @@
     rows.filter(other).map(|r| r.new.id).collect()
 }
 
-/// Gives the first requests of other instances behind the head of a lane, one of each, of its rank.
+/// Returns, for each other instance, its first request behind the head of a lane that has the
+/// head's rank.
 fn next_of_other_members(t: &Tables, head: RequestId) -> Vec<RequestId> {
     let Some(first) = t.requests.get(head) else {
         return Vec::new();
@@ -69,7 +73,7 @@
     ids
 }
 
-/// Tells whether endpoints that take the request want nothing of the instance that asks for it.
+/// Returns whether any eligible endpoint asked the request's instance to back off.
 pub(super) fn is_backing_off(t: &Tables, now: Time, row: &RequestRow) -> bool {
     let member = &row.new.member;
     let backs_off = |e: &EndpointRow| {
--- a/crates/firdock-policy/src/system/shed.rs
+++ b/crates/firdock-policy/src/system/shed.rs
@@ -38,7 +38,7 @@
     let from_caller = row.new.origin == Origin::Caller;
     assert!(
         !t.requests.holds_below(rank),
-        "request {id} shed while a lower tier is held"
+        "request {id} was shed while a lower tier is held"
     );
     if from_caller && handover::to_lower_holder(t, now, id, out) {
         return;
--- a/crates/firdock-policy/src/system/suspect.rs
+++ b/crates/firdock-policy/src/system/suspect.rs
@@ -1,5 +1,5 @@
-//! Requests under which endpoints end: what is held against them, and what may be sent of them
-//! (`docs/design/suspects.md`).
+//! Suspects: requests during which endpoints exited, the exits that count against them, and when
+//! they may be sent (`docs/design/suspects.md`).
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,25 +15,27 @@
 use crate::table::endpoint::EndpointRow;
 use crate::time::Time;
 
-/// Time within which a run hears that a later start has taken its endpoint's place.
+/// Maximum time between the removal of an entry and the `Restarted` update of a run there for the
+/// exit to count.
 const REPLACEMENT_WINDOW: Duration = Duration::from_secs(1);
 
-/// Whether a request may be sent now, by what is known of its content.
+/// Whether a request may be sent now, given what is known about its content.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Gate {
-    /// It may.
+    /// The request may be sent.
     Open,
-    /// Another try of it runs, under which the endpoint may end.
+    /// Another request with the same content is running, and its endpoint may exit.
     DuplicateRunning,
-    /// It has ended too many endpoints.
+    /// Too many endpoints exited while running this content.
     Quarantined,
 }
 
-/// Decides whether a request may be sent, whoever would send it for whatever reason.
+/// Decides whether a request may be sent, regardless of who sends it and why.
 ///
-/// A request that ends its endpoints comes again under other ids, at any instance, and takes with each
-/// endpoint all that runs there beside it. Nothing of it is sent any more once three ended one after the
-/// other; before that one try runs at a time, so that it costs no more than these.
+/// A request that crashes its endpoints returns under other ids, at any instance, and every crash
+/// takes down all other requests at that endpoint. After three exits in succession the content is
+/// quarantined. Before that, only one attempt runs at a time, so that it costs no more than those
+/// three endpoints.
 pub fn gate(t: &Tables, row: &RequestRow) -> Gate {
     let suspect = row.content_id().and_then(|id| t.suspects.get(id));
     let Some(suspect) = suspect else {
@@ -50,7 +52,7 @@
     }
 }
 
-/// Tells whether another request with the same content is on its way or runs.
+/// Returns whether another request with the same content is being dispatched or is running.
 fn is_running_elsewhere(t: &Tables, row: &RequestRow, content: ContentId) -> bool {
     let is_in_flight =
         |r: &RequestRow| matches!(r.phase, Phase::Dispatching(_) | Phase::Running(_));
@@ -58,15 +60,15 @@
     others.any(|r| r.content_id() == Some(content) && is_in_flight(r))
 }
 
-/// Tells whether a request of which a run broke may be tried once more by ourselves: not while an end
-/// is held against it, since its caller knows better whether it is worth another endpoint.
+/// Returns whether firdock itself may retry a request after a broken run. Once an exit counts
+/// against the content, the caller decides whether it is worth risking another endpoint.
 pub fn may_repeat(t: &Tables, row: &RequestRow) -> bool {
     let suspect = row.content_id().and_then(|id| t.suspects.get(id));
     suspect.is_none_or(|s| s.counted().is_empty())
 }
 
-/// The final answer to a request in quarantine: this try has not run, and no time is known after which
-/// another one would.
+/// Returns the verdict for a quarantined request: this attempt has not run, and no retry time can
+/// be given.
 pub fn verdict() -> Verdict {
     Verdict {
         outcome: Outcome::NotRun,
@@ -75,7 +77,7 @@
     }
 }
 
-/// Ends a held request that is in quarantine: a try that ran nowhere is told so.
+/// Ends a held request that is quarantined, as `not-run` if it never ran.
 pub fn refuse(t: &mut Tables, now: Time, id: RequestId, out: &mut Vec<Action>) {
     let Some(row) = t.requests.get(id) else {
         return;
@@ -88,8 +90,8 @@
     lifecycle::finish_with_verdict(t, now, id, told, out);
 }
 
-/// Takes a run that broke, while its row is still there: where its connection ended early, the
-/// endpoint's end may be held against it.
+/// Handles a broken run whose row still exists: if the connection closed early, an exit of the
+/// endpoint may count against the request.
 pub fn record_broken_run(
     t: &mut Tables,
     now: Time,
@@ -103,10 +105,11 @@
     };
     let e = t.endpoints.get(at);
     if e.leaving(now) {
-        // It said before that it would end.
+        // The endpoint announced that it would exit.
         return;
     }
-    // One whose entry went before left in order; a later start takes the place of a listed one at once.
+    // An endpoint whose entry was removed earlier left in an orderly way; a later start replaces a
+    // listed one immediately.
     let was_listed = e.present
         || e.absent_since
             .is_some_and(|gone| gone + REPLACEMENT_WINDOW > now);
@@ -137,16 +140,16 @@
     Some((row.breaking?, run))
 }
 
-/// Takes it that an endpoint's process has ended; all that broke there was on board.
+/// Handles the exit of an endpoint process: it counts against all runs that broke there.
 pub fn record_exit(t: &mut Tables, now: Time, start: &StartId, out: &mut Vec<Action>) {
     for run in t.endpoint_exits.record_exit(now, start) {
         blame(t, now, &run, run.broke, out);
     }
 }
 
-/// Takes it that entries are gone with this configuration: what broke there before broke with the
-/// endpoint's end, unless it said that it leaves. What breaks later does not count, since an endpoint may
-/// leave so.
+/// Handles entries that this configuration removes: runs that broke there earlier broke because the
+/// endpoint exited, unless it announced that it was leaving. Later breaks do not count, because an
+/// endpoint may leave this way.
 pub fn record_removed_entries(t: &mut Tables, now: Time, out: &mut Vec<Action>) {
     if !t.endpoint_exits.has_runs() {
         return;
@@ -165,24 +168,25 @@
     }
 }
 
-/// Takes it that an endpoint's address takes connections: what broke there until the look began broke for
-/// another reason. Ends that were seen stand: the address may be another start's by now.
+/// Handles an endpoint whose address accepts connections: runs that broke there before the check
+/// started broke for another reason. Exits already recorded remain, because the address may now
+/// belong to a later start.
 pub fn record_open_address(t: &mut Tables, start: &StartId, began: Time) {
     t.endpoint_exits.drop_runs_until(start, began);
 }
 
-/// Takes it that a request was answered whole: the endpoint that ran it lives, so that what was held
-/// against it is void.
+/// Handles a complete answer: the endpoint that ran the request is alive, so all exits recorded
+/// against the content are void.
 pub fn record_answer(t: &mut Tables, now: Time, content: ContentId) {
     t.suspects.clear(now, content, now);
 }
 
-/// Takes an operator's word that a request may go again, for all that ended until then.
+/// Releases content from quarantine on behalf of an operator; exits up to `until` are void.
 pub fn release(t: &mut Tables, now: Time, content: ContentId, until: Time) {
     t.suspects.release(now, content, until);
 }
 
-/// Takes what other instances tell.
+/// Merges suspects reported by other instances.
 pub fn merge_reports(t: &mut Tables, now: Time, told: Vec<SuspectReport>, out: &mut Vec<Action>) {
     for one in told {
         let id = one.content.id;
@@ -199,10 +203,10 @@
     }
 }
 
-/// Does what follows where a request came into quarantine: what is on its way and not written yet is
-/// given back, and what waits is refused. What runs goes on, and speaks for it if it is answered.
+/// Enforces a quarantine: dispatches that have not been written yet are withheld, and held requests
+/// are refused. Running requests continue; a complete answer clears the content.
 fn enforce_quarantine(t: &mut Tables, now: Time, content: ContentId, out: &mut Vec<Action>) {
-    // Members of a coordinator end their requests themselves.
+    // Members of a coordinator end their own requests.
     if t.settings.coordinates || !t.suspects.is_quarantined(content) {
         return;
     }
