--- a/crates/firdock-policy/src/scheduler.rs
+++ b/crates/firdock-policy/src/scheduler.rs
@@ -88,8 +88,8 @@
             Event::Timer => {
                 demand::update_rates(t, now);
                 budget::refresh_budgets(t, now);
-                handover::end_silent(t, now, out);
-                handover::forget_silent(t, now);
+                handover::end_silent_hand_overs(t, now, out);
+                handover::remove_silent_peers(t, now);
                 t.suspects.sweep(now);
                 expire::end_overdue(t, now, out);
                 expire::end_impatient(t, now, out);
--- a/crates/firdock-policy/src/system/admit.rs
+++ b/crates/firdock-policy/src/system/admit.rs
@@ -131,5 +131,5 @@
     let queue = &mut t.services.get_mut(service).queue;
     queue.push(account, row.arrived, id);
     t.requests.insert(row);
-    fair_share::arrived(t, now, id);
+    fair_share::record_arrival(t, now, id);
 }
--- a/crates/firdock-policy/src/system/backoff.rs
+++ b/crates/firdock-policy/src/system/backoff.rs
@@ -17,7 +17,7 @@
 
 /// Time after the first end over which callers are told to come back: about what a burst of callers
 /// took to come, so that they do not all come with those that waited here.
-const RETURN_SPREAD: Duration = Duration::from_secs(1);
+const RETRY_SPREAD: Duration = Duration::from_secs(1);
 
 /// Refuses held requests that cannot wait for the first endpoint that takes requests again.
 pub fn run(t: &mut Tables, now: Time, out: &mut Vec<Action>) {
@@ -25,7 +25,7 @@
         return;
     }
     let over = |r: &&RequestRow| {
-        r.phase == Phase::Held && !coordinate::waits(t, r) && cannot_wait(t, now, r)
+        r.phase == Phase::Held && !coordinate::awaits_placement(t, r) && cannot_wait(t, now, r)
     };
     let ids: Vec<RequestId> = t.requests.iter().filter(over).map(|r| r.new.id).collect();
     for id in ids {
@@ -34,20 +34,20 @@
 }
 
 fn cannot_wait(t: &Tables, now: Time, row: &RequestRow) -> bool {
-    waits_until(t, now, row).is_some_and(|end| end >= expire::latest_send(t, row))
+    earliest_attempt(t, now, row).is_some_and(|end| end >= expire::latest_send(t, row))
 }
 
 /// Gives until when a request waits at least, if all endpoints that could take it want none now.
-pub fn waits_until(t: &Tables, now: Time, row: &RequestRow) -> Option<Time> {
+pub fn earliest_attempt(t: &Tables, now: Time, row: &RequestRow) -> Option<Time> {
     let untried = |e: &EndpointRow| !row.tried.contains(&e.start_id);
-    first_end(t, now, row, untried)
+    earliest_end(t, now, row, untried)
 }
 
 /// Gives when the first endpoint takes requests again, if all that could take this one want none now,
 /// of those that are `wanted`.
 ///
 /// One that takes requests, or is out for its health alone, may have it sooner.
-fn first_end(
+fn earliest_end(
     t: &Tables,
     now: Time,
     row: &RequestRow,
@@ -76,7 +76,7 @@
 /// Gives when the caller of a request should come back, if its endpoints want none now: after the first
 /// end, and each a little apart. Those that had this try of it count too, for the next one is another.
 pub fn retry_after(t: &Tables, now: Time, row: &RequestRow) -> Option<Duration> {
-    let end = first_end(t, now, row, |_| true)?;
+    let end = earliest_end(t, now, row, |_| true)?;
     let part = rendezvous::hash_key(row.new.id.as_bytes()) as f64 / u64::MAX as f64;
-    Some(end.saturating_sub(now) + RETURN_SPREAD.mul_f64(part))
+    Some(end.saturating_sub(now) + RETRY_SPREAD.mul_f64(part))
 }
--- a/crates/firdock-policy/src/system/budget.rs
+++ b/crates/firdock-policy/src/system/budget.rs
@@ -20,15 +20,15 @@
 const BUDGET_PERIOD: Duration = Duration::from_millis(200);
 /// Places of an engine that are given out in calm times, as a part of its slots: instances do not
 /// use all of theirs at one time, and an engine queues the few that meet.
-const CALM_PLACES: f64 = 1.25;
+const CALM_PLACES_PER_SLOT: f64 = 1.25;
 /// The same under load, when all places are used: what an engine queues comes late.
-const BUSY_PLACES: f64 = 1.0;
+const BUSY_PLACES_PER_SLOT: f64 = 1.0;
 /// Part of an instance's places whose use tells that the load is no longer calm.
-const BUSY_PART: f64 = 0.7;
+const BUSY_FRACTION: f64 = 0.7;
 /// How much sooner an instance in the engine's own availability zone gets one of its last places.
-const NEAR_WEIGHT: f64 = 3.0;
+const SAME_ZONE_WEIGHT: f64 = 3.0;
 /// Part of each endpoint that is split evenly, so that a burst finds some room at once.
-const EVEN_PART: f64 = 0.25;
+const EVEN_FRACTION: f64 = 0.25;
 
 /// Sets this instance's budget on every endpoint.
 pub fn set_budgets(t: &mut Tables, now: Time) {
@@ -41,9 +41,9 @@
     let shared: Vec<(usize, &EndpointRow)> = t.endpoints.iter().filter(|(_, e)| own(e)).collect();
     let on = t.settings.mechanisms;
     let budgets = if t.is_single_group() {
-        exact_budgets(&Sharers::new(t, now), on, &shared)
+        exact_budgets(&LiveInstances::new(t, now), on, &shared)
     } else {
-        drawn_budgets(&InstanceTotals::new(t, now), on, &shared)
+        sampled_budgets(&InstanceTotals::new(t, now), on, &shared)
     };
     for (at, budget) in budgets {
         t.endpoints.get_mut(at).budget = budget;
@@ -52,15 +52,15 @@
 
 /// Gives budgets that add up to each engine's places over all instances: each reckons the parts of all.
 fn exact_budgets(
-    sharers: &Sharers,
+    instances: &LiveInstances,
     on: Mechanisms,
     endpoints: &[(usize, &EndpointRow)],
 ) -> Vec<(usize, u32)> {
-    let parts: Vec<Vec<f64>> = endpoints.iter().map(|(_, e)| sharers.shares(e)).collect();
+    let parts: Vec<Vec<f64>> = endpoints.iter().map(|(_, e)| instances.shares(e)).collect();
     let own = parts.iter().map(|of_all| of_all[0]);
-    let places = places_part(endpoints, own);
+    let places = places_per_slot(endpoints, own);
     let rows = endpoints.iter().zip(&parts);
-    rows.map(|((at, e), of_all)| (*at, sharers.budget(on, places, e, of_all)))
+    rows.map(|((at, e), of_all)| (*at, instances.budget(on, places, e, of_all)))
         .collect()
 }
 
@@ -69,7 +69,7 @@
 /// To reckon the parts of all instances at each endpoint took 300 instances before 3,000 endpoints a
 /// million draws each 0.2 s, by reckoning all of an eighth of a core, for as long as no coordinator
 /// answers: right after a start, when there is most to do.
-fn drawn_budgets(
+fn sampled_budgets(
     totals: &InstanceTotals,
     on: Mechanisms,
     endpoints: &[(usize, &EndpointRow)],
@@ -80,12 +80,12 @@
         let part = by_pool.entry(&e.declared.pool);
         parts.push(*part.or_insert_with(|| totals.own_share(e)));
     }
-    let places = places_part(endpoints, parts.iter().copied());
+    let places = places_per_slot(endpoints, parts.iter().copied());
     let mut by_zone: HashMap<&str, f64> = HashMap::new();
     let rows = endpoints.iter().zip(&parts);
     rows.map(|((at, e), part)| {
         let near = by_zone.entry(&e.declared.zone);
-        let near = *near.or_insert_with(|| totals.near_part(&e.declared.zone));
+        let near = *near.or_insert_with(|| totals.zone_factor(&e.declared.zone));
         (*at, totals.budget(on, places * near, e, *part))
     })
     .collect()
@@ -102,7 +102,7 @@
 
 /// Gives how many places an engine has for each slot: fewer once this instance uses most of its own, which
 /// are so large a part of each endpoint's.
-fn places_part(endpoints: &[(usize, &EndpointRow)], shares: impl Iterator<Item = f64>) -> f64 {
+fn places_per_slot(endpoints: &[(usize, &EndpointRow)], shares: impl Iterator<Item = f64>) -> f64 {
     let (mut used, mut own) = (0.0, 0.0);
     for ((_, e), share) in endpoints.iter().zip(shares) {
         if e.is_engine() && e.present {
@@ -110,29 +110,29 @@
             own += f64::from(e.declared.slots) * share;
         }
     }
-    if used < BUSY_PART * own {
-        CALM_PLACES
+    if used < BUSY_FRACTION * own {
+        CALM_PLACES_PER_SLOT
     } else {
-        BUSY_PLACES
+        BUSY_PLACES_PER_SLOT
     }
 }
 
 /// One instance that uses the endpoints, this one or a peer that is heard.
-struct Sharer {
+struct InstanceDemand {
     name: InstanceId,
     zone: ZoneId,
     demand: BTreeMap<PoolId, f64>,
 }
 
 /// The instances that use the endpoints; the first is this one.
-struct Sharers {
-    rows: Vec<Sharer>,
+struct LiveInstances {
+    rows: Vec<InstanceDemand>,
     by_demand: bool,
 }
 
-impl Sharers {
+impl LiveInstances {
     fn new(t: &Tables, now: Time) -> Self {
-        let own = Sharer {
+        let own = InstanceDemand {
             name: t.settings.member.name.clone(),
             zone: t.settings.zone.clone(),
             demand: by_pool(t),
@@ -141,12 +141,12 @@
             .peers
             .iter()
             .filter(|(_, p)| t.is_live(p, now) && !p.draining)
-            .map(|(_, p)| Sharer {
+            .map(|(_, p)| InstanceDemand {
                 name: p.name.clone(),
                 zone: p.zone.clone(),
                 demand: p.demand.clone(),
             });
-        let rows: Vec<Sharer> = std::iter::once(own).chain(peers).collect();
+        let rows: Vec<InstanceDemand> = std::iter::once(own).chain(peers).collect();
         Self {
             rows,
             by_demand: t.settings.mechanisms.demand_shares,
@@ -179,15 +179,15 @@
 
     /// Gives this instance whole places; those nearby get the last ones sooner.
     fn integer_budgets(&self, shares: &[f64], places: f64, e: &EndpointRow) -> u32 {
-        let part = |(row, share): (&'_ Sharer, &f64)| {
+        let part = |(row, share): (&'_ InstanceDemand, &f64)| {
             let near = row.zone == e.declared.zone;
-            Part {
+            Allotment {
                 name: row.name.clone(),
                 share: *share,
-                weight: if near { NEAR_WEIGHT } else { 1.0 },
+                weight: if near { SAME_ZONE_WEIGHT } else { 1.0 },
             }
         };
-        let parts: Vec<Part> = self.rows.iter().zip(shares).map(part).collect();
+        let parts: Vec<Allotment> = self.rows.iter().zip(shares).map(part).collect();
         integer_budgets(&parts, 0, places, e)
     }
 }
@@ -201,12 +201,12 @@
 /// Gives an instance's part of an endpoint, from 0 to 1, by its demand and that of all of so many.
 fn demand_share(own: f64, total: f64, of: usize) -> f64 {
     let even = 1.0 / of as f64;
-    EVEN_PART * even + (1.0 - EVEN_PART) * own / total
+    EVEN_FRACTION * even + (1.0 - EVEN_FRACTION) * own / total
 }
 
 /// One sharer's part of an endpoint.
 #[derive(Debug)]
-struct Part {
+struct Allotment {
     name: String,
     /// From 0 to 1; those of all sharers add up to 1.
     share: f64,
@@ -219,15 +219,15 @@
 /// Each gets the whole part of its share. The places that are left go by weighted rendezvous: to
 /// the sharers with the greatest numbers that are drawn from the names and weighted by what they
 /// still lack. All instances draw alike, without talking.
-fn integer_budgets(parts: &[Part], own: usize, places: f64, e: &EndpointRow) -> u32 {
-    let whole = |part: &Part| (places * part.share).floor();
+fn integer_budgets(parts: &[Allotment], own: usize, places: f64, e: &EndpointRow) -> u32 {
+    let whole = |part: &Allotment| (places * part.share).floor();
     let left = places - parts.iter().map(whole).sum::<f64>();
     let key = rendezvous::hash_key(e.declared.name.as_bytes());
-    let draw = |part: &Part| {
-        let lacks = places * part.share - whole(part);
+    let draw = |part: &Allotment| {
+        let remainder = places * part.share - whole(part);
         let number = rendezvous::weight(key, &part.name) as f64 / u64::MAX as f64;
         let log = number.clamp(f64::MIN_POSITIVE, 1.0 - f64::EPSILON).ln();
-        -lacks * part.weight / log
+        -remainder * part.weight / log
     };
     let draws: Vec<f64> = parts.iter().map(draw).collect();
     let before = draws.iter().filter(|d| **d > draws[own]).count();
--- a/crates/firdock-policy/src/system/budget/group.rs
+++ b/crates/firdock-policy/src/system/budget/group.rs
@@ -8,7 +8,7 @@
 
 use firdock_core::{PoolId, ZoneId};
 
-use super::{Part, integer_budgets};
+use super::{Allotment, integer_budgets};
 use crate::system::demand::on_endpoint;
 use crate::system::rollout;
 use crate::table::Tables;
@@ -16,11 +16,11 @@
 use crate::time::Time;
 
 /// Demand a second of a group that is not told any: it may begin to have some.
-const LEAST_DEMAND: f64 = 0.1;
+const MIN_DEMAND: f64 = 0.1;
 
 /// Sets the group's budget on every endpoint.
 pub fn set_budgets(t: &mut Tables, now: Time) {
-    let zones = zones(t, now);
+    let zones = demand_by_zone(t, now);
     let own = zones.keys().position(|zone| *zone == t.settings.zone);
     let shared = own.filter(|_| !t.is_single_group());
     let budgets: Vec<(usize, u32)> = match shared {
@@ -37,11 +37,11 @@
 }
 
 /// Demand by pool of the instances of each availability zone.
-type Zones = BTreeMap<ZoneId, BTreeMap<PoolId, f64>>;
+type DemandByZone = BTreeMap<ZoneId, BTreeMap<PoolId, f64>>;
 
 /// Gives the demand of each availability zone whose instances are heard; the own one is among them.
-fn zones(t: &Tables, now: Time) -> Zones {
-    let mut zones = Zones::new();
+fn demand_by_zone(t: &Tables, now: Time) -> DemandByZone {
+    let mut zones = DemandByZone::new();
     zones.entry(t.settings.zone.clone()).or_default();
     let heard = t
         .peers
@@ -63,7 +63,7 @@
 }
 
 /// Gives the own group's places on every endpoint.
-fn shared_budgets(t: &Tables, zones: &Zones, own: usize) -> Vec<(usize, u32)> {
+fn shared_budgets(t: &Tables, zones: &DemandByZone, own: usize) -> Vec<(usize, u32)> {
     // Both versions of a roll-out are shared by themselves: requests of one cannot use the other's.
     let mut pools: BTreeMap<(&str, bool), Vec<(usize, &EndpointRow)>> = BTreeMap::new();
     for (at, e) in t.endpoints.iter() {
@@ -72,15 +72,15 @@
     }
     let mut budgets = Vec::new();
     for endpoints in pools.values() {
-        let split = Split::new(zones, endpoints);
+        let split = PoolSplit::new(zones, endpoints);
         for (at, e) in endpoints {
             let shares = zones.keys().zip(split.shares(&e.declared.zone));
-            let part = |(zone, share): (&ZoneId, f64)| Part {
+            let part = |(zone, share): (&ZoneId, f64)| Allotment {
                 name: zone.clone(),
                 share,
                 weight: 1.0,
             };
-            let parts: Vec<Part> = shares.map(part).collect();
+            let parts: Vec<Allotment> = shares.map(part).collect();
             let places = f64::from(e.declared.slots);
             budgets.push((*at, integer_budgets(&parts, own, places, e)));
         }
@@ -90,8 +90,8 @@
 
 /// How the groups share the engines of one pool; rows are in the order of their zones' names.
 #[derive(Debug)]
-struct Split {
-    rows: Vec<Row>,
+struct PoolSplit {
+    rows: Vec<GroupRow>,
     /// Places in zones without instances of ours.
     elsewhere: f64,
 }
@@ -105,42 +105,42 @@
 
 /// One group's part.
 #[derive(Debug)]
-struct Row {
+struct GroupRow {
     zone: ZoneId,
     /// Places in its zone.
     capacity: f64,
     /// Places in its zone that it takes.
     own: f64,
     /// Places that it takes elsewhere.
-    lacks: f64,
+    shortfall: f64,
 }
 
-impl Row {
-    fn left(&self) -> f64 {
+impl GroupRow {
+    fn spare(&self) -> f64 {
         self.capacity - self.own
     }
 }
 
-impl Split {
-    fn new(zones: &Zones, endpoints: &[(usize, &EndpointRow)]) -> Self {
+impl PoolSplit {
+    fn new(zones: &DemandByZone, endpoints: &[(usize, &EndpointRow)]) -> Self {
         let all = open_slots(endpoints, |_| true);
         let demand = |rates: &BTreeMap<PoolId, f64>| match endpoints.first() {
-            Some((_, e)) => on_endpoint(rates, e).max(LEAST_DEMAND),
-            None => LEAST_DEMAND,
+            Some((_, e)) => on_endpoint(rates, e).max(MIN_DEMAND),
+            None => MIN_DEMAND,
         };
         let total: f64 = zones.values().map(demand).sum();
         let row = |(zone, rates): (&ZoneId, &BTreeMap<PoolId, f64>)| {
             let capacity = open_slots(endpoints, |e| e.declared.zone == *zone);
             let right = all * demand(rates) / total;
             let own = right.min(capacity);
-            Row {
+            GroupRow {
                 zone: zone.clone(),
                 capacity,
                 own,
-                lacks: right - own,
+                shortfall: right - own,
             }
         };
-        let rows: Vec<Row> = zones.iter().map(row).collect();
+        let rows: Vec<GroupRow> = zones.iter().map(row).collect();
         let known: f64 = rows.iter().map(|r| r.capacity).sum();
         Self {
             rows,
@@ -150,18 +150,18 @@
 
     /// Gives each group's share of the engines in a zone, from 0 to 1.
     fn shares(&self, zone: &str) -> Vec<f64> {
-        let left: f64 = self.rows.iter().map(Row::left).sum::<f64>() + self.elsewhere;
-        let lacking: f64 = self.rows.iter().map(|r| r.lacks).sum();
+        let left: f64 = self.rows.iter().map(GroupRow::spare).sum::<f64>() + self.elsewhere;
+        let lacking: f64 = self.rows.iter().map(|r| r.shortfall).sum();
         let here = self.rows.iter().find(|r| r.zone == zone);
-        let free = here.map_or(1.0, |r| r.left() / r.capacity.max(1.0));
-        let share = |r: &Row| {
+        let free = here.map_or(1.0, |r| r.spare() / r.capacity.max(1.0));
+        let share = |r: &GroupRow| {
             let own = if r.zone == zone {
                 r.own / r.capacity.max(1.0)
             } else {
                 0.0
             };
             let taken = if left > 0.0 && lacking > 0.0 {
-                free * r.lacks / lacking
+                free * r.shortfall / lacking
             } else {
                 0.0
             };
--- a/crates/firdock-policy/src/system/budget/totals.rs
+++ b/crates/firdock-policy/src/system/budget/totals.rs
@@ -6,7 +6,7 @@
 use firdock_core::PoolId;
 use firdock_core::rendezvous;
 
-use super::{NEAR_WEIGHT, demand_share, rounded_places};
+use super::{SAME_ZONE_WEIGHT, demand_share, rounded_places};
 use crate::settings::Mechanisms;
 use crate::system::demand::{by_pool, on_endpoint};
 use crate::system::limit::live_and_known;
@@ -25,7 +25,7 @@
     count: usize,
     zones: HashMap<&'a str, usize>,
     /// Those that are not heard; in which zones they are is not known.
-    unheard: usize,
+    unobserved: usize,
     by_demand: bool,
 }
 
@@ -40,7 +40,7 @@
             own,
             count: 1,
             zones: HashMap::from([(zone, 1)]),
-            unheard: 0,
+            unobserved: 0,
             by_demand: t.settings.mechanisms.demand_shares,
         };
         let heard = t.peers.iter().filter(|(_, p)| t.is_live(p, now));
@@ -55,13 +55,13 @@
                 }
             }
         }
-        totals.grow_to(live_and_known(t, now).0);
+        totals.scale_to(live_and_known(t, now).0);
         totals
     }
 
     /// Takes it that there are so many instances, of which those that are heard stand for all: of very
     /// many, only the own group is.
-    fn grow_to(&mut self, count: usize) {
+    fn scale_to(&mut self, count: usize) {
         let others = count.saturating_sub(self.count);
         if others == 0 {
             return;
@@ -71,7 +71,7 @@
             *rate *= times;
         }
         self.count = count;
-        self.unheard = others;
+        self.unobserved = others;
     }
 
     /// Gives this instance's part of an endpoint, from 0 to 1.
@@ -96,10 +96,10 @@
 
     /// Gives how many instances an availability zone has: one whose instances are not heard is taken to
     /// have as many as the own.
-    fn near(&self, zone: &str) -> f64 {
+    fn instances_in_zone(&self, zone: &str) -> f64 {
         let heard = self.zones.get(zone).copied().unwrap_or(0);
         let like_own = self.zones.get(self.zone).copied().unwrap_or(0);
-        if self.unheard > 0 {
+        if self.unobserved > 0 {
             heard.max(like_own) as f64
         } else {
             heard as f64
@@ -108,11 +108,15 @@
 
     /// Gives how much more than its even part an instance gets of an endpoint that is near, or how much
     /// less of one that is far, so that all get one part in the mean.
-    pub(super) fn near_part(&self, zone: &str) -> f64 {
-        let near = self.near(zone);
+    pub(super) fn zone_factor(&self, zone: &str) -> f64 {
+        let near = self.instances_in_zone(zone);
         let all = self.count as f64;
-        let mean = (near * NEAR_WEIGHT + (all - near)) / all;
-        let weight = if self.zone == zone { NEAR_WEIGHT } else { 1.0 };
+        let mean = (near * SAME_ZONE_WEIGHT + (all - near)) / all;
+        let weight = if self.zone == zone {
+            SAME_ZONE_WEIGHT
+        } else {
+            1.0
+        };
         weight / mean
     }
 }
--- a/crates/firdock-policy/src/system/config.rs
+++ b/crates/firdock-policy/src/system/config.rs
@@ -21,9 +21,9 @@
     apply_accounts(t, now, catalog);
     apply_endpoints(t, now, catalog, out);
     apply_services(t, catalog);
-    link(t);
+    link_endpoints(t);
     rollout::apply(t, now, catalog);
-    sweep(t, now);
+    remove_unused(t, now);
     limit::forget_unlimited(t);
     budget::set_budgets(t, now);
 }
@@ -84,7 +84,7 @@
 }
 
 /// Links services to the rows of their endpoints: those that name the service, and those of its pools.
-fn link(t: &mut Tables) {
+fn link_endpoints(t: &mut Tables) {
     let mut by_service: HashMap<&str, Vec<usize>> = HashMap::new();
     let mut by_pool: HashMap<&str, Vec<usize>> = HashMap::new();
     for (at, e) in t.endpoints.iter().filter(|(_, e)| e.present) {
@@ -107,7 +107,7 @@
 }
 
 /// Removes rows that are neither declared nor referred to, and of which nothing is to be kept.
-fn sweep(t: &mut Tables, now: Time) {
+fn remove_unused(t: &mut Tables, now: Time) {
     t.services.remove_if(|s| !s.present && s.live == 0);
     t.accounts.remove_if(|a| !a.present && a.live == 0);
     // Services were linked to present endpoints only.
--- a/crates/firdock-policy/src/system/coordinate.rs
+++ b/crates/firdock-policy/src/system/coordinate.rs
@@ -26,7 +26,7 @@
 }
 
 /// Tells whether a held request waits for the coordinator to place it.
-pub fn waits(t: &Tables, row: &RequestRow) -> bool {
+pub fn awaits_placement(t: &Tables, row: &RequestRow) -> bool {
     t.coordinated && place::engine_for(t, row).is_some()
 }
 
@@ -37,8 +37,9 @@
     }
     let open =
         |r: &RequestRow| r.phase == Phase::Held && r.placement == PlacementState::NotRequested;
-    let new =
-        |r: &&RequestRow| open(r) && waits(t, r) && suspect::gate(t, r) != Gate::DuplicateRunning;
+    let new = |r: &&RequestRow| {
+        open(r) && awaits_placement(t, r) && suspect::gate(t, r) != Gate::DuplicateRunning
+    };
     let ids: Vec<RequestId> = t.requests.iter().filter(new).map(|r| r.new.id).collect();
     for id in ids {
         if let Some(row) = t.requests.get_mut(id) {
@@ -77,7 +78,7 @@
             return;
         }
     } else {
-        give_back(t, now, grant);
+        reopen_placement(t, now, grant);
     }
     out.push(Action::Decline(grant.clone()));
 }
@@ -86,7 +87,7 @@
 ///
 /// The engine is named, so that it is not given again; not so where it only wants nothing for a while,
 /// or the request waits for another try of itself: it may go there at the end of that.
-fn give_back(t: &mut Tables, now: Time, grant: &Grant) {
+fn reopen_placement(t: &mut Tables, now: Time, grant: &Grant) {
     let at = t.endpoints.find_start(&grant.endpoint);
     let closed = at.and_then(|at| t.endpoints.get(at).check_available("", now).err());
     let row = t.requests.get(grant.id);
@@ -123,7 +124,7 @@
         return;
     };
     if t.requests
-        .holds_below(fair_share::rank_refused(t, row, verdict.reason))
+        .holds_below(fair_share::refused_rank(t, row, verdict.reason))
     {
         return;
     }
--- a/crates/firdock-policy/src/system/dispatch_updates.rs
+++ b/crates/firdock-policy/src/system/dispatch_updates.rs
@@ -32,7 +32,7 @@
         } => {
             ended(t, now, e.id, at, prompt, cached, output);
         }
-        DispatchUpdate::Failed => rollout::failed(t, e.id),
+        DispatchUpdate::Failed => rollout::record_failure(t, e.id),
         DispatchUpdate::FailureKept => failure_kept(t, e.id),
         DispatchUpdate::Unproven => unproven(t, e.id),
         DispatchUpdate::Unresumable => unresumable(t, e.id),
@@ -210,7 +210,7 @@
     output: u32,
 ) {
     first_token(t, now, id, at, cached);
-    rollout::ended(t, now, id, at, output);
+    rollout::record_answer(t, now, id, at, output);
     let Some(row) = t.requests.get(id) else {
         return;
     };
@@ -263,7 +263,7 @@
     out: &mut Vec<Action>,
 ) {
     lifecycle::count_waste(t, id, WasteCause::EndpointLost);
-    rollout::lost(t, id, at);
+    rollout::record_lost(t, id, at);
     if !is_backing_off(t, now, id, at) {
         health::record_broken_dispatch(t, now, at);
     }
--- a/crates/firdock-policy/src/system/drain.rs
+++ b/crates/firdock-policy/src/system/drain.rs
@@ -26,7 +26,7 @@
         .map(|r| r.new.id)
         .collect();
     for id in ids {
-        handover::to_any(t, now, id, out);
+        handover::to_any_peer(t, now, id, out);
     }
     if t.requests.is_empty() && !t.drained {
         t.drained = true;
--- a/crates/firdock-policy/src/system/early_refusal.rs
+++ b/crates/firdock-policy/src/system/early_refusal.rs
@@ -14,9 +14,9 @@
 use crate::time::Time;
 
 /// Part of the target within which a request has to be sent, so that its answer begins in time.
-const SEND_WITHIN: f64 = 0.8;
+const SEND_DEADLINE_FRACTION: f64 = 0.8;
 /// Least dispatches a second that are reckoned with, so that a pool at rest is given a try.
-const LEAST_PACE: f64 = 1.0;
+const MIN_DISPATCH_RATE: f64 = 1.0;
 
 /// Refuses held requests that the queue before them keeps from beginning in time.
 pub fn run(t: &mut Tables, now: Time, out: &mut Vec<Action>) {
@@ -29,13 +29,13 @@
     let waits = |r: &&RequestRow| {
         r.phase == Phase::Held
             && !r.may_have_run()
-            && !coordinate::waits(t, r)
-            && backoff::waits_until(t, now, r).is_none()
+            && !coordinate::awaits_placement(t, r)
+            && backoff::earliest_attempt(t, now, r).is_none()
     };
     let held: Vec<&RequestRow> = t.requests.iter().filter(waits).collect();
-    for row in fair_share::in_order(t, now, held) {
+    for row in fair_share::in_service_order(t, now, held) {
         let before = ahead.entry(row.pool_key()).or_default();
-        if is_hopeless(t, now, row, *before) {
+        if cannot_start_in_time(t, now, row, *before) {
             hopeless.push((row.rank, row.new.id));
         } else {
             *before += 1;
@@ -43,7 +43,7 @@
     }
     // The last in order of a tier goes first.
     hopeless.reverse();
-    shed::lowest_first(t, now, hopeless, fair_share::reason, out);
+    shed::lowest_first(t, now, hopeless, fair_share::refusal_reason, out);
 }
 
 /// Tells whether `before` requests that go first leave too little of the target.
@@ -51,11 +51,11 @@
 /// A request that is past its target has lost what it could lose; it goes on waiting behind those
 /// that have not, until its caller leaves. One beyond its account's share does not: while it is held,
 /// none of the higher tiers, which are within theirs, could be told in time that it has to go elsewhere.
-fn is_hopeless(t: &Tables, now: Time, row: &RequestRow, before: u32) -> bool {
+fn cannot_start_in_time(t: &Tables, now: Time, row: &RequestRow, before: u32) -> bool {
     let target = t.services.get(row.service).tier.target();
     let age = now.saturating_sub(row.arrived);
     if age > target {
-        return fair_share::is_behind(row);
+        return fair_share::is_demoted(row);
     }
     let pace = if t.settings.account_shares.is_on() {
         t.dispatch_rates.rate_from(row.pool_key(), row.rank)
@@ -65,6 +65,6 @@
     let Some(pace) = pace else {
         return false;
     };
-    let wait = age.as_secs_f64() + f64::from(before) / pace.max(LEAST_PACE);
-    wait > target.as_secs_f64() * SEND_WITHIN
+    let wait = age.as_secs_f64() + f64::from(before) / pace.max(MIN_DISPATCH_RATE);
+    wait > target.as_secs_f64() * SEND_DEADLINE_FRACTION
 }
--- a/crates/firdock-policy/src/system/expire.rs
+++ b/crates/firdock-policy/src/system/expire.rs
@@ -10,7 +10,7 @@
 
 /// Part of the time after which a caller leaves at which a held request is given up: the answer has
 /// to reach the caller before.
-const WAIT_PART: f64 = 0.9;
+const PATIENCE_FRACTION: f64 = 0.9;
 
 /// Puts requests that waited past their tier's target behind those that can still meet it.
 pub fn put_late_last(t: &mut Tables, now: Time) {
@@ -58,17 +58,19 @@
     if !t.settings.mechanisms.early_refusal {
         return;
     }
-    let leaving = held_where(t, |r| last_wait(t, r) <= now);
-    shed::lowest_first(t, now, leaving, waited, out);
+    let leaving = held_where(t, |r| patience_end(t, r) <= now);
+    shed::lowest_first(t, now, leaving, waited_too_long, out);
 }
 
 /// Gives until when a held request is worth waiting: just before its caller leaves, or until half
 /// of its time is gone and an endpoint would have too little left.
-fn last_wait(t: &Tables, row: &RequestRow) -> Time {
+fn patience_end(t: &Tables, row: &RequestRow) -> Time {
     let half = row.deadline.map(|by| by.saturating_sub(row.arrived) / 2);
     let patience = t.services.get(row.service).declared.patience();
     let limit = [half, patience].into_iter().flatten().min();
-    limit.map_or(Time::MAX, |limit| row.arrived + limit.mul_f64(WAIT_PART))
+    limit.map_or(Time::MAX, |limit| {
+        row.arrived + limit.mul_f64(PATIENCE_FRACTION)
+    })
 }
 
 /// Gives until when a held request can be sent at all before it is given up.
@@ -78,7 +80,7 @@
     let limits = [
         Some(wait),
         row.deadline,
-        impatient.then(|| last_wait(t, row)),
+        impatient.then(|| patience_end(t, row)),
     ];
     limits.into_iter().flatten().min().unwrap_or(wait)
 }
@@ -90,7 +92,7 @@
 pub fn end_expired(t: &mut Tables, now: Time, out: &mut Vec<Action>) {
     let wait = |r: &RequestRow| t.services.get(r.service).tier.wait();
     let late = held_where(t, |r| r.arrived + wait(r) <= now);
-    shed::lowest_first(t, now, late, waited, out);
+    shed::lowest_first(t, now, late, waited_too_long, out);
     let limit = now.saturating_sub(t.settings.key_retention);
     t.transfers.expire(limit);
     for id in t.keys.expire(limit) {
@@ -99,7 +101,7 @@
 }
 
 /// Gives the reason of what waited too long, whoever's it is.
-fn waited(_: &Tables, _: Time, _: RequestId) -> Reason {
+fn waited_too_long(_: &Tables, _: Time, _: RequestId) -> Reason {
     Reason::WaitedTooLong
 }
 
--- a/crates/firdock-policy/src/system/fair_share.rs
+++ b/crates/firdock-policy/src/system/fair_share.rs
@@ -23,29 +23,29 @@
 use crate::time::Time;
 
 /// Units of [`Start`] in a second of work.
-const MICROS: f64 = 1e6;
+const MICROS_PER_SEC: f64 = 1e6;
 /// Part of its share by which an account has to be over it before a refusal says so: estimates of
 /// work are off by that much, and a caller within its share is not to read that it was beyond.
 pub const OVER_SHARE_FACTOR: f64 = 1.05;
 
 /// Age from which a request that a member tells its coordinator of was told before: the first word goes
 /// out at once, whole reports a tenth of a second apart.
-const FIRST_WORD: Time = Time::from_millis(80);
+const FIRST_REPORT_AGE: Time = Time::from_millis(80);
 
 /// Work that an account had lately, and has waiting before a request, for its weight; in microseconds.
-type Start = u64;
+type StartTag = u64;
 
 /// Place of a request among those that wait: those that are kept and sent first come first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Order {
+pub struct ServiceOrder {
     rank: TierRank,
-    start: Start,
+    start: StartTag,
     arrived: Time,
 }
 
 /// Gives the place of a request: by rank, then by how much its account had, then by arrival.
-fn order(row: &RequestRow, start: Start) -> Order {
-    Order {
+fn order_of(row: &RequestRow, start: StartTag) -> ServiceOrder {
+    ServiceOrder {
         rank: row.rank,
         start,
         arrived: row.arrived,
@@ -55,24 +55,24 @@
 /// Puts held requests in the order in which they are kept; the last is refused first.
 ///
 /// Where accounts have no shares, it is by rank and arrival alone.
-pub fn in_order<'a>(
+pub fn in_service_order<'a>(
     t: &'a Tables,
     now: Time,
     mut held: Vec<&'a RequestRow>,
 ) -> Vec<&'a RequestRow> {
     if !t.settings.account_shares.is_on() {
-        held.sort_by_key(|r| order(r, 0));
+        held.sort_by_key(|r| order_of(r, 0));
         return held;
     }
     held.sort_by_key(|r| (r.rank, is_late(t, now, r), r.arrived));
     let mut ahead: HashMap<(&str, usize, TierRank), f64> = HashMap::new();
-    let mut placed: Vec<(bool, Order, &RequestRow)> = Vec::with_capacity(held.len());
+    let mut placed: Vec<(bool, ServiceOrder, &RequestRow)> = Vec::with_capacity(held.len());
     for row in held {
         let key = (row.pool_key(), row.account, row.rank);
-        let before = ahead.entry(key).or_insert_with(|| done(t, now, row));
-        let start = start(t, row.account, *before);
-        *before += work(t, row);
-        placed.push((is_late(t, now, row), order(row, start), row));
+        let before = ahead.entry(key).or_insert_with(|| work_done(t, now, row));
+        let start = start_tag(t, row.account, *before);
+        *before += expected_work(t, row);
+        placed.push((is_late(t, now, row), order_of(row, start), row));
     }
     placed.sort_by_key(|(late, order, _)| (order.rank, *late, *order));
     placed.into_iter().map(|(_, _, row)| row).collect()
@@ -82,18 +82,18 @@
 pub fn sort_heads(t: &Tables, now: Time, heads: &mut [(usize, RequestId)]) {
     let key = |id: &RequestId| {
         let row = t.requests.get(*id)?;
-        let start = start(t, row.account, done(t, now, row));
-        Some((is_late(t, now, row), order(row, start)))
+        let start = start_tag(t, row.account, work_done(t, now, row));
+        Some((is_late(t, now, row), order_of(row, start)))
     };
     heads.sort_by_cached_key(|(_, id)| key(id));
 }
 
 /// Gives the held request of the lowest rank that is to go first when too much is held.
-pub fn furthest_over(t: &Tables, now: Time) -> Option<RequestId> {
+pub fn most_over_share(t: &Tables, now: Time) -> Option<RequestId> {
     let rank = t.requests.lowest_held()?;
     let lowest = |r: &&RequestRow| r.phase == Phase::Held && r.rank == rank;
     let held = t.requests.iter().filter(lowest).collect();
-    in_order(t, now, held).last().map(|r| r.new.id)
+    in_service_order(t, now, held).last().map(|r| r.new.id)
 }
 
 /// Notes at a dispatch the work that its endpoint will do.
@@ -104,8 +104,8 @@
     let Some(row) = t.requests.get(id) else {
         return;
     };
-    let secs = work(t, row);
-    book(t, now, id, secs);
+    let secs = expected_work(t, row);
+    add_work(t, now, id, secs);
     if let Some(row) = t.requests.get_mut(id) {
         row.charged_work = secs;
     }
@@ -116,27 +116,27 @@
     let Some(row) = t.requests.get(id).filter(|r| r.charged_work > 0.0) else {
         return;
     };
-    let more = work_of(t, row, f64::from(output)) - row.charged_work;
-    book(t, now, id, more);
-    clear(t, id);
+    let more = declared_work(t, row, f64::from(output)) - row.charged_work;
+    add_work(t, now, id, more);
+    clear_charge(t, id);
 }
 
 /// Takes back the work of a dispatch that ran nowhere.
 pub fn refund(t: &mut Tables, now: Time, id: RequestId) {
     let charged = t.requests.get(id).map_or(0.0, |r| r.charged_work);
     if charged > 0.0 {
-        book(t, now, id, -charged);
-        clear(t, id);
+        add_work(t, now, id, -charged);
+        clear_charge(t, id);
     }
 }
 
-fn clear(t: &mut Tables, id: RequestId) {
+fn clear_charge(t: &mut Tables, id: RequestId) {
     if let Some(row) = t.requests.get_mut(id) {
         row.charged_work = 0.0;
     }
 }
 
-fn book(t: &mut Tables, now: Time, id: RequestId, secs: f64) {
+fn add_work(t: &mut Tables, now: Time, id: RequestId, secs: f64) {
     if let Some(row) = t.requests.get(id) {
         let account = t.accounts.get_mut(row.account);
         account
@@ -146,22 +146,22 @@
 }
 
 /// Gives the work that an endpoint as declared does for a request, in seconds.
-fn work(t: &Tables, row: &RequestRow) -> f64 {
+fn expected_work(t: &Tables, row: &RequestRow) -> f64 {
     let output = cost::expected_output(row, t.services.get(row.service));
-    work_of(t, row, output)
+    declared_work(t, row, output)
 }
 
-fn work_of(t: &Tables, row: &RequestRow, output: f64) -> f64 {
+fn declared_work(t: &Tables, row: &RequestRow, output: f64) -> f64 {
     let endpoint = place::eligible_endpoints(t, row).next();
     endpoint.map_or(0.0, |e| cost::declared_secs(row, e, output))
 }
 
 /// Gives what the account of a request had lately in requests of its rank and above, by all groups.
-fn done(t: &Tables, now: Time, row: &RequestRow) -> f64 {
-    done_up_to(t, now, row.account, row.pool_key(), row.rank)
+fn work_done(t: &Tables, now: Time, row: &RequestRow) -> f64 {
+    work_done_up_to(t, now, row.account, row.pool_key(), row.rank)
 }
 
-fn done_up_to(t: &Tables, now: Time, account: usize, pool: &str, rank: TierRank) -> f64 {
+fn work_done_up_to(t: &Tables, now: Time, account: usize, pool: &str, rank: TierRank) -> f64 {
     let row = t.accounts.get(account);
     let told = t
         .reported_work
@@ -170,8 +170,8 @@
     row.work.done(now, pool, rank) + elsewhere
 }
 
-fn start(t: &Tables, account: usize, secs: f64) -> Start {
-    (secs * MICROS / t.accounts.get(account).weight) as Start
+fn start_tag(t: &Tables, account: usize, secs: f64) -> StartTag {
+    (secs * MICROS_PER_SEC / t.accounts.get(account).weight) as StartTag
 }
 
 /// Tells whether a request can no longer begin within its target; it goes after those that can.
@@ -184,7 +184,7 @@
 ///
 /// A request that a member keeps although its coordinator refused it is told of again in each whole
 /// report; it asks once.
-pub fn arrived(t: &mut Tables, now: Time, id: RequestId) {
+pub fn record_arrival(t: &mut Tables, now: Time, id: RequestId) {
     let Some(row) = t
         .requests
         .get(id)
@@ -192,11 +192,11 @@
     else {
         return;
     };
-    let told_again = row.arrived + FIRST_WORD <= now;
+    let told_again = row.arrived + FIRST_REPORT_AGE <= now;
     if t.settings.coordinates && told_again {
         return;
     }
-    let secs = work(t, row);
+    let secs = expected_work(t, row);
     let account = t.accounts.get_mut(row.account);
     account
         .work
@@ -212,8 +212,8 @@
 /// An instance that asks a coordinator leaves that to it, since it sees few of the requests.
 #[must_use]
 pub fn rank(t: &Tables, now: Time, row: &RequestRow) -> TierRank {
-    let waits = coordinate::waits(t, row) && !t.settings.coordinates;
-    if waits || !t.settings.account_shares.is_over_tiers() || !is_over(t, now, row, 1.0) {
+    let waits = coordinate::awaits_placement(t, row) && !t.settings.coordinates;
+    if waits || !t.settings.account_shares.is_over_tiers() || !exceeds_share(t, now, row, 1.0) {
         return row.rank;
     }
     let account = t.accounts.get(row.account).rank;
@@ -221,13 +221,13 @@
 }
 
 /// Tells whether a request was put behind the lower tiers of other accounts.
-pub fn is_behind(row: &RequestRow) -> bool {
+pub fn is_demoted(row: &RequestRow) -> bool {
     row.rank > row.declared_rank
 }
 
 /// Gives the rank in which a coordinator refused a request of this instance, which may have seen that
 /// its account had its share.
-pub fn rank_refused(t: &Tables, row: &RequestRow, reason: Reason) -> TierRank {
+pub fn refused_rank(t: &Tables, row: &RequestRow, reason: Reason) -> TierRank {
     if reason != Reason::OverShare || !t.settings.account_shares.is_over_tiers() {
         return row.rank;
     }
@@ -236,9 +236,9 @@
 }
 
 /// Gives why a request is refused: its account is over its share, or there is too much of all.
-pub fn reason(t: &Tables, now: Time, id: RequestId) -> Reason {
+pub fn refusal_reason(t: &Tables, now: Time, id: RequestId) -> Reason {
     let row = t.requests.get(id);
-    let over = |r: &RequestRow| is_behind(r) || is_over(t, now, r, OVER_SHARE_FACTOR);
+    let over = |r: &RequestRow| is_demoted(r) || exceeds_share(t, now, r, OVER_SHARE_FACTOR);
     if row.is_some_and(over) {
         Reason::OverShare
     } else {
@@ -247,13 +247,13 @@
 }
 
 /// Tells whether an account had so many times its share in requests of this one's rank and above.
-fn is_over(t: &Tables, now: Time, row: &RequestRow, times: f64) -> bool {
+fn exceeds_share(t: &Tables, now: Time, row: &RequestRow, times: f64) -> bool {
     let account = t.accounts.get(row.account);
     let level = t.levels.of(row.pool_key(), account.rank);
     let Some(level) = level.filter(|_| t.settings.account_shares.is_on()) else {
         return false;
     };
-    done(t, now, row) > level * account.weight * times
+    work_done(t, now, row) > level * account.weight * times
 }
 
 /// Gives what accounts asked for and had here lately, the greatest first, to tell other groups.
--- a/crates/firdock-policy/src/system/fair_share/level.rs
+++ b/crates/firdock-policy/src/system/fair_share/level.rs
@@ -6,28 +6,28 @@
 use firdock_core::resource::Account;
 use firdock_core::{PoolId, TierRank};
 
-use super::done_up_to;
+use super::work_done_up_to;
 use crate::table::Tables;
 use crate::table::share::{AccountRank, Levels};
 use crate::time::Time;
 
 /// Part by which accounts have to ask for more than was done before room counts as short: what was
 /// asked within the last tenth of a second may still be on its way to an endpoint.
-const SHORT_PART: f64 = 1.1;
+const SHORTAGE_FACTOR: f64 = 1.1;
 
 /// Pause between two takings of levels: a tenth of the time in which what counts as lately fades.
-const LEVEL_PAUSE: Duration = Duration::from_millis(100);
+const LEVEL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Takes anew what accounts may have of each pool, by what they asked for and had lately.
 pub fn update_levels(t: &mut Tables, now: Time) {
-    if !t.settings.account_shares.is_on() || now < t.levels.taken + LEVEL_PAUSE {
+    if !t.settings.account_shares.is_on() || now < t.levels.taken + LEVEL_INTERVAL {
         return;
     }
     let mut levels = Levels::new(now);
     for pool in pools(t) {
         for rank in 0..=Account::MAX_RANK {
             let fair_shares = fair_shares(t, now, &pool, rank);
-            if let Some(level) = level(&fair_shares) {
+            if let Some(level) = share_per_weight(&fair_shares) {
                 levels.set(&pool, rank, level);
             }
         }
@@ -75,10 +75,10 @@
 }
 
 /// Gives the share for each unit of weight of those that ask for more; `None` where there is room.
-fn level(fair_shares: &[FairShare]) -> Option<f64> {
+fn share_per_weight(fair_shares: &[FairShare]) -> Option<f64> {
     let done: f64 = fair_shares.iter().map(|s| s.done).sum();
     let asked: f64 = fair_shares.iter().map(|s| s.asked).sum();
-    if asked <= done * SHORT_PART {
+    if asked <= done * SHORTAGE_FACTOR {
         return None;
     }
     let levels = fair_shares.iter().map(|s| s.share / s.weight);
@@ -107,8 +107,8 @@
         let row = FairShare {
             account: at,
             weight: account.weight,
-            asked: asked(t, now, at, pool),
-            done: done_up_to(t, now, at, pool, TierRank::MAX),
+            asked: work_asked(t, now, at, pool),
+            done: work_done_up_to(t, now, at, pool, TierRank::MAX),
             share: 0.0,
         };
         if row.asked.max(row.done) > 0.0 {
@@ -159,7 +159,7 @@
 }
 
 /// Gives what an account asked of a pool lately, by all groups.
-fn asked(t: &Tables, now: Time, account: usize, pool: &str) -> f64 {
+fn work_asked(t: &Tables, now: Time, account: usize, pool: &str) -> f64 {
     let row = t.accounts.get(account);
     let told = t
         .reported_work
--- a/crates/firdock-policy/src/system/handover.rs
+++ b/crates/firdock-policy/src/system/handover.rs
@@ -11,18 +11,18 @@
 use crate::time::Time;
 
 /// Time for which a peer's word that an endpoint is leaving counts.
-pub const LEAVING_WORD: std::time::Duration = std::time::Duration::from_secs(10);
+pub const LEAVING_REPORT_TTL: std::time::Duration = std::time::Duration::from_secs(10);
 /// Silence after which a peer's hand-overs end: far longer than heartbeats are apart.
-const PEER_SILENCE: std::time::Duration = std::time::Duration::from_secs(10);
+const PEER_SILENCE_LIMIT: std::time::Duration = std::time::Duration::from_secs(10);
 /// Silence after which a peer's row is dropped.
-const SILENT_PEER: std::time::Duration = std::time::Duration::from_mins(1);
+const SILENT_PEER_TTL: std::time::Duration = std::time::Duration::from_mins(1);
 
 /// Takes a peer's heartbeat.
 pub fn apply_heartbeat(t: &mut Tables, now: Time, mut news: PeerUpdate, out: &mut Vec<Action>) {
     suspect::merge_reports(t, now, std::mem::take(&mut news.suspects), out);
     for name in &news.leaving {
         if let Some(at) = t.endpoints.find_start(name) {
-            t.endpoints.get_mut(at).peer_leaving = Some(now + LEAVING_WORD);
+            t.endpoints.get_mut(at).peer_leaving = Some(now + LEAVING_REPORT_TTL);
         }
     }
     if !t.peers.has_capacity(&news.name) {
@@ -77,7 +77,7 @@
 }
 
 /// Hands a request to any live peer, since this instance is stopping.
-pub fn to_any(t: &mut Tables, now: Time, id: RequestId, out: &mut Vec<Action>) -> bool {
+pub fn to_any_peer(t: &mut Tables, now: Time, id: RequestId, out: &mut Vec<Action>) -> bool {
     let Some(peer) = pick_peer(t, now, id, |_| true) else {
         return false;
     };
@@ -132,7 +132,7 @@
 /// Takes news of a hand-over.
 pub fn handle_event(t: &mut Tables, now: Time, event: &HandOverEvent, out: &mut Vec<Action>) {
     match event {
-        HandOverEvent::Refused(refusal) => refused(t, now, refusal, out),
+        HandOverEvent::Refused(refusal) => take_back(t, now, refusal, out),
         HandOverEvent::Started(id) => {
             let id = *id;
             if let Some(row) = t.requests.get_mut(id) {
@@ -142,15 +142,15 @@
         }
         HandOverEvent::Ended(id) => ended(t, now, *id),
         HandOverEvent::Unknown(id, verdict) => {
-            if handed_to(t, *id).is_some() {
+            if receiving_peer(t, *id).is_some() {
                 lifecycle::finish_with_verdict(t, now, *id, *verdict, out);
             }
         }
-        HandOverEvent::Broke(id) => broke(t, now, *id, out),
+        HandOverEvent::Broke(id) => record_broken(t, now, *id, out),
     }
 }
 
-fn handed_to(t: &Tables, id: RequestId) -> Option<usize> {
+fn receiving_peer(t: &Tables, id: RequestId) -> Option<usize> {
     match t.requests.get(id)?.phase {
         Phase::HandedOver(at) => Some(at),
         _ => None,
@@ -158,9 +158,11 @@
 }
 
 /// Takes a request back that the peer did not take.
-fn refused(t: &mut Tables, now: Time, refusal: &HandOverRefusal, out: &mut Vec<Action>) {
+fn take_back(t: &mut Tables, now: Time, refusal: &HandOverRefusal, out: &mut Vec<Action>) {
     let id = refusal.id;
-    let Some(at) = handed_to(t, id) else { return };
+    let Some(at) = receiving_peer(t, id) else {
+        return;
+    };
     let peer = t.peers.get(at).name.clone();
     lifecycle::set_phase(t, id, Phase::Held, true);
     let Some(row) = t.requests.get_mut(id) else {
@@ -189,7 +191,7 @@
     let Some(row) = t.requests.get(id) else {
         return;
     };
-    if shed::is_load(verdict.outcome, verdict.reason) {
+    if shed::is_load_refusal(verdict.outcome, verdict.reason) {
         let service = row.service;
         lifecycle::count_shed(t, service);
     }
@@ -197,7 +199,7 @@
 }
 
 fn ended(t: &mut Tables, now: Time, id: RequestId) {
-    if handed_to(t, id).is_some() {
+    if receiving_peer(t, id).is_some() {
         lifecycle::complete(t, now, id);
     }
 }
@@ -206,8 +208,8 @@
 ///
 /// The request is not run again even if it may be repeated, for a second dispatch might go to
 /// the endpoint that the peer had chosen.
-fn broke(t: &mut Tables, now: Time, id: RequestId, out: &mut Vec<Action>) {
-    if handed_to(t, id).is_none() {
+fn record_broken(t: &mut Tables, now: Time, id: RequestId, out: &mut Vec<Action>) {
+    if receiving_peer(t, id).is_none() {
         return;
     }
     let reason = Reason::PeerLost;
@@ -220,25 +222,27 @@
 }
 
 /// Ends hand-overs to peers that fell silent: a cut link may not show for many minutes.
-pub fn end_silent(t: &mut Tables, now: Time, out: &mut Vec<Action>) {
+pub fn end_silent_hand_overs(t: &mut Tables, now: Time, out: &mut Vec<Action>) {
     let silent = |r: &&RequestRow| match r.phase {
-        Phase::HandedOver(at) => t.peers.get(at).last_seen.max(r.dispatched) + PEER_SILENCE < now,
+        Phase::HandedOver(at) => t.peers.get(at).last_seen.max(r.dispatched) + PEER_SILENCE_LIMIT < now,
         _ => false,
     };
     let ids: Vec<RequestId> = t.requests.iter().filter(silent).map(|r| r.new.id).collect();
     for id in ids {
-        let Some(at) = handed_to(t, id) else { continue };
+        let Some(at) = receiving_peer(t, id) else {
+            continue;
+        };
         let peer = t.peers.get(at).name.clone();
         out.push(Action::CancelHandOver { id, peer });
-        broke(t, now, id, out);
+        record_broken(t, now, id, out);
     }
 }
 
 /// Forgets peers that have been silent for long and have none of this instance's requests.
-pub fn forget_silent(t: &mut Tables, now: Time) {
+pub fn remove_silent_peers(t: &mut Tables, now: Time) {
     let stale = t.peer_stale_after();
     t.peers.remove_if(|p| {
-        let keep = if p.draining { stale } else { SILENT_PEER };
+        let keep = if p.draining { stale } else { SILENT_PEER_TTL };
         p.handed_over == 0 && p.last_seen + keep < now
     });
 }
--- a/crates/firdock-policy/src/system/health.rs
+++ b/crates/firdock-policy/src/system/health.rs
@@ -79,14 +79,14 @@
 fn may_eject(t: &Tables, now: Time, at: usize) -> bool {
     let mut services = t.services.iter().filter(|(_, s)| s.endpoints.contains(&at));
     services.all(|(_, s)| {
-        let out = |e: &&usize| **e != at && is_out(t, now, **e);
+        let out = |e: &&usize| **e != at && is_ejected(t, now, **e);
         let ejected = s.endpoints.iter().filter(out).count() + 1;
         let most = (s.endpoints.len() as f64 * t.settings.eject_ratio).floor();
         ejected as f64 <= most.max(1.0)
     })
 }
 
-fn is_out(t: &Tables, now: Time, at: usize) -> bool {
+fn is_ejected(t: &Tables, now: Time, at: usize) -> bool {
     match t.endpoints.get(at).health {
         Health::Healthy => false,
         Health::Ejected(until) => until > now,
--- a/crates/firdock-policy/src/system/key.rs
+++ b/crates/firdock-policy/src/system/key.rs
@@ -43,12 +43,12 @@
         return Decision::Unbound;
     };
     match t.views.ownership(claim.hash) {
-        Ownership::Nobody => unconfirmed(),
-        Ownership::Other(_) if new.origin != Origin::Caller => unconfirmed(),
+        Ownership::Nobody => refuse_unconfirmed(),
+        Ownership::Other(_) if new.origin != Origin::Caller => refuse_unconfirmed(),
         Ownership::Other(owner) => Decision::PassOn(owner),
-        Ownership::Own(since) => match resend(t, &claim) {
+        Ownership::Own(since) => match decide_known(t, &claim) {
             Some(decision) => decision,
-            None => first_sight(t, now, &claim, since),
+            None => decide_new(t, now, &claim, since),
         },
     }
 }
@@ -69,22 +69,22 @@
 }
 
 /// Gives what a key that this instance knows already calls for.
-fn resend(t: &Tables, claim: &KeyClaim) -> Option<Decision> {
+fn decide_known(t: &Tables, claim: &KeyClaim) -> Option<Decision> {
     let row = t.keys.get(claim.hash)?;
     if row.fingerprint != claim.fingerprint {
         // The first request with the key may run, but this one has not and never will.
-        return Some(not_run(Reason::KeyMismatch, None));
+        return Some(refuse_not_run(Reason::KeyMismatch, None));
     }
     let decision = match row.state {
-        KeyState::Live => unknown(Reason::KeyInUse, Some(RETRY_AFTER)),
+        KeyState::Live => refuse_unknown(Reason::KeyInUse, Some(RETRY_AFTER)),
         KeyState::Ended(Outcome::Answered) => Decision::Replay(row.id),
-        KeyState::Ended(_) => unknown(Reason::KeyUncertain, None),
+        KeyState::Ended(_) => refuse_unknown(Reason::KeyUncertain, None),
     };
     Some(decision)
 }
 
 /// Tells whether every earlier owner transferred its keys, and this one was not among them.
-fn transferred(t: &Tables, key: u64, log_now: LogTime) -> bool {
+fn all_transferred(t: &Tables, key: u64, log_now: LogTime) -> bool {
     let horizon = log_now.saturating_sub(t.settings.key_retention);
     let me = t.settings.member.incarnation;
     let ownership_periods = t.views.ownership_periods(key, horizon);
@@ -128,10 +128,10 @@
     t.transfers.merge(now, me, transfer, t.settings.max_keys);
 }
 
-fn first_sight(t: &Tables, now: Time, claim: &KeyClaim, since: Option<LogTime>) -> Decision {
+fn decide_new(t: &Tables, now: Time, claim: &KeyClaim, since: Option<LogTime>) -> Decision {
     let grace = t.settings.key_grace;
     let (Some(read), Some(log_now)) = (t.views.last_read(), t.views.log_now(now)) else {
-        return unconfirmed();
+        return refuse_unconfirmed();
     };
     let minted = claim.minted.unwrap_or(log_now);
     // An opaque key may have run at an earlier owner for as long as callers may resend it.
@@ -140,21 +140,22 @@
     } else {
         t.settings.key_retention
     };
-    let doubtful = since.is_some_and(|s| minted < s + wait) && !transferred(t, claim.hash, log_now);
+    let doubtful =
+        since.is_some_and(|s| minted < s + wait) && !all_transferred(t, claim.hash, log_now);
     if doubtful || minted + t.settings.key_retention < log_now {
-        return unknown(Reason::KeyUncertain, Some(RETRY_AFTER));
+        return refuse_unknown(Reason::KeyUncertain, Some(RETRY_AFTER));
     }
     if minted >= read + grace {
-        return unconfirmed();
+        return refuse_unconfirmed();
     }
     if t.keys.len() >= t.settings.max_keys {
-        return not_run(Reason::Overload, Some(RETRY_AFTER));
+        return refuse_not_run(Reason::Overload, Some(RETRY_AFTER));
     }
     Decision::Own(minted)
 }
 
 /// Another member may own the key and may have run it, so `not-run` could be untrue.
-fn unconfirmed() -> Decision {
+fn refuse_unconfirmed() -> Decision {
     Decision::Refuse(unconfirmed_verdict())
 }
 
@@ -171,7 +172,7 @@
     }
 }
 
-fn not_run(reason: Reason, retry_after: Option<Duration>) -> Decision {
+fn refuse_not_run(reason: Reason, retry_after: Option<Duration>) -> Decision {
     Decision::Refuse(Verdict {
         outcome: Outcome::NotRun,
         reason,
@@ -179,7 +180,7 @@
     })
 }
 
-fn unknown(reason: Reason, retry_after: Option<Duration>) -> Decision {
+fn refuse_unknown(reason: Reason, retry_after: Option<Duration>) -> Decision {
     Decision::Refuse(Verdict {
         outcome: Outcome::Unknown,
         reason,
--- a/crates/firdock-policy/src/system/lateness.rs
+++ b/crates/firdock-policy/src/system/lateness.rs
@@ -13,25 +13,25 @@
 
 /// Part of the target for which a request may wait for a place that fits: what is left of it is enough
 /// for the prompt to be read on an engine of usual pace.
-const WAIT_PART: f64 = 0.6;
+const MAX_WAIT_FRACTION: f64 = 0.6;
 /// Seconds by which an answer has to fit better elsewhere for that to be worth waiting: a third of what
 /// an answer costs that is late by a pause.
-const LEAST_GAIN: f64 = 0.3;
+const MIN_GAIN_SECS: f64 = 0.3;
 
 /// Tells whether an estimate leaves so much to gain that a better place may be waited for.
 ///
 /// Only where engines tell their pace is there any: elsewhere an engine that is slow by others' work is
 /// not told from one that will be fast again when the answer begins.
 pub fn may_wait(t: &Tables, now: Time, row: &RequestRow, best: &Estimate) -> bool {
-    best.lateness_cost > LEAST_GAIN && now.saturating_sub(row.arrived) < most_wait(t, row)
+    best.lateness_cost > MIN_GAIN_SECS && now.saturating_sub(row.arrived) < max_wait(t, row)
 }
 
 /// Tells whether a place that is taken now fits so much better that it is worth waiting for.
 pub fn is_better(best: &Estimate, taken: &Estimate) -> bool {
-    taken.lateness_cost + LEAST_GAIN < best.lateness_cost
+    taken.lateness_cost + MIN_GAIN_SECS < best.lateness_cost
 }
 
-fn most_wait(t: &Tables, row: &RequestRow) -> Duration {
+fn max_wait(t: &Tables, row: &RequestRow) -> Duration {
     let target = t.services.get(row.service).tier.target();
-    target.mul_f64(WAIT_PART)
+    target.mul_f64(MAX_WAIT_FRACTION)
 }
--- a/crates/firdock-policy/src/system/limit.rs
+++ b/crates/firdock-policy/src/system/limit.rs
@@ -15,19 +15,19 @@
 /// Part of each limit that an instance uses before it knows how many others there are: a little more
 /// than the even part of one of the six or seven of a small site, so that a restart costs no caller
 /// anything, and all of them together hardly exceed the limit.
-const UNAWARE_PART: f64 = 0.15;
+const STARTUP_LIMIT_SHARE: f64 = 0.15;
 /// Seconds by which a peer may have begun earlier than this instance, and count as begun with it:
 /// far more than the clocks of instances differ by.
 const SAME_START_SECS: u64 = 10;
 /// Longest time, in seconds, after which callers beyond a limit are told to come back.
-const MAX_WAIT_SECS: f64 = 60.0;
+const MAX_RETRY_AFTER_SECS: f64 = 60.0;
 
 /// Charges a request to its account's limit and gives the charge; `None` if there was no room.
 pub fn charge(t: &mut Tables, now: Time, account: usize, new: &NewRequest) -> Option<f64> {
     if t.settings.coordinates {
         return Some(0.0);
     }
-    let part = part_of_limits(t, now);
+    let part = limit_share(t, now);
     let small = t.is_single_group();
     let phase = phase(&t.settings.member.name);
     let known_others = t.known_peers.filter(|_| t.settings.await_peers);
@@ -56,7 +56,7 @@
     Verdict {
         outcome: Outcome::NotRun,
         reason: Reason::RateLimited,
-        retry_after: Some(Duration::from_secs_f64(secs.min(MAX_WAIT_SECS))),
+        retry_after: Some(Duration::from_secs_f64(secs.min(MAX_RETRY_AFTER_SECS))),
     }
 }
 
@@ -89,7 +89,7 @@
             _ => UseTotals::default(),
         };
         let rise = used.totals().minus(before).named(used.account.clone());
-        charge_rise(&mut t.accounts, now, &rise);
+        charge_increase(&mut t.accounts, now, &rise);
     }
 }
 
@@ -122,12 +122,12 @@
         return;
     }
     for rise in rises {
-        charge_rise(&mut t.accounts, now, &rise);
+        charge_increase(&mut t.accounts, now, &rise);
     }
 }
 
 /// Takes out of a bucket by how much others' use of its account rose.
-fn charge_rise(accounts: &mut Accounts, now: Time, rise: &AccountUse) {
+fn charge_increase(accounts: &mut Accounts, now: Time, rise: &AccountUse) {
     if let Some(bucket) = bucket_of(accounts, &rise.account) {
         bucket.deduct_peer_use(rise.units);
         bucket.record_peer_demand(now, rise.asked);
@@ -175,9 +175,9 @@
 ///
 /// An instance that just started does not know how many others there are. All of them may have
 /// started together, so that none may take the limit for its own alone.
-fn part_of_limits(t: &Tables, now: Time) -> f64 {
+fn limit_share(t: &Tables, now: Time) -> f64 {
     if t.settings.await_peers && t.known_peers.is_none() {
-        return UNAWARE_PART;
+        return STARTUP_LIMIT_SHARE;
     }
     let (heard, known) = live_and_known(t, now);
     heard as f64 / known as f64
@@ -187,14 +187,14 @@
 pub fn live_and_known(t: &Tables, now: Time) -> (usize, usize) {
     let known = 1 + t.peers_known();
     let heard = match t.reachable.filter(|_| !t.is_single_group()) {
-        Some(reach) => reached(t, now, reach).min(known),
+        Some(reach) => reachable_count(t, now, reach).min(known),
         None => 1 + t.peers.iter().filter(|(_, p)| t.is_live(p, now)).count(),
     };
     (heard, known)
 }
 
 /// Gives how many instances leads hear, this one alone where no lead told lately.
-fn reached(t: &Tables, now: Time, reach: ReachableInstances) -> usize {
+fn reachable_count(t: &Tables, now: Time, reach: ReachableInstances) -> usize {
     if reach.at + t.settings.peer_stale_after > now {
         reach.count
     } else {
--- a/crates/firdock-policy/src/system/notice.rs
+++ b/crates/firdock-policy/src/system/notice.rs
@@ -3,7 +3,7 @@
 use crate::action::Action;
 use crate::notice::{Notice, NoticeReport};
 use crate::request::Phase;
-use crate::system::handover::LEAVING_WORD;
+use crate::system::handover::LEAVING_REPORT_TTL;
 use crate::table::Tables;
 
 /// Takes what an endpoint said of itself; the word of a start that is over is passed over.
@@ -19,7 +19,7 @@
     let e = t.endpoints.get_mut(at);
     if !told.member.is_empty() {
         if told.notice.leaving {
-            e.peer_leaving = Some(told.read + LEAVING_WORD);
+            e.peer_leaving = Some(told.read + LEAVING_REPORT_TTL);
         }
         let notice = Notice {
             leaving: false,
--- a/crates/firdock-policy/src/system/place.rs
+++ b/crates/firdock-policy/src/system/place.rs
@@ -96,7 +96,7 @@
     let Some(row) = t.requests.get(id) else {
         return PlaceResult::Waiting;
     };
-    let coordinated = coordinate::waits(t, row);
+    let coordinated = coordinate::awaits_placement(t, row);
     let gate = suspect::gate(t, row);
     // On a coordinator, the member that owns a quarantined request ends it and releases its slot.
     if gate == Gate::DuplicateRunning || (gate == Gate::Quarantined && t.settings.coordinates) {
@@ -291,7 +291,7 @@
         confirm_by: row.confirm_by,
         deadline: row.deadline,
     }));
-    rollout::sent(t, id, choice.endpoint);
+    rollout::record_sent(t, id, choice.endpoint);
 }
 
 /// Charges the work to the account's lane, scaled by the account's share.
--- a/crates/firdock-policy/src/system/place/choice.rs
+++ b/crates/firdock-policy/src/system/place/choice.rs
@@ -58,7 +58,7 @@
     let (open, full): (Vec<usize>, Vec<usize>) = endpoints
         .filter(|e| may_take(t, now, row, *e))
         .partition(|e| has_capacity(t, now, t.endpoints.get(*e)));
-    if let Some(tried) = rollout::trial(t, row, &open) {
+    if let Some(tried) = rollout::trial_endpoint(t, row, &open) {
         let estimate = estimate(t, now, row, tried);
         return Placement::On(Choice {
             endpoint: tried,
--- a/crates/firdock-policy/src/system/restart.rs
+++ b/crates/firdock-policy/src/system/restart.rs
@@ -33,19 +33,19 @@
     t.stats.restarts += 1;
     let start = t.endpoints.get(at).start_id.clone();
     suspect::record_exit(t, now, &start, out);
-    let began = began(t, declared);
-    for (id, sent, dispatch) in sent_to(t, at) {
+    let began = start_time(t, declared);
+    for (id, sent, dispatch) in dispatches_at(t, at) {
         if began.is_none_or(|began| sent < began) {
             t.stats.lost_by_restart += 1;
             out.push(Action::GiveUpDispatch { id, dispatch });
         } else {
-            note_sent(t, id, declared.start_id());
+            record_tried_start(t, id, declared.start_id());
         }
     }
 }
 
 /// Notes that a request was sent to a start, which is not to get it twice.
-fn note_sent(t: &mut Tables, id: RequestId, start: StartId) {
+fn record_tried_start(t: &mut Tables, id: RequestId, start: StartId) {
     let row = t.requests.get_mut(id);
     if let Some(row) = row.filter(|r| !r.tried.contains(&start)) {
         row.tried.push(start);
@@ -53,13 +53,13 @@
 }
 
 /// Gives when a start of an endpoint began, by the clock of this process.
-fn began(t: &Tables, declared: &Endpoint) -> Option<Time> {
+fn start_time(t: &Tables, declared: &Endpoint) -> Option<Time> {
     let zero = t.settings.unix_zero?;
     declared.started.map(|at| at.saturating_sub(zero))
 }
 
 /// Gives the requests that are at an endpoint, when they were sent, and by which dispatch.
-fn sent_to(t: &Tables, at: usize) -> Vec<(RequestId, Time, u32)> {
+fn dispatches_at(t: &Tables, at: usize) -> Vec<(RequestId, Time, u32)> {
     let here =
         |r: &&RequestRow| matches!(r.phase, Phase::Dispatching(e) | Phase::Running(e) if e == at);
     let rows = t.requests.iter().filter(here);
--- a/crates/firdock-policy/src/system/rollout.rs
+++ b/crates/firdock-policy/src/system/rollout.rs
@@ -6,5 +6,8 @@
 mod versions;
 
 pub use decide::{apply_record, apply_status, run, set_decides};
-pub use evidence::{ended, failed, lost, merge_group_evidence, merge_peer_evidence, report, sent};
-pub use versions::{admits, admits_grant, apply, is_new, trial};
+pub use evidence::{
+    merge_group_evidence, merge_peer_evidence, record_answer, record_failure, record_lost,
+    record_sent, report,
+};
+pub use versions::{admits, admits_grant, apply, is_new, trial_endpoint};
--- a/crates/firdock-policy/src/system/rollout/decide.rs
+++ b/crates/firdock-policy/src/system/rollout/decide.rs
@@ -18,11 +18,11 @@
 /// Pause between two looks at the evidence: peers tell every 200 ms.
 const EVALUATION_INTERVAL: Duration = Duration::from_millis(50);
 /// Part of the old version's places that the new one must have before the old endpoints may stop.
-const READY_PART: f64 = 0.7;
+const READY_FRACTION: f64 = 0.7;
 
 /// Time after which a roll-out goes on at once where the pool has no endpoints of another version: it
 /// was ordered once more, or they are gone. Entries that lapsed in an outage are back before.
-const ALONE_PATIENCE: Duration = Duration::from_secs(3);
+const ALONE_DELAY: Duration = Duration::from_secs(3);
 
 /// Takes it that this instance leads the site now, or does not.
 pub fn set_decides(t: &mut Tables, decides: bool) {
@@ -97,14 +97,14 @@
     match verdict::evaluate(&seen, endpoints) {
         Some(finding) if finding.bad && row.stage < Stage::Halted => {
             advance(t, pool, Stage::Halted);
-            ask(t, now, pool, Stage::RolledBack, &tell(&finding), out);
+            request_record(t, now, pool, Stage::RolledBack, &describe(&finding), out);
         }
-        doubt => go_on(t, now, pool, progress, doubt.is_some(), out),
+        doubt => continue_rollout(t, now, pool, progress, doubt.is_some(), out),
     }
 }
 
 /// Moves everything when that is due, and asks for the record of the stage that was reached.
-fn go_on(
+fn continue_rollout(
     t: &mut Tables,
     now: Time,
     pool: &str,
@@ -124,9 +124,9 @@
         stage
     };
     match stage {
-        Stage::Watching => ask(t, now, pool, Stage::Watching, "", out),
-        Stage::Moving => ask(t, now, pool, Stage::Completed, "", out),
-        Stage::Halted => ask(t, now, pool, Stage::RolledBack, "", out),
+        Stage::Watching => request_record(t, now, pool, Stage::Watching, "", out),
+        Stage::Moving => request_record(t, now, pool, Stage::Completed, "", out),
+        Stage::Halted => request_record(t, now, pool, Stage::RolledBack, "", out),
         Stage::Completed | Stage::RolledBack => {}
     }
 }
@@ -134,12 +134,19 @@
 /// Tells whether everything may move to the new version now.
 fn may_move(t: &Tables, now: Time, pool: &str, progress: Progress) -> bool {
     let due = allowance::may_move_all(progress, t.settings.rollouts);
-    let alone = progress.elapsed >= ALONE_PATIENCE && !has_old(t, pool);
-    (due || alone) && is_ready(t, pool) && hears_most(t, now)
+    let alone = progress.elapsed >= ALONE_DELAY && !has_old(t, pool);
+    (due || alone) && is_ready(t, pool) && hears_majority(t, now)
 }
 
 /// Asks once for a record of a stage.
-fn ask(t: &mut Tables, now: Time, pool: &str, stage: Stage, reason: &str, out: &mut Vec<Action>) {
+fn request_record(
+    t: &mut Tables,
+    now: Time,
+    pool: &str,
+    stage: Stage,
+    reason: &str,
+    out: &mut Vec<Action>,
+) {
     let Some(row) = t.rollouts.rows.get_mut(pool) else {
         return;
     };
@@ -158,7 +165,7 @@
 }
 
 /// Gives a finding in words.
-fn tell(finding: &Finding) -> String {
+fn describe(finding: &Finding) -> String {
     let of = finding.service.as_deref().unwrap_or("all services");
     format!(
         "{} of {} answers to {of} were failures or slow; {:.0} in 100 with the old version",
@@ -192,11 +199,11 @@
 /// Tells whether the new version can take over what the old one does.
 fn is_ready(t: &Tables, pool: &str) -> bool {
     let new = open_slots(t, pool, true);
-    new > 0.0 && new >= READY_PART * open_slots(t, pool, false)
+    new > 0.0 && new >= READY_FRACTION * open_slots(t, pool, false)
 }
 
 /// Tells whether this instance hears enough of the others to decide for all.
-fn hears_most(t: &Tables, now: Time) -> bool {
+fn hears_majority(t: &Tables, now: Time) -> bool {
     let (heard, known) = limit::live_and_known(t, now);
     2 * heard > known
 }
--- a/crates/firdock-policy/src/system/rollout/evidence.rs
+++ b/crates/firdock-policy/src/system/rollout/evidence.rs
@@ -16,7 +16,7 @@
 const BASE_SECS: f64 = 0.03;
 
 /// Counts a request that is sent to an endpoint.
-pub fn sent(t: &mut Tables, id: RequestId, at: usize) {
+pub fn record_sent(t: &mut Tables, id: RequestId, at: usize) {
     let Some(row) = t.requests.get(id) else {
         return;
     };
@@ -31,7 +31,7 @@
 }
 
 /// Counts a whole answer by the time that it took.
-pub fn ended(t: &mut Tables, now: Time, id: RequestId, at: usize, output: u32) {
+pub fn record_answer(t: &mut Tables, now: Time, id: RequestId, at: usize, output: u32) {
     let Some(row) = t.requests.get(id) else {
         return;
     };
@@ -42,12 +42,12 @@
 }
 
 /// Counts an answer that broke off or never came.
-pub fn lost(t: &mut Tables, id: RequestId, at: usize) {
+pub fn record_lost(t: &mut Tables, id: RequestId, at: usize) {
     count(t, id, at, |tally| tally.lost += 1);
 }
 
 /// Notes that an endpoint answered that it failed; how the dispatch ends is told next.
-pub fn failed(t: &mut Tables, id: RequestId) {
+pub fn record_failure(t: &mut Tables, id: RequestId) {
     if let Some(row) = t.requests.get_mut(id) {
         row.failure = EndpointFailure::Reported;
     }
--- a/crates/firdock-policy/src/system/rollout/versions.rs
+++ b/crates/firdock-policy/src/system/rollout/versions.rs
@@ -18,12 +18,12 @@
 
 /// Greatest part of one service's requests that a watched version gets: of a service with few, more
 /// are needed to tell the same, but callers should not all be part of a trial.
-const MOST_OF_SERVICE: f64 = 0.5;
+const MAX_SERVICE_FRACTION: f64 = 0.5;
 /// Longest time by which an order is taken for older than it was known here: a second read of the store,
 /// where one failed. After an outage the time that an order has is used in vain.
-const MOST_UNSURE: Duration = Duration::from_millis(1_200);
+const MAX_UNCERTAINTY: Duration = Duration::from_millis(1_200);
 /// Requests sent from which on the services' parts of them are known.
-const KNOWN_SENT: u64 = 50;
+const MIN_SENT_FOR_PARTS: u64 = 50;
 
 /// Takes the orders of a catalog over, and holds endpoints back that an order may have started that is
 /// not known here yet.
@@ -33,7 +33,7 @@
         if known.is_some_and(|row| row.declared.order >= declared.order) {
             continue;
         }
-        let back = known.is_some_and(|row| returns(t, row, &declared.version));
+        let back = known.is_some_and(|row| is_return_to_previous(t, row, &declared.version));
         // A version that is not known to be good gets nothing as a part of the old side either.
         let untried = known.filter(|row| row.stage < Stage::Completed);
         let untried = untried.map(|row| (row.declared.pool.clone(), row.declared.version.clone()));
@@ -50,14 +50,14 @@
     }
     let ordered = |pool: &PoolId| catalog.rollouts.iter().any(|r| r.pool == *pool);
     t.rollouts.rows.retain(|pool, _| ordered(pool));
-    hold_back(t, now);
+    hold_rare_versions(t, now);
 }
 
 /// Gives how long ago an order that is new here may have come: after the time when the configuration
 /// without it was the newest.
 fn unsure(t: &Tables, now: Time) -> Duration {
     let before = t.config_confirmed_at.map(|at| now.saturating_sub(at));
-    before.unwrap_or_default().min(MOST_UNSURE)
+    before.unwrap_or_default().min(MAX_UNCERTAINTY)
 }
 
 /// Gives the part that a version gets before any request was counted.
@@ -74,7 +74,7 @@
 
 /// Tells whether an order takes an unfinished one back: its version is the one that still carries the
 /// traffic, which need not be tried.
-fn returns(t: &Tables, row: &RolloutRow, version: &str) -> bool {
+fn is_return_to_previous(t: &Tables, row: &RolloutRow, version: &str) -> bool {
     let unfinished = !row.stage.is_recorded() && row.stage != Stage::Moving;
     let carries = |e: &EndpointRow| e.present && e.declared.version == version;
     let mut pool = t.endpoints.iter().filter(|(_, e)| in_pool(e, row));
@@ -87,7 +87,7 @@
 
 /// Holds back endpoints of versions that are rare in their pool until the configuration is known to be
 /// newer than they are: an order comes before the endpoints that it starts, but may be read after them.
-fn hold_back(t: &mut Tables, now: Time) {
+fn hold_rare_versions(t: &mut Tables, now: Time) {
     let counts = count_versions(t);
     let most = |pool: &str| counts[pool].values().copied().max().unwrap_or(0);
     let is_rare = |e: &EndpointRow| {
@@ -135,14 +135,16 @@
 
 fn side(row: &RequestRow, rollout: &RolloutRow) -> Side {
     match rollout.stage {
-        Stage::Watching if draw(row) < service_ratio(&row.new.service, rollout) => Side::Trial,
+        Stage::Watching if request_fraction(row) < service_ratio(&row.new.service, rollout) => {
+            Side::Trial
+        }
         Stage::Watching | Stage::Halted | Stage::RolledBack => Side::Old,
         Stage::Moving | Stage::Completed => Side::New,
     }
 }
 
 /// Gives a number from 0 to 1 by the request's id, the same at its instance and at the coordinator.
-fn draw(row: &RequestRow) -> f64 {
+fn request_fraction(row: &RequestRow) -> f64 {
     rendezvous::hash_key(row.new.id.as_bytes()) as f64 / u64::MAX as f64
 }
 
@@ -151,11 +153,11 @@
 fn service_ratio(service: &str, rollout: &RolloutRow) -> f64 {
     let all: u64 = rollout.sent.values().sum();
     let own = rollout.sent.get(service).copied().unwrap_or(0);
-    if all < KNOWN_SENT {
+    if all < MIN_SENT_FOR_PARTS {
         return rollout.ratio;
     }
     let even = all as f64 / rollout.sent.len() as f64;
-    (rollout.ratio * even / own.max(1) as f64).min(MOST_OF_SERVICE)
+    (rollout.ratio * even / own.max(1) as f64).min(MAX_SERVICE_FRACTION)
 }
 
 /// Tells which version of its pool an endpoint has: the new one of a roll-out, or not.
@@ -186,7 +188,7 @@
 /// Gives the endpoint that a request is to try the new version at, of those that have `room`: each in
 /// turn by the request's id, whichever is the fastest, so that all of them are heard of.
 #[must_use]
-pub fn trial(t: &Tables, row: &RequestRow, room: &[usize]) -> Option<usize> {
+pub fn trial_endpoint(t: &Tables, row: &RequestRow, room: &[usize]) -> Option<usize> {
     let rollout = t.rollouts.of(row.pool_key())?;
     if side(row, rollout) != Side::Trial {
         return None;
--- a/crates/firdock-policy/src/system/shed.rs
+++ b/crates/firdock-policy/src/system/shed.rs
@@ -15,7 +15,7 @@
 pub fn run(t: &mut Tables, now: Time, out: &mut Vec<Action>) {
     while over_bounds(t) {
         let Some(id) = victim(t, now) else { break };
-        let reason = fair_share::reason(t, now, id);
+        let reason = fair_share::refusal_reason(t, now, id);
         shed(t, now, id, reason, out);
     }
     shed_accounts(t, now, out);
@@ -69,7 +69,7 @@
 /// Picks from the account that holds most for its share, in the lowest tier: late ones first.
 fn victim(t: &Tables, now: Time) -> Option<RequestId> {
     if t.settings.account_shares.is_on() {
-        return fair_share::furthest_over(t, now);
+        return fair_share::most_over_share(t, now);
     }
     let rank = t.requests.lowest_held()?;
     let lanes = lanes_of(t, rank);
@@ -112,7 +112,7 @@
 }
 
 /// Tells whether a verdict is one for load.
-pub fn is_load(outcome: Outcome, reason: Reason) -> bool {
+pub fn is_load_refusal(outcome: Outcome, reason: Reason) -> bool {
     outcome == Outcome::NotRun
         && matches!(
             reason,
