--- a/crates/firdock-policy/src/system/backoff.rs
+++ b/crates/firdock-policy/src/system/backoff.rs
@@ -1,7 +1,8 @@
-//! Requests for which every endpoint wants no request for a while.
+//! Requests whose endpoints all ask callers to back off.
 //!
-//! What may wait for the first end within its caller's time waits, and is sent nowhere meanwhile; the
-//! rest is refused at once, so that its callers can use their time elsewhere.
+//! A request that can wait for the first back-off to end within its caller's time is held and sent
+//! nowhere meanwhile. All others are refused at once, so that their callers can use the time
+//! elsewhere.
 
 use std::time::Duration;
 
@@ -15,11 +16,11 @@
 use crate::table::endpoint::{EndpointRow, UnavailableReason};
 use crate::time::Time;
 
-/// Time after the first end over which callers are told to come back: about what a burst of callers
-/// took to come, so that they do not all come with those that waited here.
+/// Period after the end of a back-off over which retries are spread: about the length of a burst of
+/// callers, so that retries do not all arrive together with the requests held here.
 const RETRY_SPREAD: Duration = Duration::from_secs(1);
 
-/// Refuses held requests that cannot wait for the first endpoint that takes requests again.
+/// Refuses held requests that cannot wait for the first endpoint to accept requests again.
 pub fn run(t: &mut Tables, now: Time, out: &mut Vec<Action>) {
     if t.backoffs_until <= now || t.requests.held() == 0 {
         return;
@@ -37,16 +38,18 @@
     earliest_attempt(t, now, row).is_some_and(|end| end >= expire::latest_send(t, row))
 }
 
-/// Gives until when a request waits at least, if all endpoints that could take it want none now.
+/// Returns the earliest time at which a request may be sent, if all endpoints that it has not tried
+/// are backing off.
 pub fn earliest_attempt(t: &Tables, now: Time, row: &RequestRow) -> Option<Time> {
     let untried = |e: &EndpointRow| !row.tried.contains(&e.start_id);
     earliest_end(t, now, row, untried)
 }
 
-/// Gives when the first endpoint takes requests again, if all that could take this one want none now,
-/// of those that are `wanted`.
+/// Returns when the first of the endpoints that are `wanted` accepts requests again, if all of them
+/// that are eligible for this one are backing off.
 ///
-/// One that takes requests, or is out for its health alone, may have it sooner.
+/// Returns `None` if any of them accepts requests now or is unavailable only because of its health,
+/// because it may take the request sooner.
 fn earliest_end(
     t: &Tables,
     now: Time,
@@ -73,8 +76,9 @@
     first
 }
 
-/// Gives when the caller of a request should come back, if its endpoints want none now: after the first
-/// end, and each a little apart. Those that had this try of it count too, for the next one is another.
+/// Returns the retry time for the caller of a request whose endpoints are all backing off: after
+/// the first back-off ends, with a spread. Endpoints that this attempt has tried count too, because
+/// the next attempt is a new one.
 pub fn retry_after(t: &Tables, now: Time, row: &RequestRow) -> Option<Duration> {
     let end = earliest_end(t, now, row, |_| true)?;
     let part = rendezvous::hash_key(row.new.id.as_bytes()) as f64 / u64::MAX as f64;
--- a/crates/firdock-policy/src/system/early_refusal.rs
+++ b/crates/firdock-policy/src/system/early_refusal.rs
@@ -1,7 +1,8 @@
-//! Early refusal: a request that cannot begin in time is told so while its caller can go elsewhere.
+//! Early refusal: requests that cannot start in time are refused while their callers can still go
+//! elsewhere.
 //!
-//! A caller that is refused at once can try another instance within its time; one that is held and
-//! then refused has lost it (`docs/design/limits.md`).
+//! A caller that is refused at once can try another instance in time. One whose request is held and
+//! refused later cannot (`docs/design/limits.md`).
 
 use std::collections::HashMap;
 
@@ -13,19 +14,21 @@
 use crate::table::Tables;
 use crate::time::Time;
 
-/// Part of the target within which a request has to be sent, so that its answer begins in time.
+/// Fraction of the target within which a request must be sent for its answer to start in time.
 const SEND_DEADLINE_FRACTION: f64 = 0.8;
-/// Least dispatches a second that are reckoned with, so that a pool at rest is given a try.
+/// Minimum assumed number of dispatches per second, so that requests are still sent to an idle
+/// pool.
 const MIN_DISPATCH_RATE: f64 = 1.0;
 
-/// Refuses held requests that the queue before them keeps from beginning in time.
+/// Refuses held requests that cannot start in time because of the queue ahead of them.
 pub fn run(t: &mut Tables, now: Time, out: &mut Vec<Action>) {
     if !t.settings.mechanisms.early_refusal {
         return;
     }
     let mut hopeless: Vec<(TierRank, RequestId)> = Vec::new();
     let mut ahead: HashMap<&str, u32> = HashMap::new();
-    // How long a back-off lasts is known, and whether its end is waited for is decided by that.
+    // `backoff` decides on requests that wait for the end of a back-off, because that time is
+    // known.
     let waits = |r: &&RequestRow| {
         r.phase == Phase::Held
             && !r.may_have_run()
@@ -41,16 +44,17 @@
             *before += 1;
         }
     }
-    // The last in order of a tier goes first.
+    // Within a tier, the last request in service order is refused first.
     hopeless.reverse();
     shed::lowest_first(t, now, hopeless, fair_share::refusal_reason, out);
 }
 
-/// Tells whether `before` requests that go first leave too little of the target.
+/// Returns whether `before` requests ahead of this one leave too little of its target.
 ///
-/// A request that is past its target has lost what it could lose; it goes on waiting behind those
-/// that have not, until its caller leaves. One beyond its account's share does not: while it is held,
-/// none of the higher tiers, which are within theirs, could be told in time that it has to go elsewhere.
+/// A request past its target has nothing more to lose: it keeps waiting behind requests that can
+/// still start in time, until its caller leaves. This does not apply to a request beyond its
+/// account's share: while it is held, no request of a higher tier within its share could be refused
+/// early.
 fn cannot_start_in_time(t: &Tables, now: Time, row: &RequestRow, before: u32) -> bool {
     let target = t.services.get(row.service).tier.target();
     let age = now.saturating_sub(row.arrived);
--- a/crates/firdock-policy/src/system/fair_share.rs
+++ b/crates/firdock-policy/src/system/fair_share.rs
@@ -1,8 +1,9 @@
-//! Shares of accounts: in which order requests are sent, and which are refused where room is short.
+//! Fair shares of accounts: the order in which requests are sent, and which are refused when
+//! capacity is short.
 //!
-//! Within a rank and a pool, the account that had least work done lately for its weight goes first,
-//! and what is furthest over its share is refused first (`docs/design/shares.md`). Weights are
-//! declared; accounts that ask for less than their share leave the rest to those that ask for more.
+//! Within a rank and a pool, the account with the least recent work for its weight goes first, and
+//! the request furthest over its account's share is refused first (`docs/design/shares.md`).
+//! Weights are declared; the unused part of a share goes to accounts with more demand.
 
 mod level;
 
@@ -22,20 +23,23 @@
 use crate::table::Tables;
 use crate::time::Time;
 
-/// Units of [`Start`] in a second of work.
+/// Units of [`StartTag`] per second of work.
 const MICROS_PER_SEC: f64 = 1e6;
-/// Part of its share by which an account has to be over it before a refusal says so: estimates of
-/// work are off by that much, and a caller within its share is not to read that it was beyond.
+/// Factor by which an account must exceed its share before a refusal names that as the reason. Work
+/// estimates are off by about this much, and a caller within its share must not be told that it
+/// exceeded it.
 pub const OVER_SHARE_FACTOR: f64 = 1.05;
 
-/// Age from which a request that a member tells its coordinator of was told before: the first word goes
-/// out at once, whole reports a tenth of a second apart.
+/// Age from which a request reported by a member must have been reported before: a new request is
+/// reported at once, and full reports follow every tenth of a second.
 const FIRST_REPORT_AGE: Time = Time::from_millis(80);
 
-/// Work that an account had lately, and has waiting before a request, for its weight; in microseconds.
+/// Recent work of an account plus its work queued ahead of a request, divided by its weight, in
+/// microseconds.
 type StartTag = u64;
 
-/// Place of a request among those that wait: those that are kept and sent first come first.
+/// Position of a request in the service order; a request with a lower position is sent first and
+/// refused last.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ServiceOrder {
     rank: TierRank,
@@ -43,7 +47,7 @@
     arrived: Time,
 }
 
-/// Gives the place of a request: by rank, then by how much its account had, then by arrival.
+/// Returns the position of a request: by rank, then by the work of its account, then by arrival.
 fn order_of(row: &RequestRow, start: StartTag) -> ServiceOrder {
     ServiceOrder {
         rank: row.rank,
@@ -52,9 +56,9 @@
     }
 }
 
-/// Puts held requests in the order in which they are kept; the last is refused first.
+/// Sorts held requests into service order; the last one is refused first.
 ///
-/// Where accounts have no shares, it is by rank and arrival alone.
+/// Without account shares, the order is by rank and arrival alone.
 pub fn in_service_order<'a>(
     t: &'a Tables,
     now: Time,
@@ -78,7 +82,7 @@
     placed.into_iter().map(|(_, _, row)| row).collect()
 }
 
-/// Puts the first request of each account in the order in which they are sent, with their services.
+/// Sorts the head of each account's lane, with its service, into service order.
 pub fn sort_heads(t: &Tables, now: Time, heads: &mut [(usize, RequestId)]) {
     let key = |id: &RequestId| {
         let row = t.requests.get(*id)?;
@@ -88,7 +92,7 @@
     heads.sort_by_cached_key(|(_, id)| key(id));
 }
 
-/// Gives the held request of the lowest rank that is to go first when too much is held.
+/// Returns the held request of the lowest rank that is shed first when too much is held.
 pub fn most_over_share(t: &Tables, now: Time) -> Option<RequestId> {
     let rank = t.requests.lowest_held()?;
     let lowest = |r: &&RequestRow| r.phase == Phase::Held && r.rank == rank;
@@ -96,7 +100,7 @@
     in_service_order(t, now, held).last().map(|r| r.new.id)
 }
 
-/// Notes at a dispatch the work that its endpoint will do.
+/// Charges the expected work of a dispatch to the account.
 pub fn charge(t: &mut Tables, now: Time, id: RequestId) {
     if !t.settings.account_shares.is_on() {
         return;
@@ -111,7 +115,7 @@
     }
 }
 
-/// Puts what the present dispatch really took in place of what was estimated.
+/// Replaces the estimated work of the current dispatch by the actual work.
 pub fn settle(t: &mut Tables, now: Time, id: RequestId, output: u32) {
     let Some(row) = t.requests.get(id).filter(|r| r.charged_work > 0.0) else {
         return;
@@ -121,7 +125,7 @@
     clear_charge(t, id);
 }
 
-/// Takes back the work of a dispatch that ran nowhere.
+/// Refunds the work of a dispatch that did not run.
 pub fn refund(t: &mut Tables, now: Time, id: RequestId) {
     let charged = t.requests.get(id).map_or(0.0, |r| r.charged_work);
     if charged > 0.0 {
@@ -145,7 +149,7 @@
     }
 }
 
-/// Gives the work that an endpoint as declared does for a request, in seconds.
+/// Returns the work of a request, in seconds, on an endpoint that performs as declared.
 fn expected_work(t: &Tables, row: &RequestRow) -> f64 {
     let output = cost::expected_output(row, t.services.get(row.service));
     declared_work(t, row, output)
@@ -156,7 +160,8 @@
     endpoint.map_or(0.0, |e| cost::declared_secs(row, e, output))
 }
 
-/// Gives what the account of a request had lately in requests of its rank and above, by all groups.
+/// Returns the recent work, over all groups, of a request's account in requests of its rank and
+/// above.
 fn work_done(t: &Tables, now: Time, row: &RequestRow) -> f64 {
     work_done_up_to(t, now, row.account, row.pool_key(), row.rank)
 }
@@ -174,16 +179,17 @@
     (secs * MICROS_PER_SEC / t.accounts.get(account).weight) as StartTag
 }
 
-/// Tells whether a request can no longer begin within its target; it goes after those that can.
+/// Returns whether a request can no longer start within its target. Late requests go after those
+/// that can.
 fn is_late(t: &Tables, now: Time, row: &RequestRow) -> bool {
     let target = t.services.get(row.service).tier.target();
     t.settings.mechanisms.late_last && row.arrived + target <= now
 }
 
-/// Notes the work that a request which arrived asks for.
+/// Records the work that an arriving request asks for.
 ///
-/// A request that a member keeps although its coordinator refused it is told of again in each whole
-/// report; it asks once.
+/// A request that a member keeps holding after its coordinator refused it appears in every full
+/// report, but its demand counts once.
 pub fn record_arrival(t: &mut Tables, now: Time, id: RequestId) {
     let Some(row) = t
         .requests
@@ -203,13 +209,15 @@
         .add_asked(now, row.pool_key(), row.declared_rank, secs);
 }
 
-/// Gives the rank that a request has: the declared one, or the last of its account's rank.
+/// Returns the rank of a request: the declared one, or the last rank of its account if the account
+/// exceeds its share.
 ///
-/// An account has its share for its highest tiers first: of a request only what the account had in
-/// tiers as high and higher counts. Else a flood of a high tier would take all that others have of
-/// lower ones.
+/// An account uses its share for its highest tiers first: for a request, only the account's work in
+/// tiers as high or higher counts. Otherwise a flood in a high tier would take the capacity that
+/// other accounts need for lower ones.
 ///
-/// An instance that asks a coordinator leaves that to it, since it sees few of the requests.
+/// An instance with a coordinator leaves the decision to it, because it sees only few of the
+/// requests.
 #[must_use]
 pub fn rank(t: &Tables, now: Time, row: &RequestRow) -> TierRank {
     let waits = coordinate::awaits_placement(t, row) && !t.settings.coordinates;
@@ -220,13 +228,13 @@
     row.rank.max(last_rank(account))
 }
 
-/// Tells whether a request was put behind the lower tiers of other accounts.
+/// Returns whether a request was placed behind the lower tiers of other accounts.
 pub fn is_demoted(row: &RequestRow) -> bool {
     row.rank > row.declared_rank
 }
 
-/// Gives the rank in which a coordinator refused a request of this instance, which may have seen that
-/// its account had its share.
+/// Returns the rank at which a coordinator refused a request of this instance. The coordinator may
+/// know that the account has used up its share.
 pub fn refused_rank(t: &Tables, row: &RequestRow, reason: Reason) -> TierRank {
     if reason != Reason::OverShare || !t.settings.account_shares.is_over_tiers() {
         return row.rank;
@@ -235,7 +243,8 @@
     row.rank.max(last_rank(account))
 }
 
-/// Gives why a request is refused: its account is over its share, or there is too much of all.
+/// Returns the reason for refusing a request: its account exceeds its share, or the load is too
+/// high overall.
 pub fn refusal_reason(t: &Tables, now: Time, id: RequestId) -> Reason {
     let row = t.requests.get(id);
     let over = |r: &RequestRow| is_demoted(r) || exceeds_share(t, now, r, OVER_SHARE_FACTOR);
@@ -246,7 +255,8 @@
     }
 }
 
-/// Tells whether an account had so many times its share in requests of this one's rank and above.
+/// Returns whether an account received more than `times` its share in requests of this rank and
+/// above.
 fn exceeds_share(t: &Tables, now: Time, row: &RequestRow, times: f64) -> bool {
     let account = t.accounts.get(row.account);
     let level = t.levels.of(row.pool_key(), account.rank);
@@ -256,7 +266,8 @@
     work_done(t, now, row) > level * account.weight * times
 }
 
-/// Gives what accounts asked for and had here lately, the greatest first, to tell other groups.
+/// Returns the recent demand and work of the accounts at this instance, largest first, as reported
+/// to other groups.
 #[must_use]
 pub fn work_report(t: &Tables, now: Time) -> Vec<AccountWork> {
     if !t.settings.account_shares.is_on() {
--- a/crates/firdock-policy/src/system/fair_share/level.rs
+++ b/crates/firdock-policy/src/system/fair_share/level.rs
@@ -1,4 +1,4 @@
-//! What accounts may have of each pool where its room is short, by weights and by what they ask for.
+//! Fair shares of accounts in each pool that is short of capacity, by weight and demand.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -11,14 +11,14 @@
 use crate::table::share::{AccountRank, Levels};
 use crate::time::Time;
 
-/// Part by which accounts have to ask for more than was done before room counts as short: what was
-/// asked within the last tenth of a second may still be on its way to an endpoint.
+/// Factor by which demand must exceed the work done before capacity counts as short: requests that
+/// arrived within the last tenth of a second may still be on their way to an endpoint.
 const SHORTAGE_FACTOR: f64 = 1.1;
 
-/// Pause between two takings of levels: a tenth of the time in which what counts as lately fades.
+/// Interval between two updates of the levels: a tenth of the time over which recent work decays.
 const LEVEL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Takes anew what accounts may have of each pool, by what they asked for and had lately.
+/// Recomputes the share level of each pool from recent demand and work.
 pub fn update_levels(t: &mut Tables, now: Time) {
     if !t.settings.account_shares.is_on() || now < t.levels.taken + LEVEL_INTERVAL {
         return;
@@ -35,18 +35,18 @@
     t.levels = levels;
 }
 
-/// How the accounts of one rank stand with a pool.
+/// Fair shares of the accounts of one rank in a pool.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PoolFairShares {
     /// Pool.
     pub pool: PoolId,
-    /// Whether its room is short for them.
+    /// Whether capacity is short for these accounts.
     pub short: bool,
-    /// The accounts.
+    /// Accounts with recent demand or work.
     pub rows: Vec<FairShare>,
 }
 
-/// Gives how all accounts stand, by pool and rank; those without any are left out.
+/// Returns the fair shares of all accounts by pool and rank; ranks without any are omitted.
 #[must_use]
 pub fn fair_shares_by_pool(t: &Tables, now: Time) -> Vec<PoolFairShares> {
     let mut all = Vec::new();
@@ -74,7 +74,8 @@
         .collect()
 }
 
-/// Gives the share for each unit of weight of those that ask for more; `None` where there is room.
+/// Returns the share per unit of weight of the accounts with unmet demand, or `None` if capacity is
+/// not short.
 fn share_per_weight(fair_shares: &[FairShare]) -> Option<f64> {
     let done: f64 = fair_shares.iter().map(|s| s.done).sum();
     let asked: f64 = fair_shares.iter().map(|s| s.asked).sum();
@@ -85,22 +86,22 @@
     levels.max_by(f64::total_cmp)
 }
 
-/// What an account asked for and had lately of a pool, and what its share is.
+/// Recent demand and work of an account in a pool, and its fair share.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FairShare {
     /// Row of the account.
     pub account: usize,
     /// Its weight.
     pub weight: f64,
-    /// Work asked for, in seconds.
+    /// Work requested, in seconds.
     pub asked: f64,
     /// Work done, in seconds.
     pub done: f64,
-    /// Its share of all that was done for accounts of its rank, by its weight and what it asks for.
+    /// Share of all work done for accounts of its rank, by weight and demand, in seconds.
     pub share: f64,
 }
 
-/// Gives how the accounts of a rank stand that asked for work of a pool lately.
+/// Returns the fair shares of the accounts of a rank with recent demand or work in a pool.
 fn fair_shares(t: &Tables, now: Time, pool: &str, rank: AccountRank) -> Vec<FairShare> {
     let mut rows: Vec<FairShare> = Vec::new();
     for (at, account) in t.accounts.iter().filter(|(_, a)| a.rank == rank) {
@@ -127,19 +128,20 @@
     rows
 }
 
-/// What one account asks for, and its weight.
+/// Demand of one account, with its weight.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ShareDemand {
     /// Weight.
     pub weight: f64,
-    /// What it asks for.
+    /// Demand.
     pub amount: f64,
 }
 
-/// Divides `room` by weight; what one does not ask for goes to the others by theirs.
+/// Divides `room` by weighted max-min fairness: what an account does not ask for is divided among
+/// the others by weight.
 ///
-/// No account gets more than it asks for, all of the room is given where it is asked for, and no
-/// account gets less for its weight than another unless it asks for no more.
+/// No account gets more than it asks for, `room` is used up as far as there is demand, and an
+/// account gets less per weight than another only if its demand is met.
 #[must_use]
 pub fn max_min_shares(room: f64, demands: &[ShareDemand]) -> Vec<f64> {
     let mut by_need: Vec<usize> = (0..demands.len()).collect();
@@ -158,7 +160,7 @@
     parts
 }
 
-/// Gives what an account asked of a pool lately, by all groups.
+/// Returns the recent demand of an account in a pool, over all groups.
 fn work_asked(t: &Tables, now: Time, account: usize, pool: &str) -> f64 {
     let row = t.accounts.get(account);
     let told = t
--- a/crates/firdock-policy/src/system/handover.rs
+++ b/crates/firdock-policy/src/system/handover.rs
@@ -1,4 +1,4 @@
-//! Hand-over of requests to peers, and what becomes of them there.
+//! Hand-over of requests to peers, and the outcome there.
 
 use firdock_core::{Outcome, Reason, RequestId};
 
@@ -10,14 +10,14 @@
 use crate::table::peer::PeerRow;
 use crate::time::Time;
 
-/// Time for which a peer's word that an endpoint is leaving counts.
+/// Time for which a peer's report that an endpoint is leaving is valid.
 pub const LEAVING_REPORT_TTL: std::time::Duration = std::time::Duration::from_secs(10);
-/// Silence after which a peer's hand-overs end: far longer than heartbeats are apart.
+/// Silence after which hand-overs to a peer end; far longer than the heartbeat interval.
 const PEER_SILENCE_LIMIT: std::time::Duration = std::time::Duration::from_secs(10);
-/// Silence after which a peer's row is dropped.
+/// Silence after which a peer's row is removed.
 const SILENT_PEER_TTL: std::time::Duration = std::time::Duration::from_mins(1);
 
-/// Takes a peer's heartbeat.
+/// Applies a peer's heartbeat.
 pub fn apply_heartbeat(t: &mut Tables, now: Time, mut news: PeerUpdate, out: &mut Vec<Action>) {
     suspect::merge_reports(t, now, std::mem::take(&mut news.suspects), out);
     for name in &news.leaving {
@@ -38,7 +38,7 @@
     t.peers.get_mut(at).update(now, news, small);
 }
 
-/// Takes it that the link to a peer broke: its news no longer counts.
+/// Marks a peer as lost because its link broke: its status no longer counts.
 pub fn mark_peer_lost(t: &mut Tables, name: &str) {
     if let Some(at) = t.peers.find(name) {
         t.peers.get_mut(at).last_seen = Time::ZERO;
@@ -60,7 +60,7 @@
     hand_over(t, now, id, at, HandOverCause::KeyOwner, out);
 }
 
-/// Hands a request to a peer that holds a lower tier; tells whether there is one.
+/// Hands a request over to a peer that holds a lower tier. Returns whether there is one.
 pub fn to_lower_holder(t: &mut Tables, now: Time, id: RequestId, out: &mut Vec<Action>) -> bool {
     let Some(row) = t.requests.get(id) else {
         return false;
@@ -76,7 +76,7 @@
     true
 }
 
-/// Hands a request to any live peer, since this instance is stopping.
+/// Hands a request over to any live peer because this instance is stopping.
 pub fn to_any_peer(t: &mut Tables, now: Time, id: RequestId, out: &mut Vec<Action>) -> bool {
     let Some(peer) = pick_peer(t, now, id, |_| true) else {
         return false;
@@ -85,7 +85,7 @@
     true
 }
 
-/// Picks the live peer that has fewest of this instance's requests.
+/// Picks the live peer with the fewest requests from this instance.
 fn pick_peer(
     t: &Tables,
     now: Time,
@@ -129,7 +129,7 @@
     });
 }
 
-/// Takes news of a hand-over.
+/// Handles an event of a hand-over.
 pub fn handle_event(t: &mut Tables, now: Time, event: &HandOverEvent, out: &mut Vec<Action>) {
     match event {
         HandOverEvent::Refused(refusal) => take_back(t, now, refusal, out),
@@ -157,7 +157,7 @@
     }
 }
 
-/// Takes a request back that the peer did not take.
+/// Takes back a request that the peer did not accept.
 fn take_back(t: &mut Tables, now: Time, refusal: &HandOverRefusal, out: &mut Vec<Action>) {
     let id = refusal.id;
     let Some(at) = receiving_peer(t, id) else {
@@ -179,7 +179,7 @@
     }
 }
 
-/// Answers a request whose key's owner did not take it: nobody else may run it.
+/// Answers a request that the owner of its key did not accept: no other instance may run it.
 fn owner_refused(
     t: &mut Tables,
     now: Time,
@@ -204,10 +204,10 @@
     }
 }
 
-/// Takes a broken link: what was sent may have run, at an endpoint that nobody here knows.
+/// Handles a broken link: the request may have run at an endpoint unknown to this instance.
 ///
-/// The request is not run again even if it may be repeated, for a second dispatch might go to
-/// the endpoint that the peer had chosen.
+/// It is not retried even if it is repeatable, because the second dispatch might go to the same
+/// endpoint that the peer chose.
 fn record_broken(t: &mut Tables, now: Time, id: RequestId, out: &mut Vec<Action>) {
     if receiving_peer(t, id).is_none() {
         return;
@@ -221,7 +221,8 @@
     lifecycle::finish_with_verdict(t, now, id, verdict, out);
 }
 
-/// Ends hand-overs to peers that fell silent: a cut link may not show for many minutes.
+/// Ends hand-overs to peers that have been silent too long: a cut link may stay undetected for many
+/// minutes.
 pub fn end_silent_hand_overs(t: &mut Tables, now: Time, out: &mut Vec<Action>) {
     let silent = |r: &&RequestRow| match r.phase {
         Phase::HandedOver(at) => t.peers.get(at).last_seen.max(r.dispatched) + PEER_SILENCE_LIMIT < now,
@@ -238,7 +239,7 @@
     }
 }
 
-/// Forgets peers that have been silent for long and have none of this instance's requests.
+/// Removes peers that have been silent for long and hold none of this instance's requests.
 pub fn remove_silent_peers(t: &mut Tables, now: Time) {
     let stale = t.peer_stale_after();
     t.peers.remove_if(|p| {
--- a/crates/firdock-policy/src/system/key.rs
+++ b/crates/firdock-policy/src/system/key.rs
@@ -1,8 +1,8 @@
-//! Idempotency keys: who may run them, and what a resend gets.
+//! Idempotency keys: which instance may run them, and how a repeated request is answered.
 //!
-//! The two rules that keep an old and a new owner apart are derived in `docs/design/keys.md`:
-//! an owner runs a key only if it was minted before R + G, and an owner since T never runs one
-//! minted before T + G.
+//! The two rules that keep an old and a new owner from running the same key are derived in
+//! `docs/design/keys.md`: an owner runs a key only if it was minted before R + G, and an owner
+//! since T never runs one minted before T + G.
 
 use std::time::Duration;
 
@@ -16,25 +16,25 @@
 use crate::table::view::Ownership;
 use crate::time::{LogTime, Time};
 
-/// Time after which a caller should try a key again whose owner is not confirmed.
+/// Retry time sent with verdicts on requests with a key.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// What to do with a request by its key.
+/// Decision on a request by its key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Decision {
-    /// No key binds it: it has none, or may be repeated anyway.
+    /// No key applies: the request has none, or its service is repeatable.
     Unbound,
     /// This instance owns the key, which counts as minted at this time.
     Own(LogTime),
     /// Another member owns the key.
     PassOn(Member),
-    /// The earlier request's answer is to be given again.
+    /// The answer to an earlier request with the key is repeated.
     Replay(RequestId),
-    /// The request gets a final answer.
+    /// The request is refused with a final answer.
     Refuse(Verdict),
 }
 
-/// Decides what to do with a request that arrived, by its key.
+/// Decides on an arriving request by its key.
 pub fn decide(t: &Tables, now: Time, service: usize, new: &NewRequest) -> Decision {
     let Some(claim) = new
         .key
@@ -53,10 +53,11 @@
     }
 }
 
-/// Gives how long, by this process's clock, a request with an opaque key may be dispatched.
+/// Returns until when, by this process's clock, a request with an opaque key may be dispatched.
 ///
-/// An opaque key has no minting time that a later owner could compare, so its owner goes by how
-/// fresh its last read of the log is. Once another member owns the key, the last limit stands.
+/// An opaque key has no minting time that a later owner could compare, so its owner relies on how
+/// recent its last read of the log is. Once another member owns the key, the last limit stays in
+/// force.
 pub fn confirm_by(t: &Tables, row: &RequestRow) -> Option<Time> {
     let claim = row
         .new
@@ -68,11 +69,11 @@
     }
 }
 
-/// Gives what a key that this instance knows already calls for.
+/// Decides on a request whose key is already known here.
 fn decide_known(t: &Tables, claim: &KeyClaim) -> Option<Decision> {
     let row = t.keys.get(claim.hash)?;
     if row.fingerprint != claim.fingerprint {
-        // The first request with the key may run, but this one has not and never will.
+        // The first request with the key may run, but this one has not run and never will.
         return Some(refuse_not_run(Reason::KeyMismatch, None));
     }
     let decision = match row.state {
@@ -83,7 +84,7 @@
     Some(decision)
 }
 
-/// Tells whether every earlier owner transferred its keys, and this one was not among them.
+/// Returns whether every earlier owner has transferred its keys and this key was not among them.
 fn all_transferred(t: &Tables, key: u64, log_now: LogTime) -> bool {
     let horizon = log_now.saturating_sub(t.settings.key_retention);
     let me = t.settings.member.incarnation;
@@ -93,7 +94,7 @@
             .is_some_and(|ownership_periods| t.transfers.is_complete(me, &ownership_periods))
 }
 
-/// Takes a view over and transfers to the other members the keys that they own now.
+/// Applies a member view, and transfers keys to the members that own them now.
 pub fn apply_view(t: &mut Tables, view: MemberView, out: &mut Vec<Action>) {
     if view.number <= t.views.number() {
         return;
@@ -122,7 +123,7 @@
     out.extend(transfers);
 }
 
-/// Takes another member's transfer.
+/// Applies a key transfer from another member.
 pub fn apply_transfer(t: &mut Tables, now: Time, transfer: &KeyTransfer) {
     let me = t.settings.member.incarnation;
     t.transfers.merge(now, me, transfer, t.settings.max_keys);
@@ -154,15 +155,16 @@
     Decision::Own(minted)
 }
 
-/// Another member may own the key and may have run it, so `not-run` could be untrue.
+/// Refuses a request as `unknown`: another member may own the key and may have run it, so `not-run`
+/// could be wrong.
 fn refuse_unconfirmed() -> Decision {
     Decision::Refuse(unconfirmed_verdict())
 }
 
-/// Gives the final answer to a request whose key's owner is not confirmed or not reached.
+/// Returns the verdict for a request if the owner of its key is not confirmed or cannot be reached.
 ///
-/// An earlier attempt under the same key may have run at whoever owns it. Coming back with the
-/// same key is always safe, so the caller is told when.
+/// An earlier attempt with the same key may have run at the owner. Retrying with the same key is
+/// always safe, so the verdict carries a retry time.
 pub fn unconfirmed_verdict() -> Verdict {
     let reason = Reason::KeyUnconfirmed;
     Verdict {
--- a/crates/firdock-policy/src/system/limit.rs
+++ b/crates/firdock-policy/src/system/limit.rs
@@ -1,4 +1,4 @@
-//! Limits of accounts over all instances together.
+//! Rate limits of accounts, shared by all instances.
 
 use std::time::Duration;
 
@@ -12,17 +12,18 @@
 use crate::table::{ReachableInstances, Tables};
 use crate::time::Time;
 
-/// Part of each limit that an instance uses before it knows how many others there are: a little more
-/// than the even part of one of the six or seven of a small site, so that a restart costs no caller
-/// anything, and all of them together hardly exceed the limit.
+/// Share of each limit that an instance uses before it knows how many others there are: slightly
+/// more than the even share among the six or seven instances of a small site, so that a restart
+/// does not affect callers and all instances together hardly exceed the limit.
 const STARTUP_LIMIT_SHARE: f64 = 0.15;
-/// Seconds by which a peer may have begun earlier than this instance, and count as begun with it:
-/// far more than the clocks of instances differ by.
+/// Difference, in seconds, up to which an earlier start of a peer counts as simultaneous: far more
+/// than the clock skew between instances.
 const SAME_START_SECS: u64 = 10;
-/// Longest time, in seconds, after which callers beyond a limit are told to come back.
+/// Longest retry time, in seconds, sent to callers that exceed a limit.
 const MAX_RETRY_AFTER_SECS: f64 = 60.0;
 
-/// Charges a request to its account's limit and gives the charge; `None` if there was no room.
+/// Charges a request to its account's limit and returns the charge, or `None` if the limit is
+/// exceeded.
 pub fn charge(t: &mut Tables, now: Time, account: usize, new: &NewRequest) -> Option<f64> {
     if t.settings.coordinates {
         return Some(0.0);
@@ -44,12 +45,12 @@
     (allowed && bucket.try_take(cost)).then_some(cost)
 }
 
-/// Gives a number from 0 to 1 by an instance's name.
+/// Returns a number from 0 to 1 derived from an instance's name.
 fn phase(name: &str) -> f64 {
     rendezvous::hash_key(name.as_bytes()) as f64 / u64::MAX as f64
 }
 
-/// Gives what a request beyond its account's limit is told.
+/// Returns the verdict for a request that exceeds its account's limit.
 pub fn verdict(t: &Tables, account: usize) -> Verdict {
     let bucket = t.accounts.get(account).bucket;
     let secs = bucket.map_or(1.0, |b| b.wait_secs());
@@ -60,21 +61,22 @@
     }
 }
 
-/// Gives a request's charge back, since it ran nowhere.
+/// Refunds the charge of a request that did not run.
 pub fn refund(t: &mut Tables, row: &RequestRow) {
     if let Some(bucket) = &mut t.accounts.get_mut(row.account).bucket {
         bucket.refund(row.charge);
     }
 }
 
-/// Takes out of the buckets what a peer let pass since its last heartbeat.
+/// Charges the buckets with what a peer admitted since its last heartbeat.
 ///
-/// After a restart, the peer's totals begin anew. Where instances are many, leads tell the sums of all
-/// instead ([`apply_site_use`]).
+/// After a restart, the peer's totals start from zero. On large sites, group leads report the sums
+/// over all instances instead ([`apply_site_use`]).
 ///
-/// What a peer used before this instance first heard of it is not known to be recent, so it does not
-/// count. Nor does what it used of an account before it first told of that, unless it began with
-/// this instance or later. A word that was overtaken has smaller totals, and is made up for by the next.
+/// Usage from before this instance first heard from the peer may be old and is not charged. The
+/// same holds for the usage of an account from before the peer first reported it, unless the peer
+/// started together with this instance or later. A heartbeat that arrives out of order has smaller
+/// totals; the next one makes up for it.
 pub fn apply_peer_use(t: &mut Tables, now: Time, news: &PeerUpdate) {
     let peer = t.peers.find(&news.name).map(|at| t.peers.get(at));
     let Some(peer) = peer.filter(|p| p.last_seen > Time::ZERO) else {
@@ -93,7 +95,7 @@
     }
 }
 
-/// Tells whether a process began well before another; starts that carry no time count as new.
+/// Returns whether a process started well before another. Start ids without a time count as new.
 fn began_before(peer: Uuid, own: Uuid) -> bool {
     let secs = |id: Uuid| id.get_timestamp().map(|time| time.to_unix().0);
     match (secs(peer), secs(own)) {
@@ -102,10 +104,10 @@
     }
 }
 
-/// Takes out of the buckets what the others let pass, by a lead's counts of what all did.
+/// Charges the buckets with what other instances admitted, from a lead's counts over all instances.
 ///
-/// This instance's own use is among what is counted, and was taken out when it was let pass. A count that
-/// does not hold the newest of it yet falls short until it does.
+/// The counts include this instance's own usage, which was charged on admission. Until they include
+/// its latest usage, they understate that of the others.
 pub fn apply_site_use(t: &mut Tables, now: Time, word: &UseCounts) {
     let mut others = word.clone();
     others.counts.retain_mut(|told| {
@@ -118,7 +120,7 @@
     });
     let rises = t.site_use.merge(now, &others);
     if t.is_single_group() {
-        // Each tells all the others of its own use.
+        // Each instance reports its own usage to all others.
         return;
     }
     for rise in rises {
@@ -126,7 +128,7 @@
     }
 }
 
-/// Takes out of a bucket by how much others' use of its account rose.
+/// Charges a bucket with the increase in other instances' usage of its account.
 fn charge_increase(accounts: &mut Accounts, now: Time, rise: &AccountUse) {
     if let Some(bucket) = bucket_of(accounts, &rise.account) {
         bucket.deduct_peer_use(rise.units);
@@ -134,7 +136,7 @@
     }
 }
 
-/// Forgets what others let pass of accounts that have no limit any more.
+/// Drops the usage of accounts that no longer have a limit.
 pub fn forget_unlimited(t: &mut Tables) {
     let accounts = &t.accounts;
     t.site_use.retain(|account| {
@@ -143,13 +145,13 @@
     });
 }
 
-/// Gives the bucket of an account, if it has one.
+/// Returns the bucket of an account, if it has one.
 fn bucket_of<'a>(accounts: &'a mut Accounts, account: &str) -> Option<&'a mut Bucket> {
     let at = accounts.find(account)?;
     accounts.get_mut(at).bucket.as_mut()
 }
 
-/// Gives what this instance let pass of the limits that are in use.
+/// Returns what this instance admitted under each limit in use.
 #[must_use]
 pub fn usage(t: &Tables, now: Time) -> Vec<AccountUse> {
     let rows = t.accounts.iter().filter_map(|(_, a)| {
@@ -165,16 +167,17 @@
     rows.collect()
 }
 
-/// Gives the part of each limit that this instance may use.
+/// Returns the share of each limit that this instance may use.
 ///
-/// Instances that hear each other share one bucket. Those that are not heard may be serving
-/// callers as well, so that their even parts are left out.
+/// Instances that hear from each other share one bucket. Others may be serving callers as well, so
+/// their even shares are reserved.
 ///
-/// Where instances are many, they hear each other too seldom for that: the leads of groups tell at
-/// each heartbeat how many are heard. One that hears no lead takes itself for cut off.
+/// On large sites, instances hear from each other too rarely for that: group leads report with each
+/// heartbeat how many instances are live. An instance that hears from no lead assumes that it is
+/// partitioned.
 ///
 /// An instance that just started does not know how many others there are. All of them may have
-/// started together, so that none may take the limit for its own alone.
+/// started together, so none may use the whole limit alone.
 fn limit_share(t: &Tables, now: Time) -> f64 {
     if t.settings.await_peers && t.known_peers.is_none() {
         return STARTUP_LIMIT_SHARE;
@@ -183,7 +186,7 @@
     heard as f64 / known as f64
 }
 
-/// Gives how many instances are heard, and how many are known of, this one among both.
+/// Returns how many instances are live and how many are known, both including this one.
 pub fn live_and_known(t: &Tables, now: Time) -> (usize, usize) {
     let known = 1 + t.peers_known();
     let heard = match t.reachable.filter(|_| !t.is_single_group()) {
@@ -193,7 +196,7 @@
     (heard, known)
 }
 
-/// Gives how many instances leads hear, this one alone where no lead told lately.
+/// Returns the number of instances that leads report as reachable, or 1 without a recent report.
 fn reachable_count(t: &Tables, now: Time, reach: ReachableInstances) -> usize {
     if reach.at + t.settings.peer_stale_after > now {
         reach.count
--- a/crates/firdock-policy/src/system/shed.rs
+++ b/crates/firdock-policy/src/system/shed.rs
@@ -1,4 +1,5 @@
-//! Shedding: when too much is held, the lowest tier goes first, wherever it is held.
+//! Load shedding: when too much is held, requests of the lowest tier are shed first, whichever
+//! queue holds them.
 
 use std::cmp::Reverse;
 
@@ -11,7 +12,7 @@
 use crate::table::service::ServiceRow;
 use crate::time::Time;
 
-/// Sheds until the bounds on what is held are kept.
+/// Sheds requests until the limits on held requests are met.
 pub fn run(t: &mut Tables, now: Time, out: &mut Vec<Action>) {
     while over_bounds(t) {
         let Some(id) = victim(t, now) else { break };
@@ -25,11 +26,11 @@
     t.requests.held() > t.settings.max_held || t.requests.bytes() > t.settings.held_bytes
 }
 
-/// Gives one held request up, or hands it to a peer that holds a lower tier.
+/// Gives up a held request, or hands it over to a peer that holds a lower tier.
 ///
 /// # Panics
 ///
-/// Panics if a request of a lower tier is held here: that one has to go first.
+/// Panics if a request of a lower tier is held here, which must be shed first.
 pub fn shed(t: &mut Tables, now: Time, id: RequestId, reason: Reason, out: &mut Vec<Action>) {
     let Some(row) = t.requests.get(id) else {
         return;
@@ -47,9 +48,11 @@
     lifecycle::give_up(t, now, id, reason, out);
 }
 
-/// Sheds of these requests those that may go, the lowest tier first and else in the order given.
+/// Sheds those of the given requests that may be shed, lowest tier first and otherwise in the given
+/// order.
 ///
-/// One of a higher tier stays while any of a lower tier is held, so that it is never shed before it.
+/// A request of a higher tier is kept while any of a lower tier is held, so that it is never shed
+/// before it.
 pub fn lowest_first(
     t: &mut Tables,
     now: Time,
@@ -66,7 +69,8 @@
     }
 }
 
-/// Picks from the account that holds most for its share, in the lowest tier: late ones first.
+/// Picks a request of the lowest tier from the account that holds the most for its share, late
+/// requests first.
 fn victim(t: &Tables, now: Time) -> Option<RequestId> {
     if t.settings.account_shares.is_on() {
         return fair_share::most_over_share(t, now);
@@ -79,7 +83,7 @@
     t.services.get(service).queue.most_expendable(account)
 }
 
-/// Goes over the lanes of a tier: service, account and how many wait.
+/// Iterates over the lanes of a tier as service, account and number of requests.
 fn lanes_of(t: &Tables, rank: TierRank) -> impl Iterator<Item = (usize, usize, usize)> {
     let ranked = move |id: RequestId| t.requests.get(id).is_some_and(|r| r.rank == rank);
     let lanes = move |(i, s): (usize, &ServiceRow)| {
@@ -90,10 +94,10 @@
     t.services.iter().flat_map(lanes)
 }
 
-/// Sheds from accounts over their own bound, as far as tier order allows.
+/// Sheds from accounts over their own limit, as far as the tier order permits.
 ///
-/// An account's bound delays and never sheds out of tier order: only what the account holds in
-/// the lowest tier held by anyone may go.
+/// An account's limit delays requests but never sheds out of tier order: only requests of the
+/// lowest tier held by any account may be shed.
 fn shed_accounts(t: &mut Tables, now: Time, out: &mut Vec<Action>) {
     while let Some(id) = account_victim(t) {
         let before = t.requests.held();
@@ -111,7 +115,7 @@
     t.services.get(service).queue.most_expendable(account)
 }
 
-/// Tells whether a verdict is one for load.
+/// Returns whether a verdict is a refusal because of load.
 pub fn is_load_refusal(outcome: Outcome, reason: Reason) -> bool {
     outcome == Outcome::NotRun
         && matches!(
