--- a/crates/firdock-policy/src/system/attempts.rs
+++ b/crates/firdock-policy/src/system/attempts.rs
@@ -1,7 +1,8 @@
-//! Counts of what becomes of first tries, and of those with which callers come back.
+//! Counts the outcomes of first attempts and of retries by callers.
 //!
-//! A caller values what it gets from its first try on: a refusal earns nothing by a later success
-//! that is too late for it. By these counts times to come back are judged (`docs/design/overload.md`).
+//! A caller measures success from its first attempt on: a refusal followed by a success that is too
+//! late is worth nothing to it. These counts serve to evaluate retry times
+//! (`docs/design/overload.md`).
 
 use std::time::Duration;
 
@@ -13,12 +14,11 @@
 use crate::table::service::ServiceRow;
 use crate::time::Time;
 
-/// Least time by which a caller that comes back has less left than at its first try: its refusal, and a
-/// new connection, go to it and back at some milliseconds each way. Requests that wait here for the
-/// scheduler differ by less.
+/// Minimum difference in remaining time that identifies a retry: a refusal and a new connection
+/// take some milliseconds each way. Waiting for the scheduler makes a smaller difference.
 const SAME_TRY: Duration = Duration::from_millis(10);
 
-/// Notes how long before its arrival a request was first tried.
+/// Records how long before its arrival a request was first attempted.
 #[must_use]
 pub fn with_first_try(service: &mut ServiceRow, now: Time, row: RequestRow) -> RequestRow {
     let since_first_attempt = since_first_attempt(service, now, &row.new);
@@ -35,7 +35,7 @@
     service.since_first_attempt(new.deadline.map(|by| by.saturating_sub(now)))
 }
 
-/// Counts a try that ended.
+/// Counts an attempt that ended.
 pub fn count(t: &mut Tables, now: Time, row: &RequestRow, outcome: Outcome) {
     if row.new.origin != Origin::Caller {
         return;
@@ -52,7 +52,7 @@
     add(t, row.service, row.since_first_attempt, end);
 }
 
-/// Counts a try that is refused before it enters the tables.
+/// Counts an attempt that is refused before it enters the tables.
 pub fn count_rejected(t: &mut Tables, now: Time, service: usize, new: &NewRequest) {
     let since_first_attempt = since_first_attempt(t.services.get_mut(service), now, new);
     add(t, service, since_first_attempt, AttemptOutcome::NotRun);
--- a/crates/firdock-policy/src/system/budget.rs
+++ b/crates/firdock-policy/src/system/budget.rs
@@ -1,4 +1,4 @@
-//! Budgets: each endpoint's slots are split among the instances by their demand.
+//! Budgets: divides each endpoint's slots among the instances by demand.
 
 mod group;
 mod totals;
@@ -16,18 +16,20 @@
 use crate::table::endpoint::EndpointRow;
 use crate::time::Time;
 
-/// Pause between two settings of the budgets.
+/// Interval between two updates of the budgets.
 const BUDGET_PERIOD: Duration = Duration::from_millis(200);
-/// Places of an engine that are given out in calm times, as a part of its slots: instances do not
-/// use all of theirs at one time, and an engine queues the few that meet.
+/// Places of an engine assigned per slot under light load: instances do not use all of their places
+/// at the same time, and the engine queues the few requests that collide.
 const CALM_PLACES_PER_SLOT: f64 = 1.25;
-/// The same under load, when all places are used: what an engine queues comes late.
+/// Places assigned per slot under heavy load: all places are used then, and requests queued by the
+/// engine are late.
 const BUSY_PLACES_PER_SLOT: f64 = 1.0;
-/// Part of an instance's places whose use tells that the load is no longer calm.
+/// Fraction of an instance's places in use above which the load counts as heavy.
 const BUSY_FRACTION: f64 = 0.7;
-/// How much sooner an instance in the engine's own availability zone gets one of its last places.
+/// Weight by which an instance in the engine's own availability zone is preferred for one of its
+/// last places.
 const SAME_ZONE_WEIGHT: f64 = 3.0;
-/// Part of each endpoint that is split evenly, so that a burst finds some room at once.
+/// Fraction of each endpoint that is divided evenly, so that a burst finds some places immediately.
 const EVEN_FRACTION: f64 = 0.25;
 
 /// Sets this instance's budget on every endpoint.
@@ -36,7 +38,7 @@
         group::set_budgets(t, now);
         return;
     }
-    // What a coordinator places needs no budgets here.
+    // Engines placed by a coordinator need no budgets here.
     let own = |e: &EndpointRow| !(t.coordinated && e.is_engine());
     let shared: Vec<(usize, &EndpointRow)> = t.endpoints.iter().filter(|(_, e)| own(e)).collect();
     let on = t.settings.mechanisms;
@@ -50,7 +52,8 @@
     }
 }
 
-/// Gives budgets that add up to each engine's places over all instances: each reckons the parts of all.
+/// Returns budgets that add up to exactly each engine's places over all instances: every instance
+/// computes the shares of all.
 fn exact_budgets(
     instances: &LiveInstances,
     on: Mechanisms,
@@ -64,11 +67,11 @@
         .collect()
 }
 
-/// Gives budgets that add up to each engine's places in the mean, by a draw of this instance alone.
+/// Returns budgets that add up to each engine's places on average, by a local pseudorandom draw.
 ///
-/// To reckon the parts of all instances at each endpoint took 300 instances before 3,000 endpoints a
-/// million draws each 0.2 s, by reckoning all of an eighth of a core, for as long as no coordinator
-/// answers: right after a start, when there is most to do.
+/// Computing the shares of all instances at each endpoint took 300 instances with 3,000 endpoints a
+/// million draws each every 0.2 s, by calculation an eighth of a core, for as long as no
+/// coordinator answers: right after a start, when there is the most work to do.
 fn sampled_budgets(
     totals: &InstanceTotals,
     on: Mechanisms,
@@ -91,8 +94,8 @@
     .collect()
 }
 
-/// Sets the budgets again if they have not been set for a while: between instances, they change no
-/// faster than demand is told.
+/// Updates the budgets if they have not been updated for a while. Between instances, they change no
+/// faster than demand is reported.
 pub fn refresh_budgets(t: &mut Tables, now: Time) {
     if t.budgets_updated_at + BUDGET_PERIOD <= now {
         t.budgets_updated_at = now;
@@ -100,8 +103,8 @@
     }
 }
 
-/// Gives how many places an engine has for each slot: fewer once this instance uses most of its own, which
-/// are so large a part of each endpoint's.
+/// Returns the number of places per slot of an engine: fewer once this instance uses most of its
+/// own places, taken as its share of each endpoint's slots.
 fn places_per_slot(endpoints: &[(usize, &EndpointRow)], shares: impl Iterator<Item = f64>) -> f64 {
     let (mut used, mut own) = (0.0, 0.0);
     for ((_, e), share) in endpoints.iter().zip(shares) {
@@ -117,14 +120,14 @@
     }
 }
 
-/// One instance that uses the endpoints, this one or a peer that is heard.
+/// Demand of an instance that uses the endpoints: this one or a live peer.
 struct InstanceDemand {
     name: InstanceId,
     zone: ZoneId,
     demand: BTreeMap<PoolId, f64>,
 }
 
-/// The instances that use the endpoints; the first is this one.
+/// All instances that use the endpoints, starting with this one.
 struct LiveInstances {
     rows: Vec<InstanceDemand>,
     by_demand: bool,
@@ -160,7 +163,7 @@
         rounded_places(e, shares[0])
     }
 
-    /// Gives each instance's part of an endpoint, from 0 to 1.
+    /// Returns each instance's share of an endpoint, from 0 to 1.
     fn shares(&self, e: &EndpointRow) -> Vec<f64> {
         let even = 1.0 / self.rows.len() as f64;
         let demands: Vec<f64> = self
@@ -177,7 +180,8 @@
         demands.into_iter().map(share).collect()
     }
 
-    /// Gives this instance whole places; those nearby get the last ones sooner.
+    /// Returns the whole number of places of this instance. Nearby instances are preferred for the
+    /// last places.
     fn integer_budgets(&self, shares: &[f64], places: f64, e: &EndpointRow) -> u32 {
         let part = |(row, share): (&'_ InstanceDemand, &f64)| {
             let near = row.zone == e.declared.zone;
@@ -192,33 +196,35 @@
     }
 }
 
-/// Gives this instance's part of an endpoint's places, one at least.
+/// Returns this instance's share of an endpoint's places, at least one.
 fn rounded_places(e: &EndpointRow, share: f64) -> u32 {
     let slots = f64::from(e.declared.slots) * share;
     (slots.round() as u32).max(1)
 }
 
-/// Gives an instance's part of an endpoint, from 0 to 1, by its demand and that of all of so many.
+/// Returns an instance's share of an endpoint, from 0 to 1, by its own demand and the total over
+/// `of` instances.
 fn demand_share(own: f64, total: f64, of: usize) -> f64 {
     let even = 1.0 / of as f64;
     EVEN_FRACTION * even + (1.0 - EVEN_FRACTION) * own / total
 }
 
-/// One sharer's part of an endpoint.
+/// Share of one instance or group in an endpoint.
 #[derive(Debug)]
 struct Allotment {
     name: String,
-    /// From 0 to 1; those of all sharers add up to 1.
+    /// From 0 to 1; the shares of all add up to 1.
     share: f64,
-    /// How much sooner it gets one of the last places.
+    /// Weight in the assignment of the last places.
     weight: f64,
 }
 
-/// Gives the sharer at `own` whole places, so that all sharers' places add up to the endpoint's.
+/// Returns the whole number of places for `own`, such that the places of all add up to the
+/// endpoint's.
 ///
-/// Each gets the whole part of its share. The places that are left go by weighted rendezvous: to
-/// the sharers with the greatest numbers that are drawn from the names and weighted by what they
-/// still lack. All instances draw alike, without talking.
+/// Each gets the integer part of its share. The remaining places are assigned by weighted
+/// rendezvous hashing: to the highest numbers drawn from the names, weighted by the fractional part
+/// that is still missing. All instances compute the same result without communication.
 fn integer_budgets(parts: &[Allotment], own: usize, places: f64, e: &EndpointRow) -> u32 {
     let whole = |part: &Allotment| (places * part.share).floor();
     let left = places - parts.iter().map(whole).sum::<f64>();
--- a/crates/firdock-policy/src/system/budget/group.rs
+++ b/crates/firdock-policy/src/system/budget/group.rs
@@ -1,8 +1,8 @@
-//! Budgets of a coordinator: engines are shared by the groups of instances.
+//! Budgets of a coordinator: engines are divided among the groups of instances.
 //!
-//! Each group has a right to the part of a pool that its demand is of the whole. It takes that from
-//! the engines of its own availability zone first, and what is missing there from those that other
-//! groups leave, so that few requests cross zones and no place stays unused.
+//! Each group is entitled to the fraction of a pool that matches its fraction of the total demand.
+//! It uses engines of its own availability zone first, and covers the rest with capacity that other
+//! groups leave, so that few requests cross availability zones and no place stays unused.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +15,8 @@
 use crate::table::endpoint::EndpointRow;
 use crate::time::Time;
 
-/// Demand a second of a group that is not told any: it may begin to have some.
+/// Minimum demand, in requests per second, assumed for each group: one without reported demand may
+/// start to have some.
 const MIN_DEMAND: f64 = 0.1;
 
 /// Sets the group's budget on every endpoint.
@@ -36,10 +37,10 @@
     }
 }
 
-/// Demand by pool of the instances of each availability zone.
+/// Demand by pool of the instances in each availability zone.
 type DemandByZone = BTreeMap<ZoneId, BTreeMap<PoolId, f64>>;
 
-/// Gives the demand of each availability zone whose instances are heard; the own one is among them.
+/// Returns the demand of each availability zone with live instances, including the own one.
 fn demand_by_zone(t: &Tables, now: Time) -> DemandByZone {
     let mut zones = DemandByZone::new();
     zones.entry(t.settings.zone.clone()).or_default();
@@ -53,7 +54,8 @@
             *zone.entry(pool.clone()).or_default() += rate;
         }
     }
-    // What a lead tells of its whole group is newer than what its instances tell far away.
+    // A lead's report on its whole group is more recent than the reports of its instances, which
+    // arrive over longer paths.
     for (zone, demand) in t.groups.fresh(now, t.settings.peer_stale_after) {
         if *zone != t.settings.zone {
             zones.insert(zone.clone(), demand.clone());
@@ -62,9 +64,9 @@
     zones
 }
 
-/// Gives the own group's places on every endpoint.
+/// Returns the own group's places on every endpoint.
 fn shared_budgets(t: &Tables, zones: &DemandByZone, own: usize) -> Vec<(usize, u32)> {
-    // Both versions of a roll-out are shared by themselves: requests of one cannot use the other's.
+    // Both versions of a roll-out are divided separately: requests for one cannot use the other.
     let mut pools: BTreeMap<(&str, bool), Vec<(usize, &EndpointRow)>> = BTreeMap::new();
     for (at, e) in t.endpoints.iter() {
         let key = (e.declared.pool.as_str(), rollout::is_new(t, e));
@@ -88,30 +90,30 @@
     budgets
 }
 
-/// How the groups share the engines of one pool; rows are in the order of their zones' names.
+/// Division of the engines of one pool among the groups, in order of zone name.
 #[derive(Debug)]
 struct PoolSplit {
     rows: Vec<GroupRow>,
-    /// Places in zones without instances of ours.
+    /// Places in availability zones without instances of this site.
     elsewhere: f64,
 }
 
-/// Counts the places of the engines that take new work, of those that are `wanted`.
+/// Counts the slots of the `wanted` engines that accept new work.
 fn open_slots(endpoints: &[(usize, &EndpointRow)], wanted: impl Fn(&EndpointRow) -> bool) -> f64 {
     let rows = endpoints.iter().map(|(_, e)| *e);
     let open = rows.filter(|e| e.present && !e.declared.leaving && wanted(e));
     open.map(|e| f64::from(e.declared.slots)).sum()
 }
 
-/// One group's part.
+/// One group's part of a pool.
 #[derive(Debug)]
 struct GroupRow {
     zone: ZoneId,
-    /// Places in its zone.
+    /// Places in its availability zone.
     capacity: f64,
-    /// Places in its zone that it takes.
+    /// Places that it uses in its availability zone.
     own: f64,
-    /// Places that it takes elsewhere.
+    /// Places that it needs elsewhere.
     shortfall: f64,
 }
 
@@ -148,7 +150,7 @@
         }
     }
 
-    /// Gives each group's share of the engines in a zone, from 0 to 1.
+    /// Returns each group's share of the engines in an availability zone, from 0 to 1.
     fn shares(&self, zone: &str) -> Vec<f64> {
         let left: f64 = self.rows.iter().map(GroupRow::spare).sum::<f64>() + self.elsewhere;
         let lacking: f64 = self.rows.iter().map(|r| r.shortfall).sum();
--- a/crates/firdock-policy/src/system/budget/totals.rs
+++ b/crates/firdock-policy/src/system/budget/totals.rs
@@ -1,5 +1,5 @@
-//! The instances that use the endpoints, as one among many reckons with them: by sums over all, for to
-//! reckon each other one's part takes more time than there is.
+//! Totals over the instances that use the endpoints. On large sites, an instance computes its
+//! budgets from these totals, because computing every other instance's share takes too long.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -14,17 +14,17 @@
 use crate::table::endpoint::EndpointRow;
 use crate::time::Time;
 
-/// Sums over the instances that use the endpoints.
+/// Totals over the instances that use the endpoints.
 pub(super) struct InstanceTotals<'a> {
     name: &'a str,
     zone: &'a str,
-    /// Demand of this instance, and of all of them.
+    /// Demand of this instance, and total demand.
     own: BTreeMap<PoolId, f64>,
     all: BTreeMap<PoolId, f64>,
-    /// How many there are, and how many in each availability zone.
+    /// Number of instances, in total and by availability zone.
     count: usize,
     zones: HashMap<&'a str, usize>,
-    /// Those that are not heard; in which zones they are is not known.
+    /// Number of instances that this one does not hear from; their availability zones are unknown.
     unobserved: usize,
     by_demand: bool,
 }
@@ -59,8 +59,8 @@
         totals
     }
 
-    /// Takes it that there are so many instances, of which those that are heard stand for all: of very
-    /// many, only the own group is.
+    /// Scales the totals up to `count` instances, taking the observed ones as representative: on
+    /// very large sites, only those of the own group are observed.
     fn scale_to(&mut self, count: usize) {
         let others = count.saturating_sub(self.count);
         if others == 0 {
@@ -74,7 +74,7 @@
         self.unobserved = others;
     }
 
-    /// Gives this instance's part of an endpoint, from 0 to 1.
+    /// Returns this instance's share of an endpoint, from 0 to 1.
     pub(super) fn own_share(&self, e: &EndpointRow) -> f64 {
         let total = on_endpoint(&self.all, e);
         if !self.by_demand || total <= f64::EPSILON {
@@ -83,7 +83,7 @@
         demand_share(on_endpoint(&self.own, e), total, self.count)
     }
 
-    /// Gives this instance's budget on an endpoint by a draw of its own.
+    /// Returns this instance's budget on an endpoint, rounded by a pseudorandom draw.
     pub(super) fn budget(&self, on: Mechanisms, places: f64, e: &EndpointRow, share: f64) -> u32 {
         if !(on.integer_budgets && e.is_engine()) {
             return rounded_places(e, share);
@@ -94,8 +94,8 @@
         part.floor() as u32 + u32::from(draw < part.fract())
     }
 
-    /// Gives how many instances an availability zone has: one whose instances are not heard is taken to
-    /// have as many as the own.
+    /// Returns the number of instances in an availability zone. A zone whose instances are not
+    /// observed is assumed to have as many as the own zone.
     fn instances_in_zone(&self, zone: &str) -> f64 {
         let heard = self.zones.get(zone).copied().unwrap_or(0);
         let like_own = self.zones.get(self.zone).copied().unwrap_or(0);
@@ -106,8 +106,9 @@
         }
     }
 
-    /// Gives how much more than its even part an instance gets of an endpoint that is near, or how much
-    /// less of one that is far, so that all get one part in the mean.
+    /// Returns the factor by which an instance's share of an endpoint differs from the even share:
+    /// more than 1 in its own availability zone, less than 1 elsewhere, and 1 on average over all
+    /// instances.
     pub(super) fn zone_factor(&self, zone: &str) -> f64 {
         let near = self.instances_in_zone(zone);
         let all = self.count as f64;
--- a/crates/firdock-policy/src/system/config.rs
+++ b/crates/firdock-policy/src/system/config.rs
@@ -1,4 +1,4 @@
-//! The configuration in force is taken over into the tables.
+//! Applies the configuration in force to the tables.
 
 use std::collections::HashMap;
 
@@ -12,7 +12,7 @@
 use crate::table::service::ServiceRow;
 use crate::time::Time;
 
-/// Takes a catalog over, unless it is older than the one in force.
+/// Applies a catalog, unless it is older than the one in force.
 pub fn apply(t: &mut Tables, now: Time, catalog: &Catalog, out: &mut Vec<Action>) {
     if catalog.version < t.version {
         return;
@@ -71,7 +71,8 @@
         let row = t.services.get_mut(at);
         row.present = true;
         row.declared = declared.clone();
-        // Requests that live keep the rank they came with, so the tier changes once none do.
+        // Live requests keep the rank they arrived with, so the rank of the tier changes only once
+        // there are none.
         if row.live == 0 || row.tier.rank == tier.rank {
             row.tier = tier.clone();
         } else {
@@ -83,7 +84,8 @@
     }
 }
 
-/// Links services to the rows of their endpoints: those that name the service, and those of its pools.
+/// Links services to the rows of their endpoints: those that name the service and those of its
+/// pools.
 fn link_endpoints(t: &mut Tables) {
     let mut by_service: HashMap<&str, Vec<usize>> = HashMap::new();
     let mut by_pool: HashMap<&str, Vec<usize>> = HashMap::new();
@@ -106,11 +108,11 @@
     }
 }
 
-/// Removes rows that are neither declared nor referred to, and of which nothing is to be kept.
+/// Removes rows that are neither declared nor referenced and that hold no state to keep.
 fn remove_unused(t: &mut Tables, now: Time) {
     t.services.remove_if(|s| !s.present && s.live == 0);
     t.accounts.remove_if(|a| !a.present && a.live == 0);
-    // Services were linked to present endpoints only.
+    // Services are linked to present endpoints only.
     t.endpoints
         .remove_if(|e| !e.present && e.running == 0 && !e.keeps_notices(now));
 }
--- a/crates/firdock-policy/src/system/coordinate.rs
+++ b/crates/firdock-policy/src/system/coordinate.rs
@@ -1,10 +1,9 @@
-//! Coordination: one instance of each group places the requests of all of them on engines.
+//! Coordination: one instance of each group places the requests of the whole group on engines.
 //!
-//! An engine has a handful of places and instances are many, so that none of them alone knows what
-//! is free, how fast each engine is, or which request is the most urgent of all. The coordinator
-//! does. It keeps nothing that its members do not tell it again: where it falls silent, each
-//! instance places its requests by itself, within its own part of the places
-//! (`docs/design/placement.md`).
+//! An engine has only a few slots and there are many instances, so no single instance knows which
+//! slots are free, how fast each engine is, or which request is the most urgent overall. The
+//! coordinator does. It stores nothing that its members would not report again: if it falls silent,
+//! each instance places its own requests within its own budget (`docs/design/placement.md`).
 
 use firdock_core::{RequestId, StartId};
 
@@ -17,7 +16,7 @@
 use crate::table::endpoint::UnavailableReason;
 use crate::time::Time;
 
-/// Takes it that a coordinator answers now, or that none does.
+/// Sets whether a coordinator currently answers.
 pub fn set_coordinated(t: &mut Tables, now: Time, answers: bool) {
     t.coordinated = answers;
     if !answers {
@@ -25,12 +24,12 @@
     }
 }
 
-/// Tells whether a held request waits for the coordinator to place it.
+/// Returns whether a held request is to be placed by the coordinator.
 pub fn awaits_placement(t: &Tables, row: &RequestRow) -> bool {
     t.coordinated && place::engine_for(t, row).is_some()
 }
 
-/// Asks the coordinator for places for the requests that have come to be held.
+/// Requests placements from the coordinator for newly held requests.
 pub fn request_placements(t: &mut Tables, out: &mut Vec<Action>) {
     if !t.coordinated || t.requests.held() == 0 {
         return;
@@ -49,9 +48,9 @@
     }
 }
 
-/// Sends a request to the engine on which the coordinator gave it a place.
+/// Sends a request to the engine that the coordinator granted.
 ///
-/// A place that comes twice is used once; one that cannot be used is given back.
+/// A grant that arrives twice is used once; a grant that cannot be used is declined.
 pub fn apply_grant(t: &mut Tables, now: Time, grant: &Grant, out: &mut Vec<Action>) {
     let endpoint = t.endpoints.find_start(&grant.endpoint);
     let Some(row) = t.requests.get(grant.id) else {
@@ -65,8 +64,9 @@
         return;
     }
     if endpoint.is_none() {
-        // The start is over, or not known here yet. It is asked again with the next whole report: by then
-        // both sides may know the same starts, and the engine stays open to the request.
+        // The start has ended or is not known here yet. The placement is requested again with the
+        // next full report: by then both sides may know the same starts, and the engine stays
+        // eligible for the request.
         out.push(Action::Decline(grant.clone()));
         return;
     }
@@ -83,10 +83,10 @@
     out.push(Action::Decline(grant.clone()));
 }
 
-/// Lets a request ask for another place than one that cannot be used.
+/// Lets a request ask for another placement after a grant that cannot be used.
 ///
-/// The engine is named, so that it is not given again; not so where it only wants nothing for a while,
-/// or the request waits for another try of itself: it may go there at the end of that.
+/// The engine is excluded from further grants, unless it only asks callers to back off or the
+/// request waits for a duplicate to end: it may go to that engine afterwards.
 fn reopen_placement(t: &mut Tables, now: Time, grant: &Grant) {
     let at = t.endpoints.find_start(&grant.endpoint);
     let closed = at.and_then(|at| t.endpoints.get(at).check_available("", now).err());
@@ -101,7 +101,8 @@
     }
 }
 
-/// Tells whether a request may go to an engine at all; whether it is well, the coordinator knows.
+/// Returns whether a request may go to an engine at all. The coordinator tracks the engine's
+/// health.
 fn may_use(t: &Tables, now: Time, row: &RequestRow, at: usize) -> bool {
     let e = t.endpoints.get(at);
     let serves = t.services.get(row.service).endpoints.contains(&at) && place::in_pool(row, e);
@@ -110,9 +111,10 @@
     serves && open && rollout::admits_grant(t, at)
 }
 
-/// Gives a request up that the coordinator will not place in time.
+/// Gives up a request that the coordinator will not place in time.
 ///
-/// It stays held while a request of a lower tier is, which the coordinator may not know of.
+/// The request stays held while one of a lower tier is held here, of which the coordinator may not
+/// know.
 pub fn apply_refusal(
     t: &mut Tables,
     now: Time,
@@ -134,7 +136,7 @@
     lifecycle::finish_with_verdict(t, now, id, Verdict { outcome, ..verdict }, out);
 }
 
-/// Takes a request into a coordinator's tables that a member already runs.
+/// Adds a request that a member already runs to the coordinator's tables.
 pub fn adopt(t: &mut Tables, now: Time, new: NewRequest, told: &StartId) {
     let Some(at) = t.endpoints.find_start(told) else {
         return;
--- a/crates/firdock-policy/src/system/demand.rs
+++ b/crates/firdock-policy/src/system/demand.rs
@@ -1,4 +1,4 @@
-//! Demand: how many requests a second come for each pool, and how many end.
+//! Demand: arrivals per second by pool, and the rate at which requests end.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,10 +10,10 @@
 use crate::table::endpoint::EndpointRow;
 use crate::time::Time;
 
-/// Time between two takings of rates.
+/// Interval over which rates are measured.
 const RATE_PERIOD: Duration = Duration::from_millis(500);
 
-/// Takes the rates of arrivals, dispatches and ends, once a period.
+/// Updates the rates of arrivals, dispatches and ends, once per interval.
 pub fn update_rates(t: &mut Tables, now: Time) {
     let period = now.saturating_sub(t.rates_updated_at);
     if period < RATE_PERIOD {
@@ -28,7 +28,7 @@
     }
 }
 
-/// Gives this instance's demand by pool; pools without any are left out.
+/// Returns this instance's demand by pool, omitting pools without any.
 #[must_use]
 pub fn by_pool(t: &Tables) -> BTreeMap<PoolId, f64> {
     let mut demand = BTreeMap::new();
@@ -50,7 +50,7 @@
     demand
 }
 
-/// Gives the part of a demand that an endpoint can serve: by its services and its pool.
+/// Returns the part of a demand that an endpoint can serve, by its services and its pool.
 #[must_use]
 pub fn on_endpoint(demand: &BTreeMap<PoolId, f64>, e: &EndpointRow) -> f64 {
     let names = e.declared.services.iter().chain(Some(&e.declared.pool));
--- a/crates/firdock-policy/src/system/drain.rs
+++ b/crates/firdock-policy/src/system/drain.rs
@@ -1,4 +1,4 @@
-//! A planned stop: held requests go to peers, running ones finish here.
+//! Planned stop: held requests are handed over to peers, running ones finish here.
 
 use firdock_core::RequestId;
 
@@ -8,7 +8,7 @@
 use crate::table::Tables;
 use crate::time::Time;
 
-/// Passes held requests on while the instance is stopping, and tells when nothing is left.
+/// Hands over held requests while the instance is stopping, and reports when none are left.
 pub fn run(t: &mut Tables, now: Time, out: &mut Vec<Action>) {
     if !t.draining {
         return;
--- a/crates/firdock-policy/src/system/expire.rs
+++ b/crates/firdock-policy/src/system/expire.rs
@@ -1,4 +1,4 @@
-//! Wait limits: a request that waited too long is given up, lower tiers first.
+//! Time limits: requests that waited too long are given up, lower tiers first.
 
 use firdock_core::{Reason, RequestId, TierRank};
 
@@ -8,11 +8,11 @@
 use crate::table::Tables;
 use crate::time::Time;
 
-/// Part of the time after which a caller leaves at which a held request is given up: the answer has
-/// to reach the caller before.
+/// Fraction of a caller's patience after which a held request is given up: the answer must reach
+/// the caller before it leaves.
 const PATIENCE_FRACTION: f64 = 0.9;
 
-/// Puts requests that waited past their tier's target behind those that can still meet it.
+/// Moves requests past their tier's target behind those that can still meet it.
 pub fn put_late_last(t: &mut Tables, now: Time) {
     if !t.settings.mechanisms.late_last {
         return;
@@ -25,9 +25,9 @@
     }
 }
 
-/// Ends requests whose time is up: the caller's own limit, or that of the service.
+/// Ends requests past their deadline, which is set by the caller or by the service.
 ///
-/// What is held ran nowhere now; what runs is cancelled, and may have run.
+/// A held request is not running now; a running one is cancelled and may have run.
 pub fn end_overdue(t: &mut Tables, now: Time, out: &mut Vec<Action>) {
     let overdue = |r: &&RequestRow| r.deadline.is_some_and(|by| by <= now);
     let ids: Vec<RequestId> = t
@@ -51,9 +51,10 @@
     }
 }
 
-/// Gives up held requests whose callers are about to leave, so that they hear when to come back.
+/// Gives up held requests whose callers are about to leave, so that they receive a retry time.
 ///
-/// A higher tier is not given up while a lower one is held, so the lower ones go first.
+/// Lower tiers are given up first, because no request of a higher tier is given up while a lower
+/// one is held.
 pub fn end_impatient(t: &mut Tables, now: Time, out: &mut Vec<Action>) {
     if !t.settings.mechanisms.early_refusal {
         return;
@@ -62,8 +63,8 @@
     shed::lowest_first(t, now, leaving, waited_too_long, out);
 }
 
-/// Gives until when a held request is worth waiting: just before its caller leaves, or until half
-/// of its time is gone and an endpoint would have too little left.
+/// Returns until when holding a request is worthwhile: until just before its caller leaves, or
+/// until half of its time has passed, when an endpoint would have too little left.
 fn patience_end(t: &Tables, row: &RequestRow) -> Time {
     let half = row.deadline.map(|by| by.saturating_sub(row.arrived) / 2);
     let patience = t.services.get(row.service).declared.patience();
@@ -73,7 +74,7 @@
     })
 }
 
-/// Gives until when a held request can be sent at all before it is given up.
+/// Returns the latest time at which a held request can still be sent.
 pub fn latest_send(t: &Tables, row: &RequestRow) -> Time {
     let impatient = t.settings.mechanisms.early_refusal;
     let wait = row.arrived + t.services.get(row.service).tier.wait();
@@ -85,10 +86,10 @@
     limits.into_iter().flatten().min().unwrap_or(wait)
 }
 
-/// Gives up what waited too long, and forgets keys that were kept long enough.
+/// Gives up requests that waited too long, and forgets keys after their retention time.
 ///
-/// A request of a higher tier stays held while one of a lower tier is, so that it is never shed
-/// before it.
+/// A request of a higher tier stays held while one of a lower tier is held, so that it is never
+/// shed before it.
 pub fn end_expired(t: &mut Tables, now: Time, out: &mut Vec<Action>) {
     let wait = |r: &RequestRow| t.services.get(r.service).tier.wait();
     let late = held_where(t, |r| r.arrived + wait(r) <= now);
@@ -100,12 +101,12 @@
     }
 }
 
-/// Gives the reason of what waited too long, whoever's it is.
+/// Returns the reason for requests that waited too long, for all accounts.
 fn waited_too_long(_: &Tables, _: Time, _: RequestId) -> Reason {
     Reason::WaitedTooLong
 }
 
-/// Gives the held requests of which `is_over` is true, with their ranks.
+/// Returns the held requests for which `is_over` is true, with their ranks.
 fn held_where(t: &Tables, is_over: impl Fn(&RequestRow) -> bool) -> Vec<(TierRank, RequestId)> {
     let held = t.requests.iter().filter(|r| r.phase == Phase::Held);
     let over = held.filter(|r| is_over(r));
--- a/crates/firdock-policy/src/system/health.rs
+++ b/crates/firdock-policy/src/system/health.rs
@@ -1,11 +1,11 @@
-//! Health of endpoints: reports, ejection, and leaving by whichever word comes first.
+//! Health of endpoints: load reports, ejection, and notice of leaving from any source.
 
 use crate::event::{ListedInstance, LoadReport};
 use crate::table::Tables;
 use crate::table::endpoint::{Health, MISSED_REPORTS, Reported};
 use crate::time::Time;
 
-/// Takes a report of load and cache changes.
+/// Records a report of load and cache changes.
 pub fn record_report(t: &mut Tables, now: Time, report: &LoadReport) {
     let Some(at) = t.endpoints.find(&report.endpoint) else {
         return;
@@ -32,7 +32,7 @@
     }
 }
 
-/// Takes it that a report could not be had.
+/// Records that a report could not be fetched. Ejects the endpoint after several in succession.
 pub fn record_missed_report(t: &mut Tables, now: Time, name: &str) {
     let Some(at) = t.endpoints.find(name) else {
         return;
@@ -44,7 +44,7 @@
     }
 }
 
-/// Takes the platform's instance list.
+/// Applies the platform's instance list.
 pub fn apply_instance_list(t: &mut Tables, rows: &[ListedInstance]) {
     for row in rows {
         if let Some(at) = t.endpoints.find(&row.name) {
@@ -53,7 +53,7 @@
     }
 }
 
-/// Notes a broken dispatch; ejects the endpoint if too many broke in a row.
+/// Records a broken dispatch. Ejects the endpoint after several in succession.
 pub fn record_broken_dispatch(t: &mut Tables, now: Time, at: usize) {
     let e = t.endpoints.get_mut(at);
     e.broken += 1;
@@ -63,9 +63,9 @@
     }
 }
 
-/// Ejects an endpoint for a while, unless too many of a service's endpoints are out already.
+/// Ejects an endpoint for a while, unless too many endpoints of a service are ejected already.
 pub fn eject(t: &mut Tables, now: Time, at: usize) {
-    // A start that is over says nothing of the one that has its place.
+    // A start that was replaced says nothing about its successor.
     if !t.settings.mechanisms.ejection || t.endpoints.get(at).is_replaced() {
         return;
     }
@@ -75,7 +75,7 @@
     }
 }
 
-/// Tells whether each of the endpoint's services keeps enough others.
+/// Returns whether each of the endpoint's services keeps enough other endpoints.
 fn may_eject(t: &Tables, now: Time, at: usize) -> bool {
     let mut services = t.services.iter().filter(|(_, s)| s.endpoints.contains(&at));
     services.all(|(_, s)| {
--- a/crates/firdock-policy/src/system/invariants.rs
+++ b/crates/firdock-policy/src/system/invariants.rs
@@ -1,4 +1,4 @@
-//! Invariants between tables, asserted in tests on every step and in the daemon now and then.
+//! Invariants between tables, asserted after every step in tests and periodically in the daemon.
 
 use std::collections::HashMap;
 
@@ -6,11 +6,11 @@
 use crate::table::Tables;
 use crate::time::Time;
 
-/// Checks everything.
+/// Checks all invariants.
 ///
 /// # Panics
 ///
-/// Panics where an invariant is broken.
+/// Panics if an invariant is violated.
 pub fn check_all(t: &Tables, now: Time) {
     check_queues(t);
     check_endpoints(t);
@@ -33,8 +33,8 @@
 }
 
 fn check_endpoints(t: &Tables) {
-    // Requests are counted once for all endpoints: a coordinator has thousands of these and hundreds of
-    // requests.
+    // One pass over the requests counts them for all endpoints: a coordinator has thousands of
+    // endpoints and hundreds of requests.
     let mut counts: HashMap<usize, usize> = HashMap::new();
     for row in t.requests.iter() {
         if let Phase::Dispatching(at) | Phase::Running(at) = row.phase {
--- a/crates/firdock-policy/src/system/notice.rs
+++ b/crates/firdock-policy/src/system/notice.rs
@@ -1,4 +1,4 @@
-//! Notices of endpoints: kept with the start that gave them, counted, and in force up to the write.
+//! Notices from endpoints: kept per start, counted, and effective until a request is written.
 
 use crate::action::Action;
 use crate::notice::{Notice, NoticeReport};
@@ -6,9 +6,10 @@
 use crate::system::handover::LEAVING_REPORT_TTL;
 use crate::table::Tables;
 
-/// Takes what an endpoint said of itself; the word of a start that is over is passed over.
+/// Records a notice that an endpoint sent about itself. Notices from starts that have ended are
+/// ignored.
 ///
-/// What it said to another instance counts as that one's word.
+/// A notice sent to another instance is recorded under that instance's name.
 pub fn record(t: &mut Tables, told: &NoticeReport, out: &mut Vec<Action>) {
     let Some(at) = t.endpoints.find_start(&told.endpoint) else {
         return;
@@ -40,7 +41,7 @@
     }
 }
 
-/// Gives back what is on its way to an endpoint and not written yet.
+/// Withholds dispatches to an endpoint that have not been written yet.
 fn withhold(t: &Tables, at: usize, out: &mut Vec<Action>) {
     let on_its_way = t
         .requests
--- a/crates/firdock-policy/src/system/pace_reports.rs
+++ b/crates/firdock-policy/src/system/pace_reports.rs
@@ -1,5 +1,5 @@
-//! Servers that tell how long work takes there now: what follows for the tables, and what answers
-//! teach by it.
+//! Pace reported by servers: how it enters the tables, and what answers teach when compared with
+//! it.
 
 use std::time::Duration;
 
@@ -10,11 +10,11 @@
 use crate::table::pool_latency::PoolLatency;
 use crate::time::Time;
 
-/// How long before its dispatch a figure may have been read to count as told with an answer; it covers
-/// the way to the coordinator.
+/// Maximum age of a figure at dispatch for it to apply to the answer; includes the time to reach
+/// the coordinator.
 const MAX_FIGURE_AGE: Duration = Duration::from_millis(1_500);
 
-/// Takes the pace that a server told; one that is not known is passed over.
+/// Records the pace that a server reported. Unknown endpoints are ignored.
 pub fn record(t: &mut Tables, told: &PaceReport) {
     let Some(at) = t.endpoints.find(&told.endpoint) else {
         return;
@@ -36,14 +36,14 @@
     pool.learn_pace(told.pace, told.read, own, before);
 }
 
-/// Gives what is known of the pool of an endpoint whose figures are told and true.
+/// Returns what is known about the pool of an endpoint whose reported figures proved accurate.
 pub fn trusted_pool_of<'a>(t: &'a Tables, e: &EndpointRow) -> Option<&'a PoolLatency> {
     t.pool_latencies
         .get(&e.declared.pool)
         .filter(|_| e.reported_pace.is_trusted())
 }
 
-/// Learns from a first token or byte by the pace that was told with it.
+/// Learns from the time to the first token or byte, together with the pace reported for it.
 pub fn learn_first(t: &mut Tables, now: Time, at: usize, work: f64, took: Duration) {
     let e = t.endpoints.get_mut(at);
     let Some((pace, read)) = e.reported_pace.latest() else {
@@ -69,7 +69,7 @@
     }
 }
 
-/// Learns from the time that the tokens after the first took, by the server's pace meanwhile.
+/// Learns from the time of the tokens after the first, given the server's pace during that time.
 pub fn learn_tokens(t: &mut Tables, now: Time, at: usize, tokens: u32, took: Duration) {
     let e = t.endpoints.get(at);
     let Some(pool) = t.pool_latencies.get_mut(&e.declared.pool) else {
--- a/crates/firdock-policy/src/system/restart.rs
+++ b/crates/firdock-policy/src/system/restart.rs
@@ -1,7 +1,8 @@
-//! Endpoints that start again under their names (`docs/design/restarts.md`).
+//! Endpoints that restart under the same name (`docs/design/restarts.md`).
 //!
-//! A start has a row of its own. The row of the earlier one keeps the requests that were sent there until
-//! they end, so that late news of them touch nothing of the later one, which knows nothing of before.
+//! Every start has its own row. The row of an earlier start keeps the requests that were sent there
+//! until they end, so that late updates on them do not affect the later start, which knows nothing
+//! of them.
 
 use firdock_core::resource::Endpoint;
 use firdock_core::{RequestId, StartId};
@@ -12,10 +13,10 @@
 use crate::table::Tables;
 use crate::time::Time;
 
-/// Makes way for a declared endpoint, if an earlier start of it has its name.
+/// Detaches the row of an earlier start with the name of a declared endpoint.
 ///
-/// What was sent to the earlier start before this one began ended with it. What was sent later reached
-/// the new one, though this instance did not know of it yet, and ends there.
+/// Requests sent to the earlier start before this one began were lost with it. Those sent later
+/// reached the new start, of which this instance did not know yet, and end there.
 pub fn detach_previous_start(
     t: &mut Tables,
     now: Time,
@@ -44,7 +45,7 @@
     }
 }
 
-/// Notes that a request was sent to a start, which is not to get it twice.
+/// Records that a request was sent to a start, so that it is not sent there again.
 fn record_tried_start(t: &mut Tables, id: RequestId, start: StartId) {
     let row = t.requests.get_mut(id);
     if let Some(row) = row.filter(|r| !r.tried.contains(&start)) {
@@ -52,13 +53,13 @@
     }
 }
 
-/// Gives when a start of an endpoint began, by the clock of this process.
+/// Returns when a start of an endpoint began, by this process's clock.
 fn start_time(t: &Tables, declared: &Endpoint) -> Option<Time> {
     let zero = t.settings.unix_zero?;
     declared.started.map(|at| at.saturating_sub(zero))
 }
 
-/// Gives the requests that are at an endpoint, when they were sent, and by which dispatch.
+/// Returns the requests at an endpoint, with the time and number of their dispatch.
 fn dispatches_at(t: &Tables, at: usize) -> Vec<(RequestId, Time, u32)> {
     let here =
         |r: &&RequestRow| matches!(r.phase, Phase::Dispatching(e) | Phase::Running(e) if e == at);
--- a/crates/firdock-policy/src/system/rollout.rs
+++ b/crates/firdock-policy/src/system/rollout.rs
@@ -1,5 +1,5 @@
-//! Roll-outs: which version a request may go to, what its answer says of that, and when the traffic
-//! moves or goes back (`docs/design/rollouts.md`).
+//! Roll-outs: the version that a request may go to, the evidence that its answer provides, and when
+//! traffic moves forward or back (`docs/design/rollouts.md`).
 
 mod decide;
 mod evidence;
--- a/crates/firdock-policy/src/system/rollout/decide.rs
+++ b/crates/firdock-policy/src/system/rollout/decide.rs
@@ -1,4 +1,5 @@
-//! When a roll-out goes on, by the instance that leads the site; the others follow its word.
+//! Progress of roll-outs: the instance that leads the site decides, and the others follow its
+//! status.
 
 use std::time::Duration;
 
@@ -15,21 +16,23 @@
 use crate::table::rollout::RolloutRow;
 use crate::time::Time;
 
-/// Pause between two looks at the evidence: peers tell every 200 ms.
+/// Interval between two evaluations of the evidence; peers report every 200 ms.
 const EVALUATION_INTERVAL: Duration = Duration::from_millis(50);
-/// Part of the old version's places that the new one must have before the old endpoints may stop.
+/// Fraction of the old version's slots that the new version must have before the old endpoints may
+/// stop.
 const READY_FRACTION: f64 = 0.7;
 
-/// Time after which a roll-out goes on at once where the pool has no endpoints of another version: it
-/// was ordered once more, or they are gone. Entries that lapsed in an outage are back before.
+/// Delay after which a roll-out proceeds if the pool has no endpoints of another version, because
+/// it was ordered again or because they are gone. Entries that lapsed in an outage return within
+/// this time.
 const ALONE_DELAY: Duration = Duration::from_secs(3);
 
-/// Takes it that this instance leads the site now, or does not.
+/// Sets whether this instance leads the site and decides on roll-outs.
 pub fn set_decides(t: &mut Tables, decides: bool) {
     t.rollouts.decides = decides;
 }
 
-/// Takes a peer's word on a roll-out.
+/// Applies a peer's status of a roll-out.
 pub fn apply_status(t: &mut Tables, now: Time, word: &RolloutStatus) {
     let decides = t.rollouts.decides;
     let Some(row) = t.rollouts.find_mut(&word.pool, word.order) else {
@@ -42,7 +45,7 @@
     advance(t, &word.pool, word.stage);
 }
 
-/// Takes what the platform's store has of a roll-out.
+/// Applies the platform store's record of a roll-out.
 pub fn apply_record(t: &mut Tables, now: Time, record: &RolloutRecord) {
     let Some(row) = t.rollouts.find_mut(&record.pool, record.order) else {
         return;
@@ -51,7 +54,8 @@
     advance(t, &record.pool, record.stage);
 }
 
-/// Goes on to a later stage.
+/// Advances a roll-out to a later stage. The version of a halted or rolled-back roll-out counts as
+/// given up.
 fn advance(t: &mut Tables, pool: &str, stage: Stage) {
     let Some(row) = t.rollouts.rows.get_mut(pool) else {
         return;
@@ -63,7 +67,7 @@
     }
 }
 
-/// Looks at each roll-out that has not ended.
+/// Evaluates each roll-out that has not ended.
 pub fn run(t: &mut Tables, now: Time, out: &mut Vec<Action>) {
     let due = |row: &RolloutRow| {
         row.evaluated_at + EVALUATION_INTERVAL <= now && !row.stage.is_recorded()
@@ -75,8 +79,8 @@
     }
 }
 
-/// Chooses the endpoints that the new version is tried at; where this instance decides, judges what was
-/// seen, and goes on by it.
+/// Selects the canary endpoints. If this instance decides, evaluates the evidence and advances the
+/// roll-out accordingly.
 fn evaluate(t: &mut Tables, now: Time, pool: &str, out: &mut Vec<Action>) {
     let Some(row) = t.rollouts.of(pool) else {
         return;
@@ -103,7 +107,7 @@
     }
 }
 
-/// Moves everything when that is due, and asks for the record of the stage that was reached.
+/// Moves all traffic when that is due, and requests a record of the stage reached.
 fn continue_rollout(
     t: &mut Tables,
     now: Time,
@@ -116,8 +120,9 @@
         return;
     };
     let stage = if stage == Stage::Watching && !doubted && may_move(t, now, pool, progress) {
-        // Whoever has not heard by then is refused by the old endpoints, which ran nothing. To wait for
-        // all would cost, by reckoning, a third of what the version can be watched by.
+        // Requests of instances that do not know of the move yet are refused by the old endpoints
+        // without running. Waiting for all instances would cost, by calculation, a third of the
+        // exposure by which the version can be watched.
         advance(t, pool, Stage::Moving);
         Stage::Moving
     } else {
@@ -131,14 +136,14 @@
     }
 }
 
-/// Tells whether everything may move to the new version now.
+/// Returns whether all traffic may move to the new version now.
 fn may_move(t: &Tables, now: Time, pool: &str, progress: Progress) -> bool {
     let due = allowance::may_move_all(progress, t.settings.rollouts);
     let alone = progress.elapsed >= ALONE_DELAY && !has_old(t, pool);
     (due || alone) && is_ready(t, pool) && hears_majority(t, now)
 }
 
-/// Asks once for a record of a stage.
+/// Requests a record of a stage, once.
 fn request_record(
     t: &mut Tables,
     now: Time,
@@ -164,7 +169,7 @@
     }));
 }
 
-/// Gives a finding in words.
+/// Describes a finding for operators.
 fn describe(finding: &Finding) -> String {
     let of = finding.service.as_deref().unwrap_or("all services");
     format!(
@@ -175,7 +180,7 @@
     )
 }
 
-/// Goes over the endpoints of one version of a pool that take work.
+/// Iterates over the endpoints of one version of a pool that accept work.
 fn open_endpoints<'a>(
     t: &'a Tables,
     pool: &'a str,
@@ -191,18 +196,18 @@
     slots.sum()
 }
 
-/// Tells whether any endpoint of the old version takes work.
+/// Returns whether any endpoint of the old version accepts work.
 fn has_old(t: &Tables, pool: &str) -> bool {
     open_slots(t, pool, false) > 0.0
 }
 
-/// Tells whether the new version can take over what the old one does.
+/// Returns whether the new version has enough slots to replace the old one.
 fn is_ready(t: &Tables, pool: &str) -> bool {
     let new = open_slots(t, pool, true);
     new > 0.0 && new >= READY_FRACTION * open_slots(t, pool, false)
 }
 
-/// Tells whether this instance hears enough of the others to decide for all.
+/// Returns whether a majority of the known instances is live, as needed to decide for all.
 fn hears_majority(t: &Tables, now: Time) -> bool {
     let (heard, known) = limit::live_and_known(t, now);
     2 * heard > known
--- a/crates/firdock-policy/src/system/rollout/evidence.rs
+++ b/crates/firdock-policy/src/system/rollout/evidence.rs
@@ -1,4 +1,4 @@
-//! What the answers of dispatches say of a version, and what other instances saw of it.
+//! Evidence on a version from the answers of dispatches and from other instances.
 
 use firdock_core::RequestId;
 use firdock_core::resource::Endpoint;
@@ -11,11 +11,11 @@
 use crate::table::Tables;
 use crate::time::Time;
 
-/// Time of an answer apart from what depends on its length, in seconds: about that of a plain call, and
-/// of an engine's first token. It only sets the middle of the bands.
+/// Part of the expected answer time that does not depend on length, in seconds: about the time of a
+/// plain call or of an engine's first token. It only determines the center of the bins.
 const BASE_SECS: f64 = 0.03;
 
-/// Counts a request that is sent to an endpoint.
+/// Counts a request sent to an endpoint.
 pub fn record_sent(t: &mut Tables, id: RequestId, at: usize) {
     let Some(row) = t.requests.get(id) else {
         return;
@@ -30,7 +30,7 @@
     }
 }
 
-/// Counts a whole answer by the time that it took.
+/// Counts a complete answer by the time it took.
 pub fn record_answer(t: &mut Tables, now: Time, id: RequestId, at: usize, output: u32) {
     let Some(row) = t.requests.get(id) else {
         return;
@@ -41,19 +41,21 @@
     count(t, id, at, |tally| tally.record_answer(stretch));
 }
 
-/// Counts an answer that broke off or never came.
+/// Counts an answer that broke off or never arrived.
 pub fn record_lost(t: &mut Tables, id: RequestId, at: usize) {
     count(t, id, at, |tally| tally.lost += 1);
 }
 
-/// Notes that an endpoint answered that it failed; how the dispatch ends is told next.
+/// Records that an endpoint returned a failure response; the update on how the dispatch ended
+/// follows.
 pub fn record_failure(t: &mut Tables, id: RequestId) {
     if let Some(row) = t.requests.get_mut(id) {
         row.failure = EndpointFailure::Reported;
     }
 }
 
-/// Counts how a dispatch ended, unless the endpoint said that it failed: that is what counts then.
+/// Counts how a dispatch ended. If the endpoint returned a failure response, that is counted
+/// instead.
 fn count(t: &mut Tables, id: RequestId, at: usize, add: impl FnOnce(&mut Tally)) {
     let Some(row) = t.requests.get(id) else {
         return;
@@ -68,7 +70,7 @@
     let Some(rollout) = t.rollouts.rows.get_mut(&e.declared.pool) else {
         return;
     };
-    // What was sent before the order says nothing of one version beside the other.
+    // Requests sent before the order do not compare one version with the other.
     if row.dispatched < rollout.began {
         return;
     }
@@ -80,15 +82,15 @@
     }
 }
 
-/// Gives the time that an answer takes by what is declared: the same for all endpoints of a pool, so
-/// that their answers are compared by it.
+/// Returns the expected time of an answer by the declared rates, which are the same for all
+/// endpoints of a pool and make their answers comparable.
 fn expected_secs(e: &Endpoint, row: &RequestRow, output: u32) -> f64 {
     let prompt = f64::from(row.new.prompt_tokens) / e.prefill_rate;
     let tokens = f64::from(output.saturating_sub(row.resumed_from));
     BASE_SECS + prompt + tokens * e.token_secs()
 }
 
-/// Takes what a peer saw; that of other groups comes from their leads.
+/// Merges a peer's evidence. Evidence of other groups comes from their leads.
 pub fn merge_peer_evidence(
     t: &mut Tables,
     name: &str,
@@ -108,7 +110,7 @@
     }
 }
 
-/// Takes what the lead of another group tells of it.
+/// Merges the evidence reported by the lead of another group.
 pub fn merge_group_evidence(t: &mut Tables, word: GroupEvidence) {
     if word.zone == t.settings.zone || t.is_single_group() {
         return;
@@ -121,8 +123,8 @@
     }
 }
 
-/// Gives what peers are told of roll-outs: how far they are for as long as the orders stand, what was
-/// seen of them until they end.
+/// Returns the roll-out report for peers: the status for as long as the orders exist, and the
+/// evidence until the roll-outs end.
 #[must_use]
 pub fn report(t: &Tables, now: Time) -> RolloutReport {
     let mut told = RolloutReport::default();
--- a/crates/firdock-policy/src/system/rollout/versions.rs
+++ b/crates/firdock-policy/src/system/rollout/versions.rs
@@ -1,4 +1,4 @@
-//! Which endpoints a request may go to, by their versions.
+//! Selects the endpoints that a request may go to by their versions.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap};
@@ -16,17 +16,19 @@
 use crate::table::rollout::RolloutRow;
 use crate::time::Time;
 
-/// Greatest part of one service's requests that a watched version gets: of a service with few, more
-/// are needed to tell the same, but callers should not all be part of a trial.
+/// Maximum fraction of one service's requests that a watched version gets. A service with few
+/// requests needs a larger fraction for the same evidence, but not all of its callers should be
+/// part of a trial.
 const MAX_SERVICE_FRACTION: f64 = 0.5;
-/// Longest time by which an order is taken for older than it was known here: a second read of the store,
-/// where one failed. After an outage the time that an order has is used in vain.
+/// Maximum assumed delay between an order and its first read by this instance: enough for a second
+/// read of the store after one that failed. An order that waited longer, during an outage of the
+/// store, has lost that part of its time unused.
 const MAX_UNCERTAINTY: Duration = Duration::from_millis(1_200);
-/// Requests sent from which on the services' parts of them are known.
+/// Number of requests sent to a pool from which on the fractions of its services are known.
 const MIN_SENT_FOR_PARTS: u64 = 50;
 
-/// Takes the orders of a catalog over, and holds endpoints back that an order may have started that is
-/// not known here yet.
+/// Applies the roll-out orders of a catalog. Holds back endpoints that may belong to an order that
+/// this instance has not read yet.
 pub fn apply(t: &mut Tables, now: Time, catalog: &Catalog) {
     for declared in &catalog.rollouts {
         let known = t.rollouts.of(&declared.pool);
@@ -34,7 +36,8 @@
             continue;
         }
         let back = known.is_some_and(|row| is_return_to_previous(t, row, &declared.version));
-        // A version that is not known to be good gets nothing as a part of the old side either.
+        // The version of an unfinished roll-out is not known to be good, so it gets no requests as
+        // part of the old side either.
         let untried = known.filter(|row| row.stage < Stage::Completed);
         let untried = untried.map(|row| (row.declared.pool.clone(), row.declared.version.clone()));
         t.rollouts.given_up.extend(untried);
@@ -53,14 +56,14 @@
     hold_rare_versions(t, now);
 }
 
-/// Gives how long ago an order that is new here may have come: after the time when the configuration
-/// without it was the newest.
+/// Returns how long ago a newly read order may have been issued: at most since the configuration
+/// without it was last known to be the newest.
 fn unsure(t: &Tables, now: Time) -> Duration {
     let before = t.config_confirmed_at.map(|at| now.saturating_sub(at));
     before.unwrap_or_default().min(MAX_UNCERTAINTY)
 }
 
-/// Gives the part that a version gets before any request was counted.
+/// Returns the ratio of requests that a version gets before any request was counted.
 fn first_ratio(bounds: Rollouts) -> f64 {
     let nothing = allowance::Progress {
         elapsed: Time::ZERO,
@@ -72,8 +75,8 @@
     allowance::watched_ratio(nothing, bounds)
 }
 
-/// Tells whether an order takes an unfinished one back: its version is the one that still carries the
-/// traffic, which need not be tried.
+/// Returns whether an order reverts an unfinished roll-out: its version still carries the traffic
+/// and needs no trial.
 fn is_return_to_previous(t: &Tables, row: &RolloutRow, version: &str) -> bool {
     let unfinished = !row.stage.is_recorded() && row.stage != Stage::Moving;
     let carries = |e: &EndpointRow| e.present && e.declared.version == version;
@@ -85,8 +88,8 @@
     e.declared.pool == row.declared.pool
 }
 
-/// Holds back endpoints of versions that are rare in their pool until the configuration is known to be
-/// newer than they are: an order comes before the endpoints that it starts, but may be read after them.
+/// Holds back endpoints of versions that are rare in their pool until a configuration newer than
+/// they are is known: an order is issued before its endpoints start, but may be read after them.
 fn hold_rare_versions(t: &mut Tables, now: Time) {
     let counts = count_versions(t);
     let most = |pool: &str| counts[pool].values().copied().max().unwrap_or(0);
@@ -104,7 +107,7 @@
     }
 }
 
-/// Counts the endpoints of each pool by their versions.
+/// Counts the endpoints of each pool by version.
 fn count_versions(t: &Tables) -> HashMap<&str, HashMap<&str, usize>> {
     let mut counts: HashMap<&str, HashMap<&str, usize>> = HashMap::new();
     for (_, e) in t.endpoints.iter().filter(|(_, e)| e.present) {
@@ -114,7 +117,7 @@
     counts
 }
 
-/// Tells whether an order that would concern the endpoint would be known by now.
+/// Returns whether any order that concerns the endpoint would be known by now.
 fn is_settled(t: &Tables, e: &EndpointRow) -> bool {
     let Some(since) = e.held_since else {
         return true;
@@ -122,14 +125,14 @@
     t.rollouts.of(&e.declared.pool).is_some() || t.config_confirmed_at.is_none_or(|at| at > since)
 }
 
-/// Where a request stands in the roll-out of its pool.
+/// Side of a roll-out that a request belongs to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Side {
-    /// It goes to the old version.
+    /// The request goes to the old version.
     Old,
-    /// It is one of those by which the new version is tried.
+    /// The request is part of the trial of the new version.
     Trial,
-    /// It goes to the new version.
+    /// The request goes to the new version.
     New,
 }
 
@@ -143,13 +146,15 @@
     }
 }
 
-/// Gives a number from 0 to 1 by the request's id, the same at its instance and at the coordinator.
+/// Returns a number from 0 to 1 derived from the request id; the request's instance and the
+/// coordinator compute the same one.
 fn request_fraction(row: &RequestRow) -> f64 {
     rendezvous::hash_key(row.new.id.as_bytes()) as f64 / u64::MAX as f64
 }
 
-/// Gives the part of a service's requests by which a watched version is tried: services have equal
-/// numbers, so that a version that is bad at a rare one's shows it.
+/// Returns the fraction of a service's requests that go to a watched version. Every service
+/// contributes the same number of requests, so that a version that fails for a rare service is
+/// detected.
 fn service_ratio(service: &str, rollout: &RolloutRow) -> f64 {
     let all: u64 = rollout.sent.values().sum();
     let own = rollout.sent.get(service).copied().unwrap_or(0);
@@ -160,14 +165,14 @@
     (rollout.ratio * even / own.max(1) as f64).min(MAX_SERVICE_FRACTION)
 }
 
-/// Tells which version of its pool an endpoint has: the new one of a roll-out, or not.
+/// Returns whether an endpoint has the new version of a roll-out in its pool.
 #[must_use]
 pub fn is_new(t: &Tables, e: &EndpointRow) -> bool {
     let rollout = t.rollouts.of(&e.declared.pool);
     rollout.is_some_and(|r| r.declared.version == e.declared.version)
 }
 
-/// Tells whether a request may go to an endpoint by its version.
+/// Returns whether a request may go to an endpoint, by its version.
 #[must_use]
 pub fn admits(t: &Tables, row: &RequestRow, at: usize) -> bool {
     let e = t.endpoints.get(at);
@@ -185,8 +190,8 @@
     }
 }
 
-/// Gives the endpoint that a request is to try the new version at, of those that have `room`: each in
-/// turn by the request's id, whichever is the fastest, so that all of them are heard of.
+/// Returns the canary endpoint among `room` that a trial request goes to. It is selected by the
+/// request id instead of by speed, so that every canary provides evidence.
 #[must_use]
 pub fn trial_endpoint(t: &Tables, row: &RequestRow, room: &[usize]) -> Option<usize> {
     let rollout = t.rollouts.of(row.pool_key())?;
@@ -202,8 +207,8 @@
     tried.iter().max_by_key(pick).map(|at| **at)
 }
 
-/// Tells whether a place that a coordinator gave may be used: the instance may know more than the
-/// coordinator of how the roll-out ended.
+/// Returns whether a granted endpoint may be used: the instance may know more recent progress of
+/// the roll-out than the coordinator.
 #[must_use]
 pub fn admits_grant(t: &Tables, at: usize) -> bool {
     let e = t.endpoints.get(at);
@@ -216,7 +221,7 @@
     }
 }
 
-/// Tells whether an endpoint's version was given up.
+/// Returns whether an endpoint's version was given up.
 fn is_given_up(t: &Tables, e: &EndpointRow) -> bool {
     let Some(rollout) = t.rollouts.of(&e.declared.pool) else {
         return false;
@@ -226,15 +231,16 @@
     (halted && is_new(t, e)) || t.rollouts.given_up.contains(&key)
 }
 
-/// Tells whether any endpoint of the new version takes work: without one, the old ones go on.
+/// Returns whether any endpoint of the new version accepts work. If none does, the old ones
+/// continue to serve.
 fn has_new(t: &Tables, rollout: &RolloutRow) -> bool {
     let new = |e: &EndpointRow| in_pool(e, rollout) && is_new(t, e);
     let mut endpoints = t.endpoints.iter();
     endpoints.any(|(_, e)| new(e) && e.present && !e.declared.leaving)
 }
 
-/// Gives the endpoints by which the new version is tried: few, so that they are as busy as the old
-/// ones are, and some in each availability zone, so that every group reaches them.
+/// Returns the canary endpoints: few, so that they are as busy as the old ones, and some in each
+/// availability zone, so that every group reaches them.
 pub fn canaries(t: &Tables, now: Time, rollout: &RolloutRow) -> Vec<usize> {
     const LEAST_IN_ZONE: usize = 2;
     let mut zones: BTreeMap<&str, Vec<(Reverse<u64>, usize)>> = BTreeMap::new();
