--- a/crates/firdock-policy/src/system/invariants.rs
+++ b/crates/firdock-policy/src/system/invariants.rs
@@ -28,7 +28,7 @@
     let by_account: u32 = t.accounts.iter().map(|(_, a)| a.held).sum();
     assert_eq!(
         by_account as usize, queued,
-        "accounts' counts and queues differ"
+        "counts of held requests of accounts and queues differ"
     );
 }
 
@@ -45,7 +45,7 @@
         let n = counts.get(&at).copied().unwrap_or(0);
         assert_eq!(
             n, e.running as usize,
-            "endpoint {} counts wrongly",
+            "the count of running requests of endpoint {} is wrong",
             e.declared.name
         );
     }
@@ -54,11 +54,11 @@
 fn check_bounds(t: &Tables) {
     assert!(
         t.requests.held() <= t.settings.max_held,
-        "more is held than allowed"
+        "more requests are held than `max_held`"
     );
     assert!(
         t.keys.len() <= t.settings.max_keys,
-        "more keys are kept than allowed"
+        "more keys are kept than `max_keys`"
     );
 }
 
@@ -66,14 +66,14 @@
     for row in t.requests.iter() {
         assert!(
             row.arrived <= now,
-            "request {} came from the future",
+            "request {} arrived later than now",
             row.new.id
         );
         let repeatable = t.services.get(row.service).declared.repeatable;
         let again = row.ran_before && row.phase == Phase::Held && !repeatable;
         assert!(
             !again,
-            "request {} may not be repeated and waits to be",
+            "request {} is not repeatable, ran before and is held",
             row.new.id
         );
         let mut tried = row.tried.clone();
@@ -82,7 +82,7 @@
         assert_eq!(
             tried.len(),
             row.tried.len(),
-            "request {} went somewhere twice",
+            "request {} was sent to an endpoint twice",
             row.new.id
         );
     }
