--- a/crates/firdock-policy/src/system/budget.rs
+++ b/crates/firdock-policy/src/system/budget.rs
@@ -41,11 +41,11 @@
     // Engines placed by a coordinator need no budgets here.
     let own = |e: &EndpointRow| !(t.coordinated && e.is_engine());
     let shared: Vec<(usize, &EndpointRow)> = t.endpoints.iter().filter(|(_, e)| own(e)).collect();
-    let on = t.settings.mechanisms;
+    let mechanisms = t.settings.mechanisms;
     let budgets = if t.is_single_group() {
-        exact_budgets(&LiveInstances::new(t, now), on, &shared)
+        exact_budgets(&LiveInstances::new(t, now), mechanisms, &shared)
     } else {
-        sampled_budgets(&InstanceTotals::new(t, now), on, &shared)
+        sampled_budgets(&InstanceTotals::new(t, now), mechanisms, &shared)
     };
     for (at, budget) in budgets {
         t.endpoints.get_mut(at).budget = budget;
@@ -56,14 +56,14 @@
 /// computes the shares of all.
 fn exact_budgets(
     instances: &LiveInstances,
-    on: Mechanisms,
+    mechanisms: Mechanisms,
     endpoints: &[(usize, &EndpointRow)],
 ) -> Vec<(usize, u32)> {
     let parts: Vec<Vec<f64>> = endpoints.iter().map(|(_, e)| instances.shares(e)).collect();
-    let own = parts.iter().map(|of_all| of_all[0]);
+    let own = parts.iter().map(|all_shares| all_shares[0]);
     let places = places_per_slot(endpoints, own);
     let rows = endpoints.iter().zip(&parts);
-    rows.map(|((at, e), of_all)| (*at, instances.budget(on, places, e, of_all)))
+    rows.map(|((at, e), all_shares)| (*at, instances.budget(mechanisms, places, e, all_shares)))
         .collect()
 }
 
@@ -74,7 +74,7 @@
 /// coordinator answers: right after a start, when there is the most work to do.
 fn sampled_budgets(
     totals: &InstanceTotals,
-    on: Mechanisms,
+    mechanisms: Mechanisms,
     endpoints: &[(usize, &EndpointRow)],
 ) -> Vec<(usize, u32)> {
     let mut by_pool: HashMap<&str, f64> = HashMap::new();
@@ -89,7 +89,7 @@
     rows.map(|((at, e), part)| {
         let near = by_zone.entry(&e.declared.zone);
         let near = *near.or_insert_with(|| totals.zone_factor(&e.declared.zone));
-        (*at, totals.budget(on, places * near, e, *part))
+        (*at, totals.budget(mechanisms, places * near, e, *part))
     })
     .collect()
 }
@@ -156,8 +156,8 @@
         }
     }
 
-    fn budget(&self, on: Mechanisms, places: f64, e: &EndpointRow, shares: &[f64]) -> u32 {
-        if on.integer_budgets && e.is_engine() {
+    fn budget(&self, mechanisms: Mechanisms, places: f64, e: &EndpointRow, shares: &[f64]) -> u32 {
+        if mechanisms.integer_budgets && e.is_engine() {
             return self.integer_budgets(shares, places * f64::from(e.declared.slots), e);
         }
         rounded_places(e, shares[0])
@@ -175,8 +175,8 @@
         if !self.by_demand || total <= f64::EPSILON {
             return vec![even; demands.len()];
         }
-        let of = demands.len();
-        let share = |own: f64| demand_share(own, total, of);
+        let instance_count = demands.len();
+        let share = |own: f64| demand_share(own, total, instance_count);
         demands.into_iter().map(share).collect()
     }
 
@@ -204,8 +204,8 @@
 
 /// Returns an instance's share of an endpoint, from 0 to 1, by its own demand and the total over
 /// `of` instances.
-fn demand_share(own: f64, total: f64, of: usize) -> f64 {
-    let even = 1.0 / of as f64;
+fn demand_share(own: f64, total: f64, instance_count: usize) -> f64 {
+    let even = 1.0 / instance_count as f64;
     EVEN_FRACTION * even + (1.0 - EVEN_FRACTION) * own / total
 }
 
--- a/crates/firdock-policy/src/system/budget/group.rs
+++ b/crates/firdock-policy/src/system/budget/group.rs
@@ -153,7 +153,7 @@
     /// Returns each group's share of the engines in an availability zone, from 0 to 1.
     fn shares(&self, zone: &str) -> Vec<f64> {
         let left: f64 = self.rows.iter().map(GroupRow::spare).sum::<f64>() + self.elsewhere;
-        let lacking: f64 = self.rows.iter().map(|r| r.shortfall).sum();
+        let total_shortfall: f64 = self.rows.iter().map(|r| r.shortfall).sum();
         let here = self.rows.iter().find(|r| r.zone == zone);
         let free = here.map_or(1.0, |r| r.spare() / r.capacity.max(1.0));
         let share = |r: &GroupRow| {
@@ -162,8 +162,8 @@
             } else {
                 0.0
             };
-            let taken = if left > 0.0 && lacking > 0.0 {
-                free * r.shortfall / lacking
+            let taken = if left > 0.0 && total_shortfall > 0.0 {
+                free * r.shortfall / total_shortfall
             } else {
                 0.0
             };
--- a/crates/firdock-policy/src/system/budget/totals.rs
+++ b/crates/firdock-policy/src/system/budget/totals.rs
@@ -84,8 +84,14 @@
     }
 
     /// Returns this instance's budget on an endpoint, rounded by a pseudorandom draw.
-    pub(super) fn budget(&self, on: Mechanisms, places: f64, e: &EndpointRow, share: f64) -> u32 {
-        if !(on.integer_budgets && e.is_engine()) {
+    pub(super) fn budget(
+        &self,
+        mechanisms: Mechanisms,
+        places: f64,
+        e: &EndpointRow,
+        share: f64,
+    ) -> u32 {
+        if !(mechanisms.integer_budgets && e.is_engine()) {
             return rounded_places(e, share);
         }
         let part = places * f64::from(e.declared.slots) * share;
@@ -98,9 +104,9 @@
     /// observed is assumed to have as many as the own zone.
     fn instances_in_zone(&self, zone: &str) -> f64 {
         let heard = self.zones.get(zone).copied().unwrap_or(0);
-        let like_own = self.zones.get(self.zone).copied().unwrap_or(0);
+        let in_own_zone = self.zones.get(self.zone).copied().unwrap_or(0);
         if self.unobserved > 0 {
-            heard.max(like_own) as f64
+            heard.max(in_own_zone) as f64
         } else {
             heard as f64
         }
--- a/crates/firdock-policy/src/system/dispatch_updates.rs
+++ b/crates/firdock-policy/src/system/dispatch_updates.rs
@@ -219,11 +219,13 @@
         .filter(|_| row.completion_proof == CompletionProof::Proven);
     let service = row.service;
     let first = row.first.unwrap_or(now);
-    let fresh = output.saturating_sub(1);
+    let tokens_after_first = output.saturating_sub(1);
     if prompt > 0 && row.tried.len() == 1 && row.placement != PlacementState::Adopted {
         let took = now.saturating_sub(first);
-        t.endpoints.get_mut(at).learn_tokens(fresh, took);
-        pace_reports::learn_tokens(t, now, at, fresh, took);
+        t.endpoints
+            .get_mut(at)
+            .learn_tokens(tokens_after_first, took);
+        pace_reports::learn_tokens(t, now, at, tokens_after_first, took);
     }
     if prompt > 0 {
         t.services.get_mut(service).learn_output(output);
@@ -269,13 +271,13 @@
     }
     // Decided by the exits recorded before this one: a single exit is no reason to give up on a
     // caller.
-    let goes_on = may_retry(t, id, at);
+    let may_retry_now = may_retry(t, id, at);
     suspect::record_broken_run(t, now, id, at, out);
     if t.settings.coordinates {
         lifecycle::finish(t, now, id, Outcome::Unknown);
         return;
     }
-    if goes_on {
+    if may_retry_now {
         let most = t.max_retry_credit();
         if let Some(row) = t.requests.get(id) {
             t.retry_budgets.spend(row.pool_key(), most);
@@ -322,7 +324,11 @@
     let most = t.max_retry_credit();
     let allowed = t.retry_budgets.allow(row.pool_key(), most);
     let attempts = service.attempts as usize;
-    let more = attempts == 0 || row.runs < attempts;
-    let spared = suspect::may_repeat(t, row);
-    service.repeatable && allowed && more && spared && (!row.head_sent() || resumable)
+    let attempts_left = attempts == 0 || row.runs < attempts;
+    let suspect_permits = suspect::may_repeat(t, row);
+    service.repeatable
+        && allowed
+        && attempts_left
+        && suspect_permits
+        && (!row.head_sent() || resumable)
 }
--- a/crates/firdock-policy/src/system/drain.rs
+++ b/crates/firdock-policy/src/system/drain.rs
@@ -13,7 +13,7 @@
     if !t.draining {
         return;
     }
-    let passable = |r: &&RequestRow| {
+    let can_hand_over = |r: &&RequestRow| {
         r.phase == Phase::Held
             && r.new.origin == Origin::Caller
             && r.minted.is_none()
@@ -22,7 +22,7 @@
     let ids: Vec<RequestId> = t
         .requests
         .iter()
-        .filter(passable)
+        .filter(can_hand_over)
         .map(|r| r.new.id)
         .collect();
     for id in ids {
--- a/crates/firdock-policy/src/system/early_refusal.rs
+++ b/crates/firdock-policy/src/system/early_refusal.rs
@@ -25,28 +25,28 @@
     if !t.settings.mechanisms.early_refusal {
         return;
     }
-    let mut hopeless: Vec<(TierRank, RequestId)> = Vec::new();
+    let mut refused: Vec<(TierRank, RequestId)> = Vec::new();
     let mut ahead: HashMap<&str, u32> = HashMap::new();
     // `backoff` decides on requests that wait for the end of a back-off, because that time is
     // known.
-    let waits = |r: &&RequestRow| {
+    let considered = |r: &&RequestRow| {
         r.phase == Phase::Held
             && !r.may_have_run()
             && !coordinate::awaits_placement(t, r)
             && backoff::earliest_attempt(t, now, r).is_none()
     };
-    let held: Vec<&RequestRow> = t.requests.iter().filter(waits).collect();
+    let held: Vec<&RequestRow> = t.requests.iter().filter(considered).collect();
     for row in fair_share::in_service_order(t, now, held) {
         let before = ahead.entry(row.pool_key()).or_default();
         if cannot_start_in_time(t, now, row, *before) {
-            hopeless.push((row.rank, row.new.id));
+            refused.push((row.rank, row.new.id));
         } else {
             *before += 1;
         }
     }
     // Within a tier, the last request in service order is refused first.
-    hopeless.reverse();
-    shed::lowest_first(t, now, hopeless, fair_share::refusal_reason, out);
+    refused.reverse();
+    shed::lowest_first(t, now, refused, fair_share::refusal_reason, out);
 }
 
 /// Returns whether `before` requests ahead of this one leave too little of its target.
@@ -61,14 +61,14 @@
     if age > target {
         return fair_share::is_demoted(row);
     }
-    let pace = if t.settings.account_shares.is_on() {
+    let rate = if t.settings.account_shares.is_on() {
         t.dispatch_rates.rate_from(row.pool_key(), row.rank)
     } else {
         t.dispatch_rates.rate_left_to(row.pool_key(), row.rank)
     };
-    let Some(pace) = pace else {
+    let Some(rate) = rate else {
         return false;
     };
-    let wait = age.as_secs_f64() + f64::from(before) / pace.max(MIN_DISPATCH_RATE);
+    let wait = age.as_secs_f64() + f64::from(before) / rate.max(MIN_DISPATCH_RATE);
     wait > target.as_secs_f64() * SEND_DEADLINE_FRACTION
 }
--- a/crates/firdock-policy/src/system/expire.rs
+++ b/crates/firdock-policy/src/system/expire.rs
@@ -76,12 +76,12 @@
 
 /// Returns the latest time at which a held request can still be sent.
 pub fn latest_send(t: &Tables, row: &RequestRow) -> Time {
-    let impatient = t.settings.mechanisms.early_refusal;
+    let refuses_early = t.settings.mechanisms.early_refusal;
     let wait = row.arrived + t.services.get(row.service).tier.wait();
     let limits = [
         Some(wait),
         row.deadline,
-        impatient.then(|| patience_end(t, row)),
+        refuses_early.then(|| patience_end(t, row)),
     ];
     limits.into_iter().flatten().min().unwrap_or(wait)
 }
--- a/crates/firdock-policy/src/system/fair_share.rs
+++ b/crates/firdock-policy/src/system/fair_share.rs
@@ -120,8 +120,8 @@
     let Some(row) = t.requests.get(id).filter(|r| r.charged_work > 0.0) else {
         return;
     };
-    let more = declared_work(t, row, f64::from(output)) - row.charged_work;
-    add_work(t, now, id, more);
+    let correction = declared_work(t, row, f64::from(output)) - row.charged_work;
+    add_work(t, now, id, correction);
     clear_charge(t, id);
 }
 
@@ -198,8 +198,8 @@
     else {
         return;
     };
-    let told_again = row.arrived + FIRST_REPORT_AGE <= now;
-    if t.settings.coordinates && told_again {
+    let reported_before = row.arrived + FIRST_REPORT_AGE <= now;
+    if t.settings.coordinates && reported_before {
         return;
     }
     let secs = expected_work(t, row);
@@ -257,13 +257,13 @@
 
 /// Returns whether an account received more than `times` its share in requests of this rank and
 /// above.
-fn exceeds_share(t: &Tables, now: Time, row: &RequestRow, times: f64) -> bool {
+fn exceeds_share(t: &Tables, now: Time, row: &RequestRow, factor: f64) -> bool {
     let account = t.accounts.get(row.account);
     let level = t.levels.of(row.pool_key(), account.rank);
     let Some(level) = level.filter(|_| t.settings.account_shares.is_on()) else {
         return false;
     };
-    work_done(t, now, row) > level * account.weight * times
+    work_done(t, now, row) > level * account.weight * factor
 }
 
 /// Returns the recent demand and work of the accounts at this instance, largest first, as reported
--- a/crates/firdock-policy/src/system/handover.rs
+++ b/crates/firdock-policy/src/system/handover.rs
@@ -224,11 +224,16 @@
 /// Ends hand-overs to peers that have been silent too long: a cut link may stay undetected for many
 /// minutes.
 pub fn end_silent_hand_overs(t: &mut Tables, now: Time, out: &mut Vec<Action>) {
-    let silent = |r: &&RequestRow| match r.phase {
+    let is_silent = |r: &&RequestRow| match r.phase {
         Phase::HandedOver(at) => t.peers.get(at).last_seen.max(r.dispatched) + PEER_SILENCE_LIMIT < now,
         _ => false,
     };
-    let ids: Vec<RequestId> = t.requests.iter().filter(silent).map(|r| r.new.id).collect();
+    let ids: Vec<RequestId> = t
+        .requests
+        .iter()
+        .filter(is_silent)
+        .map(|r| r.new.id)
+        .collect();
     for id in ids {
         let Some(at) = receiving_peer(t, id) else {
             continue;
--- a/crates/firdock-policy/src/system/key.rs
+++ b/crates/firdock-policy/src/system/key.rs
@@ -141,9 +141,9 @@
     } else {
         t.settings.key_retention
     };
-    let doubtful =
+    let may_have_run =
         since.is_some_and(|s| minted < s + wait) && !all_transferred(t, claim.hash, log_now);
-    if doubtful || minted + t.settings.key_retention < log_now {
+    if may_have_run || minted + t.settings.key_retention < log_now {
         return refuse_unknown(Reason::KeyUncertain, Some(RETRY_AFTER));
     }
     if minted >= read + grace {
--- a/crates/firdock-policy/src/system/lateness.rs
+++ b/crates/firdock-policy/src/system/lateness.rs
@@ -27,8 +27,8 @@
 }
 
 /// Returns whether a place that is occupied now is so much better that it is worth waiting for.
-pub fn is_better(best: &Estimate, taken: &Estimate) -> bool {
-    taken.lateness_cost + MIN_GAIN_SECS < best.lateness_cost
+pub fn is_better(best: &Estimate, occupied: &Estimate) -> bool {
+    occupied.lateness_cost + MIN_GAIN_SECS < best.lateness_cost
 }
 
 fn max_wait(t: &Tables, row: &RequestRow) -> Duration {
--- a/crates/firdock-policy/src/system/lifecycle.rs
+++ b/crates/firdock-policy/src/system/lifecycle.rs
@@ -132,9 +132,9 @@
     let Some(row) = t.requests.get(id) else {
         return;
     };
-    let untrue = verdict.outcome == Outcome::NotRun && row.may_have_run();
+    let is_wrong = verdict.outcome == Outcome::NotRun && row.may_have_run();
     assert!(
-        !untrue,
+        !is_wrong,
         "request {id} may have run, so `not-run` would be wrong"
     );
     if row.head_sent() {
--- a/crates/firdock-policy/src/system/limit.rs
+++ b/crates/firdock-policy/src/system/limit.rs
@@ -90,8 +90,8 @@
             None if same && (older || !peer.has_full_use) => used.totals(),
             _ => UseTotals::default(),
         };
-        let rise = used.totals().minus(before).named(used.account.clone());
-        charge_increase(&mut t.accounts, now, &rise);
+        let increase = used.totals().minus(before).named(used.account.clone());
+        charge_increase(&mut t.accounts, now, &increase);
     }
 }
 
@@ -118,21 +118,21 @@
         (told.units, told.asked) = (rest.units, rest.asked);
         true
     });
-    let rises = t.site_use.merge(now, &others);
+    let increases = t.site_use.merge(now, &others);
     if t.is_single_group() {
         // Each instance reports its own usage to all others.
         return;
     }
-    for rise in rises {
-        charge_increase(&mut t.accounts, now, &rise);
+    for increase in increases {
+        charge_increase(&mut t.accounts, now, &increase);
     }
 }
 
 /// Charges a bucket with the increase in other instances' usage of its account.
-fn charge_increase(accounts: &mut Accounts, now: Time, rise: &AccountUse) {
-    if let Some(bucket) = bucket_of(accounts, &rise.account) {
-        bucket.deduct_peer_use(rise.units);
-        bucket.record_peer_demand(now, rise.asked);
+fn charge_increase(accounts: &mut Accounts, now: Time, increase: &AccountUse) {
+    if let Some(bucket) = bucket_of(accounts, &increase.account) {
+        bucket.deduct_peer_use(increase.units);
+        bucket.record_peer_demand(now, increase.asked);
     }
 }
 
--- a/crates/firdock-policy/src/system/notice.rs
+++ b/crates/firdock-policy/src/system/notice.rs
@@ -43,11 +43,11 @@
 
 /// Withholds dispatches to an endpoint that have not been written yet.
 fn withhold(t: &Tables, at: usize, out: &mut Vec<Action>) {
-    let on_its_way = t
+    let in_flight = t
         .requests
         .iter()
         .filter(|r| r.phase == Phase::Dispatching(at));
-    out.extend(on_its_way.map(|r| Action::Withhold {
+    out.extend(in_flight.map(|r| Action::Withhold {
         id: r.new.id,
         dispatch: r.dispatch,
     }));
--- a/crates/firdock-policy/src/system/place.rs
+++ b/crates/firdock-policy/src/system/place.rs
@@ -38,9 +38,9 @@
 }
 
 fn place_tier(t: &mut Tables, now: Time, rank: TierRank, out: &mut Vec<Action>) {
-    let waiting =
+    let with_queue =
         |(i, s): (usize, &crate::table::service::ServiceRow)| (!s.queue.is_empty()).then_some(i);
-    let services: Vec<usize> = t.services.iter().filter_map(waiting).collect();
+    let services: Vec<usize> = t.services.iter().filter_map(with_queue).collect();
     for service in services {
         while place_next(t, now, service, rank, out) {}
     }
--- a/crates/firdock-policy/src/system/place/choice.rs
+++ b/crates/firdock-policy/src/system/place/choice.rs
@@ -69,13 +69,14 @@
         return Placement::Blocked;
     };
     if lateness::may_wait(t, now, row, &best.estimate) {
-        let taken: Vec<usize> = full
+        let occupied: Vec<usize> = full
             .iter()
             .copied()
             .filter(|e| frees_up_here(t, *e))
             .collect();
-        let taken = lowest_score(t, now, row, &taken);
-        if taken.is_some_and(|taken| lateness::is_better(&best.estimate, &taken.estimate)) {
+        let occupied = lowest_score(t, now, row, &occupied);
+        if occupied.is_some_and(|occupied| lateness::is_better(&best.estimate, &occupied.estimate))
+        {
             return Placement::Wait;
         }
     }
@@ -86,11 +87,11 @@
             .filter(|e| prefill_fits(t.endpoints.get(*e), now))
             .collect();
         let better = lowest_score(t, now, row, &slots_used);
-        let worth = better.is_some_and(|b| {
+        let worth_waiting = better.is_some_and(|b| {
             let wait = EXPECTED_WAIT_FRACTION * b.estimate.total_secs;
             b.estimate.score + wait < best.estimate.score
         });
-        if worth {
+        if worth_waiting {
             return Placement::Wait;
         }
     }
@@ -107,23 +108,23 @@
 /// Returns the endpoint with the lowest score.
 fn lowest_score(t: &Tables, now: Time, row: &RequestRow, endpoints: &[usize]) -> Option<Choice> {
     let service = t.services.get(row.service);
-    let on = t.settings.mechanisms;
+    let mechanisms = t.settings.mechanisms;
     let zone = if row.new.zone.is_empty() {
         &t.settings.zone
     } else {
         &row.new.zone
     };
     let choices = endpoints.iter().map(|e| {
-        let e_row = t.endpoints.get(*e);
+        let endpoint_row = t.endpoints.get(*e);
         let mut estimate = cost::estimate(
             now,
-            on,
+            mechanisms,
             row,
             service,
-            e_row,
-            pace_reports::trusted_pool_of(t, e_row),
+            endpoint_row,
+            pace_reports::trusted_pool_of(t, endpoint_row),
         );
-        estimate.score += cost::zone_penalty_secs(on, zone, e_row);
+        estimate.score += cost::zone_penalty_secs(mechanisms, zone, endpoint_row);
         Choice {
             endpoint: *e,
             estimate,
@@ -140,9 +141,9 @@
 /// Returns whether a request may wait for a better endpoint than those with free capacity.
 fn may_wait(t: &Tables, now: Time, row: &RequestRow) -> bool {
     let target = t.services.get(row.service).tier.target();
-    let early = now.saturating_sub(row.arrived) < target.mul_f64(MAX_WAIT_FRACTION);
-    let calm = t.requests.held() <= MAX_HELD_TO_WAIT;
-    t.settings.mechanisms.wait_for_cache && early && calm && !row.new.blocks.is_empty()
+    let is_recent = now.saturating_sub(row.arrived) < target.mul_f64(MAX_WAIT_FRACTION);
+    let queue_is_short = t.requests.held() <= MAX_HELD_TO_WAIT;
+    t.settings.mechanisms.wait_for_cache && is_recent && queue_is_short && !row.new.blocks.is_empty()
 }
 
 /// Returns whether an endpoint is eligible for the request at all.
--- a/crates/firdock-policy/src/system/restart.rs
+++ b/crates/firdock-policy/src/system/restart.rs
@@ -55,8 +55,8 @@
 
 /// Returns when a start of an endpoint began, by this process's clock.
 fn start_time(t: &Tables, declared: &Endpoint) -> Option<Time> {
-    let zero = t.settings.unix_zero?;
-    declared.started.map(|at| at.saturating_sub(zero))
+    let unix_epoch = t.settings.unix_zero?;
+    declared.started.map(|at| at.saturating_sub(unix_epoch))
 }
 
 /// Returns the requests at an endpoint, with the time and number of their dispatch.
--- a/crates/firdock-policy/src/system/rollout/decide.rs
+++ b/crates/firdock-policy/src/system/rollout/decide.rs
@@ -113,13 +113,13 @@
     now: Time,
     pool: &str,
     progress: Progress,
-    doubted: bool,
+    has_finding: bool,
     out: &mut Vec<Action>,
 ) {
     let Some(stage) = t.rollouts.of(pool).map(|row| row.stage) else {
         return;
     };
-    let stage = if stage == Stage::Watching && !doubted && may_move(t, now, pool, progress) {
+    let stage = if stage == Stage::Watching && !has_finding && may_move(t, now, pool, progress) {
         // Requests of instances that do not know of the move yet are refused by the old endpoints
         // without running. Waiting for all instances would cost, by calculation, a third of the
         // exposure by which the version can be watched.
@@ -139,8 +139,8 @@
 /// Returns whether all traffic may move to the new version now.
 fn may_move(t: &Tables, now: Time, pool: &str, progress: Progress) -> bool {
     let due = allowance::may_move_all(progress, t.settings.rollouts);
-    let alone = progress.elapsed >= ALONE_DELAY && !has_old(t, pool);
-    (due || alone) && is_ready(t, pool) && hears_majority(t, now)
+    let no_other_version = progress.elapsed >= ALONE_DELAY && !has_old(t, pool);
+    (due || no_other_version) && is_ready(t, pool) && hears_majority(t, now)
 }
 
 /// Requests a record of a stage, once.
--- a/crates/firdock-policy/src/system/rollout/versions.rs
+++ b/crates/firdock-policy/src/system/rollout/versions.rs
@@ -35,18 +35,19 @@
         if known.is_some_and(|row| row.declared.order >= declared.order) {
             continue;
         }
-        let back = known.is_some_and(|row| is_return_to_previous(t, row, &declared.version));
+        let reverts = known.is_some_and(|row| is_return_to_previous(t, row, &declared.version));
         // The version of an unfinished roll-out is not known to be good, so it gets no requests as
         // part of the old side either.
-        let untried = known.filter(|row| row.stage < Stage::Completed);
-        let untried = untried.map(|row| (row.declared.pool.clone(), row.declared.version.clone()));
-        t.rollouts.given_up.extend(untried);
+        let unproven = known.filter(|row| row.stage < Stage::Completed);
+        let unproven =
+            unproven.map(|row| (row.declared.pool.clone(), row.declared.version.clone()));
+        t.rollouts.given_up.extend(unproven);
         let key = (declared.pool.clone(), declared.version.clone());
         t.rollouts.given_up.remove(&key);
         let bounds = t.settings.rollouts;
         let unsure = unsure(t, now);
         let mut row = RolloutRow::new(declared.clone(), now, unsure, first_ratio(bounds));
-        if back {
+        if reverts {
             row.advance(Stage::Moving);
         }
         t.rollouts.rows.insert(declared.pool.clone(), row);
@@ -79,9 +80,9 @@
 /// and needs no trial.
 fn is_return_to_previous(t: &Tables, row: &RolloutRow, version: &str) -> bool {
     let unfinished = !row.stage.is_recorded() && row.stage != Stage::Moving;
-    let carries = |e: &EndpointRow| e.present && e.declared.version == version;
+    let serves_version = |e: &EndpointRow| e.present && e.declared.version == version;
     let mut pool = t.endpoints.iter().filter(|(_, e)| in_pool(e, row));
-    unfinished && row.declared.version != version && pool.any(|(_, e)| carries(e))
+    unfinished && row.declared.version != version && pool.any(|(_, e)| serves_version(e))
 }
 
 fn in_pool(e: &EndpointRow, row: &RolloutRow) -> bool {
