--- a/crates/firdock-policy/src/system/admit.rs
+++ b/crates/firdock-policy/src/system/admit.rs
@@ -33,11 +33,11 @@
             insert(t, now, new, service, account, 0.0);
             super::handover::to_key_owner(t, now, id, &owner, out);
         }
-        _ if is_quarantined(t, &new) => reject(t, &new, suspect::verdict(), out),
+        _ if is_quarantined(t, &new) => reject(t, &new, suspect::quarantine_verdict(), out),
         _ if unserved => reject(t, &new, no_endpoint(Outcome::NotRun), out),
         decision => {
             let Some(charge) = limit::charge(t, now, account, &new) else {
-                let verdict = limit::verdict(t, account);
+                let verdict = limit::limit_verdict(t, account);
                 attempts::count_rejected(t, now, service, &new);
                 reject(t, &new, verdict, out);
                 return;
--- a/crates/firdock-policy/src/system/coordinate.rs
+++ b/crates/firdock-policy/src/system/coordinate.rs
@@ -73,7 +73,7 @@
     let usable = endpoint.filter(|at| may_use(t, now, row, *at));
     let busy = suspect::gate(t, row) == Gate::DuplicateRunning;
     if let Some(at) = usable.filter(|_| row.phase == Phase::Held && !busy) {
-        if place::may_send(t, now, grant.id, out) {
+        if place::ensure_sendable(t, now, grant.id, out) {
             place::send_to(t, now, grant.id, (at, grant.predicted), out);
             return;
         }
--- a/crates/firdock-policy/src/system/dispatch_updates.rs
+++ b/crates/firdock-policy/src/system/dispatch_updates.rs
@@ -20,24 +20,26 @@
         return;
     };
     match e.update {
-        DispatchUpdate::Refused { unreachable } => refused(t, now, e.id, at, unreachable, out),
-        DispatchUpdate::Lapsed => lapsed(t, now, e.id, out),
-        DispatchUpdate::Withheld => withheld(t, now, e.id),
-        DispatchUpdate::Started { head_sent } => started(t, e.id, at, head_sent),
-        DispatchUpdate::Tokens { delivered, cached } => tokens(t, now, e.id, at, delivered, cached),
+        DispatchUpdate::Refused { unreachable } => handle_refused(t, now, e.id, at, unreachable, out),
+        DispatchUpdate::Lapsed => handle_lapsed(t, now, e.id, out),
+        DispatchUpdate::Withheld => handle_withheld(t, now, e.id),
+        DispatchUpdate::Started { head_sent } => handle_started(t, e.id, at, head_sent),
+        DispatchUpdate::Tokens { delivered, cached } => {
+            handle_tokens(t, now, e.id, at, delivered, cached);
+        }
         DispatchUpdate::Ended {
             prompt,
             cached,
             output,
         } => {
-            ended(t, now, e.id, at, prompt, cached, output);
+            handle_ended(t, now, e.id, at, prompt, cached, output);
         }
         DispatchUpdate::Failed => rollout::record_failure(t, e.id),
-        DispatchUpdate::FailureKept => failure_kept(t, e.id),
-        DispatchUpdate::Unproven => unproven(t, e.id),
-        DispatchUpdate::Unresumable => unresumable(t, e.id),
-        DispatchUpdate::Breaking(cause) => breaking(t, now, e.id, at, cause, out),
-        DispatchUpdate::Broke { delivered } => broke(t, now, e.id, at, delivered, out),
+        DispatchUpdate::FailureKept => mark_failure_kept(t, e.id),
+        DispatchUpdate::Unproven => mark_unproven(t, e.id),
+        DispatchUpdate::Unresumable => mark_unresumable(t, e.id),
+        DispatchUpdate::Breaking(cause) => handle_breaking(t, now, e.id, at, cause, out),
+        DispatchUpdate::Broke { delivered } => handle_broken(t, now, e.id, at, delivered, out),
     }
 }
 
@@ -73,7 +75,7 @@
     *t.stats.reasons.entry(Reason::CallerLeft).or_default() += 1;
 }
 
-fn refused(
+fn handle_refused(
     t: &mut Tables,
     now: Time,
     id: RequestId,
@@ -115,8 +117,8 @@
     }
 }
 
-fn lapsed(t: &mut Tables, now: Time, id: RequestId, out: &mut Vec<Action>) {
-    withheld(t, now, id);
+fn handle_lapsed(t: &mut Tables, now: Time, id: RequestId, out: &mut Vec<Action>) {
+    handle_withheld(t, now, id);
     let keyed = t.requests.get(id).is_some_and(|r| r.new.key.is_some());
     if keyed {
         lifecycle::finish_with_verdict(t, now, id, key::unconfirmed_verdict(), out);
@@ -124,7 +126,7 @@
 }
 
 /// Takes back a request that was not sent. The same endpoint may still get it later.
-fn withheld(t: &mut Tables, now: Time, id: RequestId) {
+fn handle_withheld(t: &mut Tables, now: Time, id: RequestId) {
     fair_share::refund(t, now, id);
     if t.settings.coordinates {
         lifecycle::finish(t, now, id, Outcome::NotRun);
@@ -137,7 +139,7 @@
     }
 }
 
-fn started(t: &mut Tables, id: RequestId, at: usize, head_sent: bool) {
+fn handle_started(t: &mut Tables, id: RequestId, at: usize, head_sent: bool) {
     lifecycle::set_phase(t, id, Phase::Running(at), false);
     let row = t.requests.get_mut(id).filter(|_| head_sent);
     if let Some(row) = row.filter(|row| !row.head_sent()) {
@@ -146,28 +148,28 @@
 }
 
 /// Records that the endpoint's failure response can be forwarded to the caller.
-fn failure_kept(t: &mut Tables, id: RequestId) {
+fn mark_failure_kept(t: &mut Tables, id: RequestId) {
     if let Some(row) = t.requests.get_mut(id) {
         row.failure = EndpointFailure::Buffered;
     }
 }
 
 /// Records that the end of the answer does not prove it complete.
-fn unproven(t: &mut Tables, id: RequestId) {
+fn mark_unproven(t: &mut Tables, id: RequestId) {
     if let Some(row) = t.requests.get_mut(id) {
         row.completion_proof = CompletionProof::Unproven;
     }
 }
 
 /// Records that the answer can only be continued by the endpoint that began it.
-fn unresumable(t: &mut Tables, id: RequestId) {
+fn mark_unresumable(t: &mut Tables, id: RequestId) {
     if let Some(row) = t.requests.get_mut(id) {
         row.delivered_part = DeliveredPart::Unresumable;
     }
 }
 
-fn tokens(t: &mut Tables, now: Time, id: RequestId, at: usize, delivered: u32, cached: u32) {
-    first_token(t, now, id, at, cached);
+fn handle_tokens(t: &mut Tables, now: Time, id: RequestId, at: usize, delivered: u32, cached: u32) {
+    record_first_token(t, now, id, at, cached);
     if let Some(row) = t.requests.get_mut(id) {
         row.delivered = row.delivered.max(delivered);
     }
@@ -175,7 +177,7 @@
 
 /// Records the first token of a dispatch: the prompt has been processed, so the endpoint's rate can
 /// be learned.
-fn first_token(t: &mut Tables, now: Time, id: RequestId, at: usize, cached: u32) {
+fn record_first_token(t: &mut Tables, now: Time, id: RequestId, at: usize, cached: u32) {
     let Some(row) = t.requests.get(id).filter(|r| r.first.is_none()) else {
         return;
     };
@@ -200,7 +202,7 @@
     }
 }
 
-fn ended(
+fn handle_ended(
     t: &mut Tables,
     now: Time,
     id: RequestId,
@@ -209,7 +211,7 @@
     cached: u32,
     output: u32,
 ) {
-    first_token(t, now, id, at, cached);
+    record_first_token(t, now, id, at, cached);
     rollout::record_answer(t, now, id, at, output);
     let Some(row) = t.requests.get(id) else {
         return;
@@ -238,7 +240,7 @@
 }
 
 /// Records how a dispatch is about to break, and starts a liveness check if its connection closed.
-fn breaking(
+fn handle_breaking(
     t: &mut Tables,
     now: Time,
     id: RequestId,
@@ -256,7 +258,7 @@
 }
 
 /// Handles a broken dispatch: retries the request elsewhere if permitted, otherwise ends it.
-fn broke(
+fn handle_broken(
     t: &mut Tables,
     now: Time,
     id: RequestId,
--- a/crates/firdock-policy/src/system/handover.rs
+++ b/crates/firdock-policy/src/system/handover.rs
@@ -140,13 +140,13 @@
                 row.first = Some(now);
             }
         }
-        HandOverEvent::Ended(id) => ended(t, now, *id),
+        HandOverEvent::Ended(id) => handle_ended(t, now, *id),
         HandOverEvent::Unknown(id, verdict) => {
             if receiving_peer(t, *id).is_some() {
                 lifecycle::finish_with_verdict(t, now, *id, *verdict, out);
             }
         }
-        HandOverEvent::Broke(id) => record_broken(t, now, *id, out),
+        HandOverEvent::Broke(id) => handle_broken(t, now, *id, out),
     }
 }
 
@@ -198,7 +198,7 @@
     lifecycle::finish_with_verdict(t, now, id, verdict, out);
 }
 
-fn ended(t: &mut Tables, now: Time, id: RequestId) {
+fn handle_ended(t: &mut Tables, now: Time, id: RequestId) {
     if receiving_peer(t, id).is_some() {
         lifecycle::complete(t, now, id);
     }
@@ -208,7 +208,7 @@
 ///
 /// It is not retried even if it is repeatable, because the second dispatch might go to the same
 /// endpoint that the peer chose.
-fn record_broken(t: &mut Tables, now: Time, id: RequestId, out: &mut Vec<Action>) {
+fn handle_broken(t: &mut Tables, now: Time, id: RequestId, out: &mut Vec<Action>) {
     if receiving_peer(t, id).is_none() {
         return;
     }
@@ -240,7 +240,7 @@
         };
         let peer = t.peers.get(at).name.clone();
         out.push(Action::CancelHandOver { id, peer });
-        record_broken(t, now, id, out);
+        handle_broken(t, now, id, out);
     }
 }
 
--- a/crates/firdock-policy/src/system/limit.rs
+++ b/crates/firdock-policy/src/system/limit.rs
@@ -30,7 +30,7 @@
     }
     let part = limit_share(t, now);
     let small = t.is_single_group();
-    let phase = phase(&t.settings.member.name);
+    let phase = instance_phase(&t.settings.member.name);
     let known_others = t.known_peers.filter(|_| t.settings.await_peers);
     let Some(bucket) = &mut t.accounts.get_mut(account).bucket else {
         return Some(0.0);
@@ -46,12 +46,12 @@
 }
 
 /// Returns a number from 0 to 1 derived from an instance's name.
-fn phase(name: &str) -> f64 {
+fn instance_phase(name: &str) -> f64 {
     rendezvous::hash_key(name.as_bytes()) as f64 / u64::MAX as f64
 }
 
 /// Returns the verdict for a request that exceeds its account's limit.
-pub fn verdict(t: &Tables, account: usize) -> Verdict {
+pub fn limit_verdict(t: &Tables, account: usize) -> Verdict {
     let bucket = t.accounts.get(account).bucket;
     let secs = bucket.map_or(1.0, |b| b.wait_secs());
     Verdict {
--- a/crates/firdock-policy/src/system/place.rs
+++ b/crates/firdock-policy/src/system/place.rs
@@ -102,7 +102,7 @@
     if gate == Gate::DuplicateRunning || (gate == Gate::Quarantined && t.settings.coordinates) {
         return PlaceResult::DuplicateRunning;
     }
-    if !may_send(t, now, id, out) {
+    if !ensure_sendable(t, now, id, out) {
         return PlaceResult::Dequeued;
     }
     let Some(row) = t.requests.get(id).filter(|_| !coordinated) else {
@@ -128,7 +128,7 @@
 /// Sets the time until which a request may be sent, as limited by its key and by the configuration
 /// in force. Ends the request and returns `false` if that time has passed or the request is
 /// quarantined.
-pub fn may_send(t: &mut Tables, now: Time, id: RequestId, out: &mut Vec<Action>) -> bool {
+pub fn ensure_sendable(t: &mut Tables, now: Time, id: RequestId, out: &mut Vec<Action>) -> bool {
     let Some(row) = t.requests.get(id) else {
         return false;
     };
--- a/crates/firdock-policy/src/system/suspect.rs
+++ b/crates/firdock-policy/src/system/suspect.rs
@@ -69,7 +69,7 @@
 
 /// Returns the verdict for a quarantined request: this attempt has not run, and no retry time can
 /// be given.
-pub fn verdict() -> Verdict {
+pub fn quarantine_verdict() -> Verdict {
     Verdict {
         outcome: Outcome::NotRun,
         reason: Reason::EndsEndpoints,
@@ -85,7 +85,7 @@
     let outcome = row.outcome_unanswered();
     let told = Verdict {
         outcome,
-        ..verdict()
+        ..quarantine_verdict()
     };
     lifecycle::finish_with_verdict(t, now, id, told, out);
 }
