--- a/crates/firdock-policy/src/system/health.rs
+++ b/crates/firdock-policy/src/system/health.rs
@@ -1,4 +1,4 @@
-//! Health of endpoints: load reports, ejection, and notice of leaving from any source.
+//! Health of endpoints: load reports, ejection, and leaving as soon as any source reports it.
 
 use crate::event::{ListedInstance, LoadReport};
 use crate::table::Tables;
--- a/crates/firdock-policy/src/system/rollout/versions.rs
+++ b/crates/firdock-policy/src/system/rollout/versions.rs
@@ -20,9 +20,12 @@
 /// requests needs a larger fraction for the same evidence, but not all of its callers should be
 /// part of a trial.
 const MAX_SERVICE_FRACTION: f64 = 0.5;
-/// Maximum assumed delay between an order and its first read by this instance: enough for a second
-/// read of the store after one that failed. An order that waited longer, during an outage of the
-/// store, has lost that part of its time unused.
+/// Limit on how much older than its first read here an order is assumed to be.
+///
+/// A newly read order may have been issued at any time since the configuration without it was last
+/// known to be the newest. The limit caps this uncertainty at the time of a second read of the
+/// store after one that failed. After a longer outage, the time that passed beyond the limit is not
+/// counted and is lost unused.
 const MAX_UNCERTAINTY: Duration = Duration::from_millis(1_200);
 /// Number of requests sent to a pool from which on the fractions of its services are known.
 const MIN_SENT_FOR_PARTS: u64 = 50;
--- a/crates/firdock-policy/src/system/shed.rs
+++ b/crates/firdock-policy/src/system/shed.rs
@@ -1,5 +1,5 @@
-//! Load shedding: when too much is held, requests of the lowest tier are shed first, whichever
-//! queue holds them.
+//! Load shedding: when too much is held, requests of the lowest tier are shed first, at whichever
+//! instance they are held.
 
 use std::cmp::Reverse;
 
