--- a/crates/firdock-policy/src/system/admit.rs
+++ b/crates/firdock-policy/src/system/admit.rs
@@ -125,7 +125,7 @@
     let arrived = now.saturating_sub(new.age);
     let row = RequestRow::new(arrived, new, service, account, rank);
     let row = row.with_service(&s.declared, charge);
-    let mut row = attempts::with_first_try(s, now, row);
+    let mut row = attempts::with_first_attempt(s, now, row);
     row.rank = fair_share::rank(t, now, &row);
     t.dispatch_rates.record_arrival(row.pool_key(), row.rank);
     let queue = &mut t.services.get_mut(service).queue;
--- a/crates/firdock-policy/src/system/attempts.rs
+++ b/crates/firdock-policy/src/system/attempts.rs
@@ -16,11 +16,11 @@
 
 /// Minimum difference in remaining time that identifies a retry: a refusal and a new connection
 /// take some milliseconds each way. Waiting for the scheduler makes a smaller difference.
-const SAME_TRY: Duration = Duration::from_millis(10);
+const SAME_ATTEMPT_TOLERANCE: Duration = Duration::from_millis(10);
 
 /// Records how long before its arrival a request was first attempted.
 #[must_use]
-pub fn with_first_try(service: &mut ServiceRow, now: Time, row: RequestRow) -> RequestRow {
+pub fn with_first_attempt(service: &mut ServiceRow, now: Time, row: RequestRow) -> RequestRow {
     let since_first_attempt = since_first_attempt(service, now, &row.new);
     RequestRow {
         since_first_attempt,
@@ -60,7 +60,7 @@
 
 fn add(t: &mut Tables, service: usize, since_first_attempt: Duration, end: AttemptOutcome) {
     let tier = t.services.get(service).tier.name.clone();
-    let returned = since_first_attempt > SAME_TRY;
+    let returned = since_first_attempt > SAME_ATTEMPT_TOLERANCE;
     let key = AttemptKey {
         tier,
         returned,
--- a/crates/firdock-policy/src/system/budget/group.rs
+++ b/crates/firdock-policy/src/system/budget/group.rs
@@ -44,11 +44,11 @@
 fn demand_by_zone(t: &Tables, now: Time) -> DemandByZone {
     let mut zones = DemandByZone::new();
     zones.entry(t.settings.zone.clone()).or_default();
-    let heard = t
+    let live = t
         .peers
         .iter()
         .filter(|(_, p)| t.is_live(p, now) && !p.draining);
-    for (_, peer) in heard {
+    for (_, peer) in live {
         let zone = zones.entry(peer.zone.clone()).or_default();
         for (pool, rate) in &peer.demand {
             *zone.entry(pool.clone()).or_default() += rate;
--- a/crates/firdock-policy/src/system/budget/totals.rs
+++ b/crates/firdock-policy/src/system/budget/totals.rs
@@ -43,8 +43,8 @@
             unobserved: 0,
             by_demand: t.settings.mechanisms.demand_shares,
         };
-        let heard = t.peers.iter().filter(|(_, p)| t.is_live(p, now));
-        for (_, peer) in heard.filter(|(_, p)| !p.draining) {
+        let live = t.peers.iter().filter(|(_, p)| t.is_live(p, now));
+        for (_, peer) in live.filter(|(_, p)| !p.draining) {
             totals.count += 1;
             *totals.zones.entry(&peer.zone).or_default() += 1;
             for (pool, rate) in &peer.demand {
@@ -103,12 +103,12 @@
     /// Returns the number of instances in an availability zone. A zone whose instances are not
     /// observed is assumed to have as many as the own zone.
     fn instances_in_zone(&self, zone: &str) -> f64 {
-        let heard = self.zones.get(zone).copied().unwrap_or(0);
+        let observed = self.zones.get(zone).copied().unwrap_or(0);
         let in_own_zone = self.zones.get(self.zone).copied().unwrap_or(0);
         if self.unobserved > 0 {
-            heard.max(in_own_zone) as f64
+            observed.max(in_own_zone) as f64
         } else {
-            heard as f64
+            observed as f64
         }
     }
 
--- a/crates/firdock-policy/src/system/coordinate.rs
+++ b/crates/firdock-policy/src/system/coordinate.rs
@@ -137,8 +137,8 @@
 }
 
 /// Adds a request that a member already runs to the coordinator's tables.
-pub fn adopt(t: &mut Tables, now: Time, new: NewRequest, told: &StartId) {
-    let Some(at) = t.endpoints.find_start(told) else {
+pub fn adopt(t: &mut Tables, now: Time, new: NewRequest, reported_start: &StartId) {
+    let Some(at) = t.endpoints.find_start(reported_start) else {
         return;
     };
     let start = t.endpoints.get(at).start_id.clone();
--- a/crates/firdock-policy/src/system/dispatch_updates.rs
+++ b/crates/firdock-policy/src/system/dispatch_updates.rs
@@ -20,7 +20,9 @@
         return;
     };
     match e.update {
-        DispatchUpdate::Refused { unreachable } => handle_refused(t, now, e.id, at, unreachable, out),
+        DispatchUpdate::Refused { unreachable } => {
+            handle_refused(t, now, e.id, at, unreachable, out);
+        }
         DispatchUpdate::Lapsed => handle_lapsed(t, now, e.id, out),
         DispatchUpdate::Withheld => handle_withheld(t, now, e.id),
         DispatchUpdate::Started { head_sent } => handle_started(t, e.id, at, head_sent),
--- a/crates/firdock-policy/src/system/fair_share.rs
+++ b/crates/firdock-policy/src/system/fair_share.rs
@@ -168,10 +168,10 @@
 
 fn work_done_up_to(t: &Tables, now: Time, account: usize, pool: &str, rank: TierRank) -> f64 {
     let row = t.accounts.get(account);
-    let told = t
+    let remote = t
         .reported_work
         .of(now, t.settings.peer_stale_after, pool, &row.name);
-    let elsewhere: f64 = told.filter(|w| w.rank <= rank).map(|w| w.done).sum();
+    let elsewhere: f64 = remote.filter(|w| w.rank <= rank).map(|w| w.done).sum();
     row.work.done(now, pool, rank) + elsewhere
 }
 
--- a/crates/firdock-policy/src/system/fair_share/level.rs
+++ b/crates/firdock-policy/src/system/fair_share/level.rs
@@ -163,9 +163,9 @@
 /// Returns the recent demand of an account in a pool, over all groups.
 fn work_asked(t: &Tables, now: Time, account: usize, pool: &str) -> f64 {
     let row = t.accounts.get(account);
-    let told = t
+    let remote = t
         .reported_work
         .of(now, t.settings.peer_stale_after, pool, &row.name);
-    let elsewhere: f64 = told.map(|w| w.asked).sum();
+    let elsewhere: f64 = remote.map(|w| w.asked).sum();
     row.work.asked(now, pool) + elsewhere
 }
--- a/crates/firdock-policy/src/system/handover.rs
+++ b/crates/firdock-policy/src/system/handover.rs
@@ -18,24 +18,37 @@
 const SILENT_PEER_TTL: std::time::Duration = std::time::Duration::from_mins(1);
 
 /// Applies a peer's heartbeat.
-pub fn apply_heartbeat(t: &mut Tables, now: Time, mut news: PeerUpdate, out: &mut Vec<Action>) {
-    suspect::merge_reports(t, now, std::mem::take(&mut news.suspects), out);
-    for name in &news.leaving {
+pub fn apply_heartbeat(
+    t: &mut Tables,
+    now: Time,
+    mut peer_update: PeerUpdate,
+    out: &mut Vec<Action>,
+) {
+    suspect::merge_reports(t, now, std::mem::take(&mut peer_update.suspects), out);
+    for name in &peer_update.leaving {
         if let Some(at) = t.endpoints.find_start(name) {
             t.endpoints.get_mut(at).peer_leaving = Some(now + LEAVING_REPORT_TTL);
         }
     }
-    if !t.peers.has_capacity(&news.name) {
+    if !t.peers.has_capacity(&peer_update.name) {
         return;
     }
-    let small = t.is_single_group();
-    if small {
-        limit::apply_peer_use(t, now, &news);
+    let single_group = t.is_single_group();
+    if single_group {
+        limit::apply_peer_use(t, now, &peer_update);
     }
-    let seen = std::mem::take(&mut news.seen);
-    rollout::merge_peer_evidence(t, &news.name, &news.zone, news.incarnation, seen);
-    let at = t.peers.find_or_add(&news.name, || PeerRow::new(&news.name));
-    t.peers.get_mut(at).update(now, news, small);
+    let seen = std::mem::take(&mut peer_update.seen);
+    rollout::merge_peer_evidence(
+        t,
+        &peer_update.name,
+        &peer_update.zone,
+        peer_update.incarnation,
+        seen,
+    );
+    let at = t
+        .peers
+        .find_or_add(&peer_update.name, || PeerRow::new(&peer_update.name));
+    t.peers.get_mut(at).update(now, peer_update, single_group);
 }
 
 /// Marks a peer as lost because its link broke: its status no longer counts.
@@ -225,7 +238,9 @@
 /// minutes.
 pub fn end_silent_hand_overs(t: &mut Tables, now: Time, out: &mut Vec<Action>) {
     let is_silent = |r: &&RequestRow| match r.phase {
-        Phase::HandedOver(at) => t.peers.get(at).last_seen.max(r.dispatched) + PEER_SILENCE_LIMIT < now,
+        Phase::HandedOver(at) => {
+            t.peers.get(at).last_seen.max(r.dispatched) + PEER_SILENCE_LIMIT < now
+        }
         _ => false,
     };
     let ids: Vec<RequestId> = t
--- a/crates/firdock-policy/src/system/limit.rs
+++ b/crates/firdock-policy/src/system/limit.rs
@@ -29,7 +29,7 @@
         return Some(0.0);
     }
     let part = limit_share(t, now);
-    let small = t.is_single_group();
+    let single_group = t.is_single_group();
     let phase = instance_phase(&t.settings.member.name);
     let known_others = t.known_peers.filter(|_| t.settings.await_peers);
     let Some(bucket) = &mut t.accounts.get_mut(account).bucket else {
@@ -41,7 +41,7 @@
     bucket.refill(now, part);
     let cost = bucket.cost(new.tokens());
     bucket.record_demand(now, cost);
-    let allowed = small || bucket.own_part_allows(now, phase);
+    let allowed = single_group || bucket.own_part_allows(now, phase);
     (allowed && bucket.try_take(cost)).then_some(cost)
 }
 
@@ -77,14 +77,14 @@
 /// same holds for the usage of an account from before the peer first reported it, unless the peer
 /// started together with this instance or later. A heartbeat that arrives out of order has smaller
 /// totals; the next one makes up for it.
-pub fn apply_peer_use(t: &mut Tables, now: Time, news: &PeerUpdate) {
-    let peer = t.peers.find(&news.name).map(|at| t.peers.get(at));
+pub fn apply_peer_use(t: &mut Tables, now: Time, peer_update: &PeerUpdate) {
+    let peer = t.peers.find(&peer_update.name).map(|at| t.peers.get(at));
     let Some(peer) = peer.filter(|p| p.last_seen > Time::ZERO) else {
         return;
     };
-    let same = peer.incarnation == news.incarnation;
-    let older = began_before(news.incarnation, t.settings.member.incarnation);
-    for used in &news.used {
+    let same = peer.incarnation == peer_update.incarnation;
+    let older = began_before(peer_update.incarnation, t.settings.member.incarnation);
+    for used in &peer_update.used {
         let before = match peer.used.get(&used.account) {
             Some(known) if same => *known,
             None if same && (older || !peer.has_full_use) => used.totals(),
@@ -108,14 +108,14 @@
 ///
 /// The counts include this instance's own usage, which was charged on admission. Until they include
 /// its latest usage, they understate that of the others.
-pub fn apply_site_use(t: &mut Tables, now: Time, word: &UseCounts) {
-    let mut others = word.clone();
-    others.counts.retain_mut(|told| {
-        let Some(bucket) = bucket_of(&mut t.accounts, &told.account) else {
+pub fn apply_site_use(t: &mut Tables, now: Time, site_counts: &UseCounts) {
+    let mut others = site_counts.clone();
+    others.counts.retain_mut(|reported| {
+        let Some(bucket) = bucket_of(&mut t.accounts, &reported.account) else {
             return false;
         };
-        let rest = told.totals().minus(bucket.peak_usage());
-        (told.units, told.asked) = (rest.units, rest.asked);
+        let rest = reported.totals().minus(bucket.peak_usage());
+        (reported.units, reported.asked) = (rest.units, rest.asked);
         true
     });
     let increases = t.site_use.merge(now, &others);
@@ -182,24 +182,24 @@
     if t.settings.await_peers && t.known_peers.is_none() {
         return STARTUP_LIMIT_SHARE;
     }
-    let (heard, known) = live_and_known(t, now);
-    heard as f64 / known as f64
+    let (live, known) = live_and_known(t, now);
+    live as f64 / known as f64
 }
 
 /// Returns how many instances are live and how many are known, both including this one.
 pub fn live_and_known(t: &Tables, now: Time) -> (usize, usize) {
     let known = 1 + t.peers_known();
-    let heard = match t.reachable.filter(|_| !t.is_single_group()) {
-        Some(reach) => reachable_count(t, now, reach).min(known),
+    let live = match t.reachable.filter(|_| !t.is_single_group()) {
+        Some(lead_report) => reachable_count(t, now, lead_report).min(known),
         None => 1 + t.peers.iter().filter(|(_, p)| t.is_live(p, now)).count(),
     };
-    (heard, known)
+    (live, known)
 }
 
 /// Returns the number of instances that leads report as reachable, or 1 without a recent report.
-fn reachable_count(t: &Tables, now: Time, reach: ReachableInstances) -> usize {
-    if reach.at + t.settings.peer_stale_after > now {
-        reach.count
+fn reachable_count(t: &Tables, now: Time, lead_report: ReachableInstances) -> usize {
+    if lead_report.at + t.settings.peer_stale_after > now {
+        lead_report.count
     } else {
         1
     }
--- a/crates/firdock-policy/src/system/notice.rs
+++ b/crates/firdock-policy/src/system/notice.rs
@@ -10,32 +10,32 @@
 /// ignored.
 ///
 /// A notice sent to another instance is recorded under that instance's name.
-pub fn record(t: &mut Tables, told: &NoticeReport, out: &mut Vec<Action>) {
-    let Some(at) = t.endpoints.find_start(&told.endpoint) else {
+pub fn record(t: &mut Tables, report: &NoticeReport, out: &mut Vec<Action>) {
+    let Some(at) = t.endpoints.find_start(&report.endpoint) else {
         return;
     };
-    if let Some(time) = told.notice.backoff {
-        t.backoffs_until = t.backoffs_until.max(told.read + time);
+    if let Some(time) = report.notice.backoff {
+        t.backoffs_until = t.backoffs_until.max(report.read + time);
     }
     let e = t.endpoints.get_mut(at);
-    if !told.member.is_empty() {
-        if told.notice.leaving {
-            e.peer_leaving = Some(told.read + LEAVING_REPORT_TTL);
+    if !report.member.is_empty() {
+        if report.notice.leaving {
+            e.peer_leaving = Some(report.read + LEAVING_REPORT_TTL);
         }
         let notice = Notice {
             leaving: false,
-            ..told.notice
+            ..report.notice
         };
         e.notices.merge(&NoticeReport {
             notice,
-            ..told.clone()
+            ..report.clone()
         });
         return;
     }
-    let new = e.notices.merge(told);
+    let new = e.notices.merge(report);
     let counts = t.stats.notices.entry(e.declared.pool.clone()).or_default();
     counts.leaving += u64::from(new.leaving);
-    counts.backoffs += u64::from(told.notice.backoff.is_some());
+    counts.backoffs += u64::from(report.notice.backoff.is_some());
     if !new.is_empty() {
         withhold(t, at, out);
     }
--- a/crates/firdock-policy/src/system/pace_reports.rs
+++ b/crates/firdock-policy/src/system/pace_reports.rs
@@ -15,25 +15,25 @@
 const MAX_FIGURE_AGE: Duration = Duration::from_millis(1_500);
 
 /// Records the pace that a server reported. Unknown endpoints are ignored.
-pub fn record(t: &mut Tables, told: &PaceReport) {
-    let Some(at) = t.endpoints.find(&told.endpoint) else {
+pub fn record(t: &mut Tables, report: &PaceReport) {
+    let Some(at) = t.endpoints.find(&report.endpoint) else {
         return;
     };
     let e = t.endpoints.get_mut(at);
     if e.reported_pace
         .latest()
-        .is_some_and(|(_, at)| at >= told.read)
+        .is_some_and(|(_, at)| at >= report.read)
     {
         return;
     }
-    let before = e.reported_pace.update(told.pace, told.read);
+    let before = e.reported_pace.update(report.pace, report.read);
     let own = e.reported_pace.baseline().unwrap_or(1.0);
     *t.stats
         .pace_reports
         .entry(e.declared.pool.clone())
         .or_default() += 1;
     let pool = t.pool_latencies.get_or_insert(&e.declared.pool);
-    pool.learn_pace(told.pace, told.read, own, before);
+    pool.learn_pace(report.pace, report.read, own, before);
 }
 
 /// Returns what is known about the pool of an endpoint whose reported figures proved accurate.
--- a/crates/firdock-policy/src/system/place/choice.rs
+++ b/crates/firdock-policy/src/system/place/choice.rs
@@ -143,7 +143,10 @@
     let target = t.services.get(row.service).tier.target();
     let is_recent = now.saturating_sub(row.arrived) < target.mul_f64(MAX_WAIT_FRACTION);
     let queue_is_short = t.requests.held() <= MAX_HELD_TO_WAIT;
-    t.settings.mechanisms.wait_for_cache && is_recent && queue_is_short && !row.new.blocks.is_empty()
+    t.settings.mechanisms.wait_for_cache
+        && is_recent
+        && queue_is_short
+        && !row.new.blocks.is_empty()
 }
 
 /// Returns whether an endpoint is eligible for the request at all.
--- a/crates/firdock-policy/src/system/rollout/decide.rs
+++ b/crates/firdock-policy/src/system/rollout/decide.rs
@@ -33,16 +33,16 @@
 }
 
 /// Applies a peer's status of a roll-out.
-pub fn apply_status(t: &mut Tables, now: Time, word: &RolloutStatus) {
+pub fn apply_status(t: &mut Tables, now: Time, status: &RolloutStatus) {
     let decides = t.rollouts.decides;
-    let Some(row) = t.rollouts.find_mut(&word.pool, word.order) else {
+    let Some(row) = t.rollouts.find_mut(&status.pool, status.order) else {
         return;
     };
-    row.began = row.began.min(now.saturating_sub(word.age));
-    if word.ratio > 0.0 && !decides {
-        row.ratio = word.ratio.min(1.0);
+    row.began = row.began.min(now.saturating_sub(status.age));
+    if status.ratio > 0.0 && !decides {
+        row.ratio = status.ratio.min(1.0);
     }
-    advance(t, &word.pool, word.stage);
+    advance(t, &status.pool, status.stage);
 }
 
 /// Applies the platform store's record of a roll-out.
@@ -209,6 +209,6 @@
 
 /// Returns whether a majority of the known instances is live, as needed to decide for all.
 fn hears_majority(t: &Tables, now: Time) -> bool {
-    let (heard, known) = limit::live_and_known(t, now);
-    2 * heard > known
+    let (live, known) = limit::live_and_known(t, now);
+    2 * live > known
 }
--- a/crates/firdock-policy/src/system/rollout/evidence.rs
+++ b/crates/firdock-policy/src/system/rollout/evidence.rs
@@ -111,14 +111,14 @@
 }
 
 /// Merges the evidence reported by the lead of another group.
-pub fn merge_group_evidence(t: &mut Tables, word: GroupEvidence) {
-    if word.zone == t.settings.zone || t.is_single_group() {
+pub fn merge_group_evidence(t: &mut Tables, group_report: GroupEvidence) {
+    if group_report.zone == t.settings.zone || t.is_single_group() {
         return;
     }
-    for evidence in word.seen {
+    for evidence in group_report.seen {
         let row = t.rollouts.find_mut(&evidence.pool, evidence.order);
         if let Some(row) = row {
-            row.merge_group_evidence(word.zone.clone(), evidence);
+            row.merge_group_evidence(group_report.zone.clone(), evidence);
         }
     }
 }
@@ -127,13 +127,13 @@
 /// evidence until the roll-outs end.
 #[must_use]
 pub fn report(t: &Tables, now: Time) -> RolloutReport {
-    let mut told = RolloutReport::default();
+    let mut rollout_report = RolloutReport::default();
     for row in t.rollouts.rows.values() {
-        told.statuses.push(row.status(now));
+        rollout_report.statuses.push(row.status(now));
         if !row.stage.is_recorded() {
-            told.own.push(row.own.clone());
-            told.group.push(row.group_evidence());
+            rollout_report.own.push(row.own.clone());
+            rollout_report.group.push(row.group_evidence());
         }
     }
-    told
+    rollout_report
 }
--- a/crates/firdock-policy/src/system/rollout/versions.rs
+++ b/crates/firdock-policy/src/system/rollout/versions.rs
@@ -48,8 +48,8 @@
         let key = (declared.pool.clone(), declared.version.clone());
         t.rollouts.given_up.remove(&key);
         let bounds = t.settings.rollouts;
-        let unsure = unsure(t, now);
-        let mut row = RolloutRow::new(declared.clone(), now, unsure, first_ratio(bounds));
+        let uncertainty = max_order_age(t, now);
+        let mut row = RolloutRow::new(declared.clone(), now, uncertainty, first_ratio(bounds));
         if reverts {
             row.advance(Stage::Moving);
         }
@@ -62,7 +62,7 @@
 
 /// Returns how long ago a newly read order may have been issued: at most since the configuration
 /// without it was last known to be the newest.
-fn unsure(t: &Tables, now: Time) -> Duration {
+fn max_order_age(t: &Tables, now: Time) -> Duration {
     let before = t.config_confirmed_at.map(|at| now.saturating_sub(at));
     before.unwrap_or_default().min(MAX_UNCERTAINTY)
 }
--- a/crates/firdock-policy/src/system/suspect.rs
+++ b/crates/firdock-policy/src/system/suspect.rs
@@ -83,11 +83,11 @@
         return;
     };
     let outcome = row.outcome_unanswered();
-    let told = Verdict {
+    let with_outcome = Verdict {
         outcome,
         ..quarantine_verdict()
     };
-    lifecycle::finish_with_verdict(t, now, id, told, out);
+    lifecycle::finish_with_verdict(t, now, id, with_outcome, out);
 }
 
 /// Handles a broken run whose row still exists: if the connection closed early, an exit of the
@@ -187,10 +187,15 @@
 }
 
 /// Merges suspects reported by other instances.
-pub fn merge_reports(t: &mut Tables, now: Time, told: Vec<SuspectReport>, out: &mut Vec<Action>) {
-    for one in told {
-        let id = one.content.id;
-        if t.suspects.merge_report(now, one) {
+pub fn merge_reports(
+    t: &mut Tables,
+    now: Time,
+    reports: Vec<SuspectReport>,
+    out: &mut Vec<Action>,
+) {
+    for report in reports {
+        let id = report.content.id;
+        if t.suspects.merge_report(now, report) {
             enforce_quarantine(t, now, id, out);
         }
     }
@@ -228,6 +233,6 @@
     for id in held {
         refuse(t, now, id, out);
     }
-    let told = t.suspects.get(content).map(|s| s.report(now));
-    out.extend(told.map(Action::Quarantine));
+    let report = t.suspects.get(content).map(|s| s.report(now));
+    out.extend(report.map(Action::Quarantine));
 }
