--- a/crates/firdock-policy/src/system/fair_share/level.rs
+++ b/crates/firdock-policy/src/system/fair_share/level.rs
@@ -116,13 +116,13 @@
             rows.push(row);
         }
     }
-    let room: f64 = rows.iter().map(|r| r.done).sum();
+    let capacity: f64 = rows.iter().map(|r| r.done).sum();
     let demand = |r: &FairShare| ShareDemand {
         weight: r.weight,
         amount: r.asked.max(r.done),
     };
     let demands: Vec<ShareDemand> = rows.iter().map(demand).collect();
-    for (row, share) in rows.iter_mut().zip(max_min_shares(room, &demands)) {
+    for (row, share) in rows.iter_mut().zip(max_min_shares(capacity, &demands)) {
         row.share = share;
     }
     rows
@@ -137,17 +137,17 @@
     pub amount: f64,
 }
 
-/// Divides `room` by weighted max-min fairness: what an account does not ask for is divided among
-/// the others by weight.
+/// Divides `capacity` by weighted max-min fairness: what an account does not ask for is divided
+/// among the others by weight.
 ///
-/// No account gets more than it asks for, `room` is used up as far as there is demand, and an
+/// No account gets more than it asks for, `capacity` is used up as far as there is demand, and an
 /// account gets less per weight than another only if its demand is met.
 #[must_use]
-pub fn max_min_shares(room: f64, demands: &[ShareDemand]) -> Vec<f64> {
+pub fn max_min_shares(capacity: f64, demands: &[ShareDemand]) -> Vec<f64> {
     let mut by_need: Vec<usize> = (0..demands.len()).collect();
     let need = |i: &usize| demands[*i].amount / demands[*i].weight;
     by_need.sort_by(|a, b| need(a).total_cmp(&need(b)));
-    let mut left = room;
+    let mut left = capacity;
     let mut weights: f64 = demands.iter().map(|a| a.weight).sum();
     let mut parts = vec![0.0; demands.len()];
     for i in by_need {
--- a/crates/firdock-policy/src/system/rollout/versions.rs
+++ b/crates/firdock-policy/src/system/rollout/versions.rs
@@ -96,10 +96,10 @@
 /// they are is known: an order is issued before its endpoints start, but may be read after them.
 fn hold_rare_versions(t: &mut Tables, now: Time) {
     let counts = count_versions(t);
-    let most = |pool: &str| counts[pool].values().copied().max().unwrap_or(0);
+    let max_count = |pool: &str| counts[pool].values().copied().max().unwrap_or(0);
     let is_rare = |e: &EndpointRow| {
         let versions = &counts[e.declared.pool.as_str()];
-        versions.len() > 1 && versions[e.declared.version.as_str()] < most(&e.declared.pool)
+        versions.len() > 1 && versions[e.declared.version.as_str()] < max_count(&e.declared.pool)
     };
     let new = t
         .endpoints
@@ -194,16 +194,16 @@
     }
 }
 
-/// Returns the canary endpoint among `room` that a trial request goes to. It is selected by the
+/// Returns the canary endpoint among `available` that a trial request goes to. It is selected by the
 /// request id instead of by speed, so that every canary provides evidence.
 #[must_use]
-pub fn trial_endpoint(t: &Tables, row: &RequestRow, room: &[usize]) -> Option<usize> {
+pub fn trial_endpoint(t: &Tables, row: &RequestRow, available: &[usize]) -> Option<usize> {
     let rollout = t.rollouts.of(row.pool_key())?;
     if side(row, rollout) != Side::Trial {
         return None;
     }
     let tried = |at: &&usize| rollout.canaries.contains(*at);
-    let tried: Vec<&usize> = room.iter().filter(tried).collect();
+    let tried: Vec<&usize> = available.iter().filter(tried).collect();
     let pick = |at: &&&usize| {
         let name = &t.endpoints.get(***at).declared.name;
         rendezvous::weight(rendezvous::hash_key(row.new.id.as_bytes()), name)
