--- a/crates/firdock-policy/src/system/lifecycle.rs
+++ b/crates/firdock-policy/src/system/lifecycle.rs
@@ -190,7 +190,8 @@
     finish_with_verdict(t, now, id, verdict, out);
 }
 
-/// Estimates when the queue will have capacity and an endpoint of the request accepts requests again.
+/// Estimates when the queue will have capacity and an endpoint of the request accepts requests
+/// again.
 fn retry_after(t: &Tables, now: Time, row: &RequestRow) -> Duration {
     let wait = t.requests.held() as f64 / t.finish_rate.max(1.0);
     let queue_wait = Duration::from_secs_f64(wait).clamp(RETRY_AFTER_RANGE.0, RETRY_AFTER_RANGE.1);
--- a/crates/firdock-policy/src/system/rollout/versions.rs
+++ b/crates/firdock-policy/src/system/rollout/versions.rs
@@ -194,8 +194,8 @@
     }
 }
 
-/// Returns the canary endpoint among `available` that a trial request goes to. It is selected by the
-/// request id instead of by speed, so that every canary provides evidence.
+/// Returns the canary endpoint among `available` that a trial request goes to. It is selected by
+/// the request id instead of by speed, so that every canary provides evidence.
 #[must_use]
 pub fn trial_endpoint(t: &Tables, row: &RequestRow, available: &[usize]) -> Option<usize> {
     let rollout = t.rollouts.of(row.pool_key())?;
