--- a/crates/firdock-policy/src/system/budget.rs
+++ b/crates/firdock-policy/src/system/budget.rs
@@ -20,12 +20,12 @@
 const BUDGET_PERIOD: Duration = Duration::from_millis(200);
 /// Places of an engine assigned per slot under light load: instances do not use all of their places
 /// at the same time, and the engine queues the few requests that collide.
-const CALM_PLACES_PER_SLOT: f64 = 1.25;
+const LIGHT_LOAD_PLACES_PER_SLOT: f64 = 1.25;
 /// Places assigned per slot under heavy load: all places are used then, and requests queued by the
 /// engine are late.
-const BUSY_PLACES_PER_SLOT: f64 = 1.0;
+const HEAVY_LOAD_PLACES_PER_SLOT: f64 = 1.0;
 /// Fraction of an instance's places in use above which the load counts as heavy.
-const BUSY_FRACTION: f64 = 0.7;
+const HEAVY_LOAD_FRACTION: f64 = 0.7;
 /// Weight by which an instance in the engine's own availability zone is preferred for one of its
 /// last places.
 const SAME_ZONE_WEIGHT: f64 = 3.0;
@@ -78,18 +78,21 @@
     endpoints: &[(usize, &EndpointRow)],
 ) -> Vec<(usize, u32)> {
     let mut by_pool: HashMap<&str, f64> = HashMap::new();
-    let mut parts = Vec::with_capacity(endpoints.len());
+    let mut own_shares = Vec::with_capacity(endpoints.len());
     for (_, e) in endpoints {
-        let part = by_pool.entry(&e.declared.pool);
-        parts.push(*part.or_insert_with(|| totals.own_share(e)));
+        let own_share = by_pool.entry(&e.declared.pool);
+        own_shares.push(*own_share.or_insert_with(|| totals.own_share(e)));
     }
-    let places = places_per_slot(endpoints, parts.iter().copied());
+    let places = places_per_slot(endpoints, own_shares.iter().copied());
     let mut by_zone: HashMap<&str, f64> = HashMap::new();
-    let rows = endpoints.iter().zip(&parts);
-    rows.map(|((at, e), part)| {
-        let near = by_zone.entry(&e.declared.zone);
-        let near = *near.or_insert_with(|| totals.zone_factor(&e.declared.zone));
-        (*at, totals.budget(mechanisms, places * near, e, *part))
+    let rows = endpoints.iter().zip(&own_shares);
+    rows.map(|((at, e), own_share)| {
+        let factor = by_zone.entry(&e.declared.zone);
+        let factor = *factor.or_insert_with(|| totals.zone_factor(&e.declared.zone));
+        (
+            *at,
+            totals.budget(mechanisms, places * factor, e, *own_share),
+        )
     })
     .collect()
 }
@@ -113,10 +116,10 @@
             own += f64::from(e.declared.slots) * share;
         }
     }
-    if used < BUSY_FRACTION * own {
-        CALM_PLACES_PER_SLOT
+    if used < HEAVY_LOAD_FRACTION * own {
+        LIGHT_LOAD_PLACES_PER_SLOT
     } else {
-        BUSY_PLACES_PER_SLOT
+        HEAVY_LOAD_PLACES_PER_SLOT
     }
 }
 
@@ -184,11 +187,11 @@
     /// last places.
     fn integer_budgets(&self, shares: &[f64], places: f64, e: &EndpointRow) -> u32 {
         let part = |(row, share): (&'_ InstanceDemand, &f64)| {
-            let near = row.zone == e.declared.zone;
+            let factor = row.zone == e.declared.zone;
             Allotment {
                 name: row.name.clone(),
                 share: *share,
-                weight: if near { SAME_ZONE_WEIGHT } else { 1.0 },
+                weight: if factor { SAME_ZONE_WEIGHT } else { 1.0 },
             }
         };
         let parts: Vec<Allotment> = self.rows.iter().zip(shares).map(part).collect();
--- a/crates/firdock-policy/src/system/fair_share.rs
+++ b/crates/firdock-policy/src/system/fair_share.rs
@@ -70,16 +70,16 @@
     }
     held.sort_by_key(|r| (r.rank, is_late(t, now, r), r.arrived));
     let mut ahead: HashMap<(&str, usize, TierRank), f64> = HashMap::new();
-    let mut placed: Vec<(bool, ServiceOrder, &RequestRow)> = Vec::with_capacity(held.len());
+    let mut positioned: Vec<(bool, ServiceOrder, &RequestRow)> = Vec::with_capacity(held.len());
     for row in held {
         let key = (row.pool_key(), row.account, row.rank);
         let before = ahead.entry(key).or_insert_with(|| work_done(t, now, row));
         let start = start_tag(t, row.account, *before);
         *before += expected_work(t, row);
-        placed.push((is_late(t, now, row), order_of(row, start), row));
+        positioned.push((is_late(t, now, row), order_of(row, start), row));
     }
-    placed.sort_by_key(|(late, order, _)| (order.rank, *late, *order));
-    placed.into_iter().map(|(_, _, row)| row).collect()
+    positioned.sort_by_key(|(late, order, _)| (order.rank, *late, *order));
+    positioned.into_iter().map(|(_, _, row)| row).collect()
 }
 
 /// Sorts the head of each account's lane, with its service, into service order.
--- a/crates/firdock-policy/src/system/pace_reports.rs
+++ b/crates/firdock-policy/src/system/pace_reports.rs
@@ -26,14 +26,14 @@
     {
         return;
     }
-    let before = e.reported_pace.update(report.pace, report.read);
+    let previous = e.reported_pace.update(report.pace, report.read);
     let own = e.reported_pace.baseline().unwrap_or(1.0);
     *t.stats
         .pace_reports
         .entry(e.declared.pool.clone())
         .or_default() += 1;
     let pool = t.pool_latencies.get_or_insert(&e.declared.pool);
-    pool.learn_pace(report.pace, report.read, own, before);
+    pool.learn_pace(report.pace, report.read, own, previous);
 }
 
 /// Returns what is known about the pool of an endpoint whose reported figures proved accurate.
--- a/crates/firdock-policy/src/system/rollout/decide.rs
+++ b/crates/firdock-policy/src/system/rollout/decide.rs
@@ -85,25 +85,25 @@
     let Some(row) = t.rollouts.of(pool) else {
         return;
     };
-    let tried = canaries(t, now, row);
-    let seen = t.rollouts.decides.then(|| row.site_evidence());
+    let selected = canaries(t, now, row);
+    let evidence = t.rollouts.decides.then(|| row.site_evidence());
     let endpoints = open_endpoints(t, pool, true).count();
     let Some(row) = t.rollouts.rows.get_mut(pool) else {
         return;
     };
     row.evaluated_at = now;
-    row.canaries = tried.into_iter().collect();
-    let Some(seen) = seen else {
+    row.canaries = selected.into_iter().collect();
+    let Some(evidence) = evidence else {
         return;
     };
-    let progress = row.progress(now, &seen);
+    let progress = row.progress(now, &evidence);
     row.ratio = allowance::watched_ratio(progress, t.settings.rollouts);
-    match verdict::evaluate(&seen, endpoints) {
+    match verdict::evaluate(&evidence, endpoints) {
         Some(finding) if finding.bad && row.stage < Stage::Halted => {
             advance(t, pool, Stage::Halted);
             request_record(t, now, pool, Stage::RolledBack, &describe(&finding), out);
         }
-        doubt => continue_rollout(t, now, pool, progress, doubt.is_some(), out),
+        finding => continue_rollout(t, now, pool, progress, finding.is_some(), out),
     }
 }
 
@@ -171,9 +171,9 @@
 
 /// Describes a finding for operators.
 fn describe(finding: &Finding) -> String {
-    let of = finding.service.as_deref().unwrap_or("all services");
+    let scope = finding.service.as_deref().unwrap_or("all services");
     format!(
-        "{} of {} answers to {of} were failures or slow; {:.0} in 100 with the old version",
+        "{} of {} answers to {scope} were failures or slow; {:.0} in 100 with the old version",
         finding.bad_answers,
         finding.answers,
         finding.old_part * 100.0
--- a/crates/firdock-policy/src/system/rollout/versions.rs
+++ b/crates/firdock-policy/src/system/rollout/versions.rs
@@ -202,13 +202,13 @@
     if side(row, rollout) != Side::Trial {
         return None;
     }
-    let tried = |at: &&usize| rollout.canaries.contains(*at);
-    let tried: Vec<&usize> = available.iter().filter(tried).collect();
+    let is_canary = |at: &&usize| rollout.canaries.contains(*at);
+    let canaries: Vec<&usize> = available.iter().filter(is_canary).collect();
     let pick = |at: &&&usize| {
         let name = &t.endpoints.get(***at).declared.name;
         rendezvous::weight(rendezvous::hash_key(row.new.id.as_bytes()), name)
     };
-    tried.iter().max_by_key(pick).map(|at| **at)
+    canaries.iter().max_by_key(pick).map(|at| **at)
 }
 
 /// Returns whether a granted endpoint may be used: the instance may know more recent progress of
