--- a/crates/firdock-policy/src/system/budget.rs
+++ b/crates/firdock-policy/src/system/budget.rs
@@ -187,11 +187,11 @@
     /// last places.
     fn integer_budgets(&self, shares: &[f64], places: f64, e: &EndpointRow) -> u32 {
         let part = |(row, share): (&'_ InstanceDemand, &f64)| {
-            let factor = row.zone == e.declared.zone;
+            let same_zone = row.zone == e.declared.zone;
             Allotment {
                 name: row.name.clone(),
                 share: *share,
-                weight: if factor { SAME_ZONE_WEIGHT } else { 1.0 },
+                weight: if same_zone { SAME_ZONE_WEIGHT } else { 1.0 },
             }
         };
         let parts: Vec<Allotment> = self.rows.iter().zip(shares).map(part).collect();
