--- a/crates/firdock-policy/src/system/admit.rs
+++ b/crates/firdock-policy/src/system/admit.rs
@@ -1,4 +1,4 @@
-//! Admission: a request is matched to its service and account, and held.
+//! Admission: matches a request to its service and account, and holds it.
 
 use std::time::Duration;
 
@@ -11,13 +11,13 @@
 use crate::table::Tables;
 use crate::time::{LogTime, Time};
 
-/// Time after which a caller should try again where nothing serves the request.
+/// Retry time sent to callers when no endpoint serves the request.
 const NO_ENDPOINT_RETRY: Duration = Duration::from_secs(5);
 
-/// Takes a request that arrived.
+/// Handles the arrival of a request.
 pub fn admit_request(t: &mut Tables, now: Time, new: NewRequest, out: &mut Vec<Action>) {
     let Some((service, account)) = in_force(t, &new) else {
-        reject(t, &new, undeclared(&new), out);
+        reject(t, &new, undeclared_verdict(&new), out);
         return;
     };
     let unserved = t.services.get(service).endpoints.is_empty();
@@ -29,15 +29,15 @@
             out.push(Action::Replay { id, earlier });
         }
         key::Decision::PassOn(owner) => {
-            // The owner charges it; here nothing was taken that could be given back.
+            // The owner of the key charges the account limit, so there is nothing to refund here.
             insert(t, now, new, service, account, 0.0);
             super::handover::to_key_owner(t, now, id, &owner, out);
         }
-        _ if is_quarantined(t, &new) => reject(t, &new, suspect::verdict(), out),
+        _ if is_quarantined(t, &new) => reject(t, &new, suspect::quarantine_verdict(), out),
         _ if unserved => reject(t, &new, no_endpoint(Outcome::NotRun), out),
         decision => {
             let Some(charge) = limit::charge(t, now, account, &new) else {
-                let verdict = limit::verdict(t, account);
+                let verdict = limit::limit_verdict(t, account);
                 attempts::count_rejected(t, now, service, &new);
                 reject(t, &new, verdict, out);
                 return;
@@ -50,13 +50,13 @@
     }
 }
 
-/// Tells whether nothing of a request may be sent, whatever its id.
+/// Returns whether the content of a request is quarantined, under whatever request id it arrives.
 fn is_quarantined(t: &Tables, new: &NewRequest) -> bool {
     let content = new.content.as_ref();
     content.is_some_and(|content| t.suspects.is_quarantined(content.id))
 }
 
-/// Gives the rows of a request's service and account, if both are in force.
+/// Returns the rows of a request's service and account, if both are in force.
 pub fn in_force(t: &Tables, new: &NewRequest) -> Option<(usize, usize)> {
     let service = t.services.find(&new.service)?;
     let account = t.accounts.find(&new.account)?;
@@ -64,7 +64,7 @@
     present.then_some((service, account))
 }
 
-/// Notes that a request that was taken in runs under its key.
+/// Records that an admitted request runs under its key.
 fn claim_key(t: &mut Tables, id: RequestId, claim: Option<KeyClaim>, minted: LogTime) {
     if let (Some(row), Some(claim)) = (t.requests.get_mut(id), claim) {
         row.minted = Some(minted);
@@ -72,10 +72,11 @@
     }
 }
 
-/// Gives the answer to a request whose service or account is not in force here.
+/// Returns the verdict for a request whose service or account is not in force here.
 ///
-/// Its key may have run while the service was in force, or runs at an instance where it still is.
-fn undeclared(new: &NewRequest) -> Verdict {
+/// A request with a key may have run while the service was in force, or may run at an instance
+/// where it still is, so its outcome is unknown.
+fn undeclared_verdict(new: &NewRequest) -> Verdict {
     no_endpoint(if new.key.is_some() {
         Outcome::Unknown
     } else {
@@ -94,10 +95,10 @@
 /// Answers a request that never entered the tables.
 fn reject(t: &mut Tables, new: &NewRequest, verdict: Verdict, out: &mut Vec<Action>) {
     lifecycle::count_verdict(t, verdict);
-    out.push(lifecycle::final_word(new, verdict, Vec::new()));
+    out.push(lifecycle::final_answer(new, verdict, Vec::new()));
 }
 
-/// Puts a request into the tables, as held.
+/// Inserts a request into the tables in phase `Held`.
 pub fn insert(
     t: &mut Tables,
     now: Time,
@@ -124,11 +125,11 @@
     let arrived = now.saturating_sub(new.age);
     let row = RequestRow::new(arrived, new, service, account, rank);
     let row = row.with_service(&s.declared, charge);
-    let mut row = attempts::with_first_try(s, now, row);
+    let mut row = attempts::with_first_attempt(s, now, row);
     row.rank = fair_share::rank(t, now, &row);
     t.dispatch_rates.record_arrival(row.pool_key(), row.rank);
     let queue = &mut t.services.get_mut(service).queue;
     queue.push(account, row.arrived, id);
     t.requests.insert(row);
-    fair_share::arrived(t, now, id);
+    fair_share::record_arrival(t, now, id);
 }
--- a/crates/firdock-policy/src/system/budget.rs
+++ b/crates/firdock-policy/src/system/budget.rs
@@ -1,4 +1,4 @@
-//! Budgets: each endpoint's slots are split among the instances by their demand.
+//! Budgets: divides each endpoint's slots among the instances by demand.
 
 mod group;
 mod totals;
@@ -16,19 +16,21 @@
 use crate::table::endpoint::EndpointRow;
 use crate::time::Time;
 
-/// Pause between two settings of the budgets.
+/// Interval between two updates of the budgets.
 const BUDGET_PERIOD: Duration = Duration::from_millis(200);
-/// Places of an engine that are given out in calm times, as a part of its slots: instances do not
-/// use all of theirs at one time, and an engine queues the few that meet.
-const CALM_PLACES: f64 = 1.25;
-/// The same under load, when all places are used: what an engine queues comes late.
-const BUSY_PLACES: f64 = 1.0;
-/// Part of an instance's places whose use tells that the load is no longer calm.
-const BUSY_PART: f64 = 0.7;
-/// How much sooner an instance in the engine's own availability zone gets one of its last places.
-const NEAR_WEIGHT: f64 = 3.0;
-/// Part of each endpoint that is split evenly, so that a burst finds some room at once.
-const EVEN_PART: f64 = 0.25;
+/// Places of an engine assigned per slot under light load: instances do not use all of their places
+/// at the same time, and the engine queues the few requests that collide.
+const LIGHT_LOAD_PLACES_PER_SLOT: f64 = 1.25;
+/// Places assigned per slot under heavy load: all places are used then, and requests queued by the
+/// engine are late.
+const HEAVY_LOAD_PLACES_PER_SLOT: f64 = 1.0;
+/// Fraction of an instance's places in use above which the load counts as heavy.
+const HEAVY_LOAD_FRACTION: f64 = 0.7;
+/// Weight by which an instance in the engine's own availability zone is preferred for one of its
+/// last places.
+const SAME_ZONE_WEIGHT: f64 = 3.0;
+/// Fraction of each endpoint that is divided evenly, so that a burst finds some places immediately.
+const EVEN_FRACTION: f64 = 0.25;
 
 /// Sets this instance's budget on every endpoint.
 pub fn set_budgets(t: &mut Tables, now: Time) {
@@ -36,63 +38,67 @@
         group::set_budgets(t, now);
         return;
     }
-    // What a coordinator places needs no budgets here.
+    // Engines placed by a coordinator need no budgets here.
     let own = |e: &EndpointRow| !(t.coordinated && e.is_engine());
     let shared: Vec<(usize, &EndpointRow)> = t.endpoints.iter().filter(|(_, e)| own(e)).collect();
-    let on = t.settings.mechanisms;
+    let mechanisms = t.settings.mechanisms;
     let budgets = if t.is_single_group() {
-        exact_budgets(&Sharers::new(t, now), on, &shared)
+        exact_budgets(&LiveInstances::new(t, now), mechanisms, &shared)
     } else {
-        drawn_budgets(&InstanceTotals::new(t, now), on, &shared)
+        sampled_budgets(&InstanceTotals::new(t, now), mechanisms, &shared)
     };
     for (at, budget) in budgets {
         t.endpoints.get_mut(at).budget = budget;
     }
 }
 
-/// Gives budgets that add up to each engine's places over all instances: each reckons the parts of all.
+/// Returns budgets that add up to exactly each engine's places over all instances: every instance
+/// computes the shares of all.
 fn exact_budgets(
-    sharers: &Sharers,
-    on: Mechanisms,
+    instances: &LiveInstances,
+    mechanisms: Mechanisms,
     endpoints: &[(usize, &EndpointRow)],
 ) -> Vec<(usize, u32)> {
-    let parts: Vec<Vec<f64>> = endpoints.iter().map(|(_, e)| sharers.shares(e)).collect();
-    let own = parts.iter().map(|of_all| of_all[0]);
-    let places = places_part(endpoints, own);
+    let parts: Vec<Vec<f64>> = endpoints.iter().map(|(_, e)| instances.shares(e)).collect();
+    let own = parts.iter().map(|all_shares| all_shares[0]);
+    let places = places_per_slot(endpoints, own);
     let rows = endpoints.iter().zip(&parts);
-    rows.map(|((at, e), of_all)| (*at, sharers.budget(on, places, e, of_all)))
+    rows.map(|((at, e), all_shares)| (*at, instances.budget(mechanisms, places, e, all_shares)))
         .collect()
 }
 
-/// Gives budgets that add up to each engine's places in the mean, by a draw of this instance alone.
+/// Returns budgets that add up to each engine's places on average, by a local pseudorandom draw.
 ///
-/// To reckon the parts of all instances at each endpoint took 300 instances before 3,000 endpoints a
-/// million draws each 0.2 s, by reckoning all of an eighth of a core, for as long as no coordinator
-/// answers: right after a start, when there is most to do.
-fn drawn_budgets(
+/// Computing the shares of all instances at each endpoint took 300 instances with 3,000 endpoints a
+/// million draws each every 0.2 s, by calculation an eighth of a core, for as long as no
+/// coordinator answers: right after a start, when there is the most work to do.
+fn sampled_budgets(
     totals: &InstanceTotals,
-    on: Mechanisms,
+    mechanisms: Mechanisms,
     endpoints: &[(usize, &EndpointRow)],
 ) -> Vec<(usize, u32)> {
     let mut by_pool: HashMap<&str, f64> = HashMap::new();
-    let mut parts = Vec::with_capacity(endpoints.len());
+    let mut own_shares = Vec::with_capacity(endpoints.len());
     for (_, e) in endpoints {
-        let part = by_pool.entry(&e.declared.pool);
-        parts.push(*part.or_insert_with(|| totals.own_share(e)));
+        let own_share = by_pool.entry(&e.declared.pool);
+        own_shares.push(*own_share.or_insert_with(|| totals.own_share(e)));
     }
-    let places = places_part(endpoints, parts.iter().copied());
+    let places = places_per_slot(endpoints, own_shares.iter().copied());
     let mut by_zone: HashMap<&str, f64> = HashMap::new();
-    let rows = endpoints.iter().zip(&parts);
-    rows.map(|((at, e), part)| {
-        let near = by_zone.entry(&e.declared.zone);
-        let near = *near.or_insert_with(|| totals.near_part(&e.declared.zone));
-        (*at, totals.budget(on, places * near, e, *part))
+    let rows = endpoints.iter().zip(&own_shares);
+    rows.map(|((at, e), own_share)| {
+        let factor = by_zone.entry(&e.declared.zone);
+        let factor = *factor.or_insert_with(|| totals.zone_factor(&e.declared.zone));
+        (
+            *at,
+            totals.budget(mechanisms, places * factor, e, *own_share),
+        )
     })
     .collect()
 }
 
-/// Sets the budgets again if they have not been set for a while: between instances, they change no
-/// faster than demand is told.
+/// Updates the budgets if they have not been updated for a while. Between instances, they change no
+/// faster than demand is reported.
 pub fn refresh_budgets(t: &mut Tables, now: Time) {
     if t.budgets_updated_at + BUDGET_PERIOD <= now {
         t.budgets_updated_at = now;
@@ -100,9 +106,9 @@
     }
 }
 
-/// Gives how many places an engine has for each slot: fewer once this instance uses most of its own, which
-/// are so large a part of each endpoint's.
-fn places_part(endpoints: &[(usize, &EndpointRow)], shares: impl Iterator<Item = f64>) -> f64 {
+/// Returns the number of places per slot of an engine: fewer once this instance uses most of its
+/// own places, taken as its share of each endpoint's slots.
+fn places_per_slot(endpoints: &[(usize, &EndpointRow)], shares: impl Iterator<Item = f64>) -> f64 {
     let (mut used, mut own) = (0.0, 0.0);
     for ((_, e), share) in endpoints.iter().zip(shares) {
         if e.is_engine() && e.present {
@@ -110,29 +116,29 @@
             own += f64::from(e.declared.slots) * share;
         }
     }
-    if used < BUSY_PART * own {
-        CALM_PLACES
+    if used < HEAVY_LOAD_FRACTION * own {
+        LIGHT_LOAD_PLACES_PER_SLOT
     } else {
-        BUSY_PLACES
+        HEAVY_LOAD_PLACES_PER_SLOT
     }
 }
 
-/// One instance that uses the endpoints, this one or a peer that is heard.
-struct Sharer {
+/// Demand of an instance that uses the endpoints: this one or a live peer.
+struct InstanceDemand {
     name: InstanceId,
     zone: ZoneId,
     demand: BTreeMap<PoolId, f64>,
 }
 
-/// The instances that use the endpoints; the first is this one.
-struct Sharers {
-    rows: Vec<Sharer>,
+/// All instances that use the endpoints, starting with this one.
+struct LiveInstances {
+    rows: Vec<InstanceDemand>,
     by_demand: bool,
 }
 
-impl Sharers {
+impl LiveInstances {
     fn new(t: &Tables, now: Time) -> Self {
-        let own = Sharer {
+        let own = InstanceDemand {
             name: t.settings.member.name.clone(),
             zone: t.settings.zone.clone(),
             demand: by_pool(t),
@@ -141,26 +147,26 @@
             .peers
             .iter()
             .filter(|(_, p)| t.is_live(p, now) && !p.draining)
-            .map(|(_, p)| Sharer {
+            .map(|(_, p)| InstanceDemand {
                 name: p.name.clone(),
                 zone: p.zone.clone(),
                 demand: p.demand.clone(),
             });
-        let rows: Vec<Sharer> = std::iter::once(own).chain(peers).collect();
+        let rows: Vec<InstanceDemand> = std::iter::once(own).chain(peers).collect();
         Self {
             rows,
             by_demand: t.settings.mechanisms.demand_shares,
         }
     }
 
-    fn budget(&self, on: Mechanisms, places: f64, e: &EndpointRow, shares: &[f64]) -> u32 {
-        if on.integer_budgets && e.is_engine() {
+    fn budget(&self, mechanisms: Mechanisms, places: f64, e: &EndpointRow, shares: &[f64]) -> u32 {
+        if mechanisms.integer_budgets && e.is_engine() {
             return self.integer_budgets(shares, places * f64::from(e.declared.slots), e);
         }
         rounded_places(e, shares[0])
     }
 
-    /// Gives each instance's part of an endpoint, from 0 to 1.
+    /// Returns each instance's share of an endpoint, from 0 to 1.
     fn shares(&self, e: &EndpointRow) -> Vec<f64> {
         let even = 1.0 / self.rows.len() as f64;
         let demands: Vec<f64> = self
@@ -172,62 +178,65 @@
         if !self.by_demand || total <= f64::EPSILON {
             return vec![even; demands.len()];
         }
-        let of = demands.len();
-        let share = |own: f64| demand_share(own, total, of);
+        let instance_count = demands.len();
+        let share = |own: f64| demand_share(own, total, instance_count);
         demands.into_iter().map(share).collect()
     }
 
-    /// Gives this instance whole places; those nearby get the last ones sooner.
+    /// Returns the whole number of places of this instance. Nearby instances are preferred for the
+    /// last places.
     fn integer_budgets(&self, shares: &[f64], places: f64, e: &EndpointRow) -> u32 {
-        let part = |(row, share): (&'_ Sharer, &f64)| {
-            let near = row.zone == e.declared.zone;
-            Part {
+        let part = |(row, share): (&'_ InstanceDemand, &f64)| {
+            let same_zone = row.zone == e.declared.zone;
+            Allotment {
                 name: row.name.clone(),
                 share: *share,
-                weight: if near { NEAR_WEIGHT } else { 1.0 },
+                weight: if same_zone { SAME_ZONE_WEIGHT } else { 1.0 },
             }
         };
-        let parts: Vec<Part> = self.rows.iter().zip(shares).map(part).collect();
+        let parts: Vec<Allotment> = self.rows.iter().zip(shares).map(part).collect();
         integer_budgets(&parts, 0, places, e)
     }
 }
 
-/// Gives this instance's part of an endpoint's places, one at least.
+/// Returns this instance's share of an endpoint's places, at least one.
 fn rounded_places(e: &EndpointRow, share: f64) -> u32 {
     let slots = f64::from(e.declared.slots) * share;
     (slots.round() as u32).max(1)
 }
 
-/// Gives an instance's part of an endpoint, from 0 to 1, by its demand and that of all of so many.
-fn demand_share(own: f64, total: f64, of: usize) -> f64 {
-    let even = 1.0 / of as f64;
-    EVEN_PART * even + (1.0 - EVEN_PART) * own / total
+/// Returns an instance's share of an endpoint, from 0 to 1, by its own demand and the total over
+/// `of` instances.
+fn demand_share(own: f64, total: f64, instance_count: usize) -> f64 {
+    let even = 1.0 / instance_count as f64;
+    EVEN_FRACTION * even + (1.0 - EVEN_FRACTION) * own / total
 }
 
-/// One sharer's part of an endpoint.
+/// Share of one instance or group in an endpoint.
 #[derive(Debug)]
-struct Part {
+struct Allotment {
     name: String,
-    /// From 0 to 1; those of all sharers add up to 1.
+    /// From 0 to 1; the shares of all add up to 1.
     share: f64,
-    /// How much sooner it gets one of the last places.
+    /// Weight in the assignment of the last places.
     weight: f64,
 }
 
-/// Gives the sharer at `own` whole places, so that all sharers' places add up to the endpoint's.
+/// Returns the whole number of places for `own`, such that the places of all add up to the
+/// endpoint's.
 ///
-/// Each gets the whole part of its share. The places that are left go by weighted rendezvous: to
-/// the sharers with the greatest numbers that are drawn from the names and weighted by what they
-/// still lack. All instances draw alike, without talking.
-fn integer_budgets(parts: &[Part], own: usize, places: f64, e: &EndpointRow) -> u32 {
-    let whole = |part: &Part| (places * part.share).floor();
+/// Each gets the integer part of its share. The remaining places are assigned by weighted
+/// rendezvous hashing: to the highest numbers drawn from the names, weighted by the fractional part
+/// that is still missing. All instances compute the same result without communication.
+fn integer_budgets(parts: &[Allotment], own: usize, places: f64, e: &EndpointRow) -> u32 {
+    let whole = |part: &Allotment| (places * part.share).floor();
     let left = places - parts.iter().map(whole).sum::<f64>();
     let key = rendezvous::hash_key(e.declared.name.as_bytes());
-    let draw = |part: &Part| {
-        let lacks = places * part.share - whole(part);
+    let draw = |part: &Allotment| {
+        let remainder = places * part.share - whole(part);
         let number = rendezvous::weight(key, &part.name) as f64 / u64::MAX as f64;
         let log = number.clamp(f64::MIN_POSITIVE, 1.0 - f64::EPSILON).ln();
-        -lacks * part.weight / log
+        -remainder * part.weight / log
     };
     let draws: Vec<f64> = parts.iter().map(draw).collect();
     let before = draws.iter().filter(|d| **d > draws[own]).count();
--- a/crates/firdock-policy/src/system/budget/group.rs
+++ b/crates/firdock-policy/src/system/budget/group.rs
@@ -1,26 +1,27 @@
-//! Budgets of a coordinator: engines are shared by the groups of instances.
+//! Budgets of a coordinator: engines are divided among the groups of instances.
 //!
-//! Each group has a right to the part of a pool that its demand is of the whole. It takes that from
-//! the engines of its own availability zone first, and what is missing there from those that other
-//! groups leave, so that few requests cross zones and no place stays unused.
+//! Each group is entitled to the fraction of a pool that matches its fraction of the total demand.
+//! It uses engines of its own availability zone first, and covers the rest with capacity that other
+//! groups leave, so that few requests cross availability zones and no place stays unused.
 
 use std::collections::BTreeMap;
 
 use firdock_core::{PoolId, ZoneId};
 
-use super::{Part, integer_budgets};
+use super::{Allotment, integer_budgets};
 use crate::system::demand::on_endpoint;
 use crate::system::rollout;
 use crate::table::Tables;
 use crate::table::endpoint::EndpointRow;
 use crate::time::Time;
 
-/// Demand a second of a group that is not told any: it may begin to have some.
-const LEAST_DEMAND: f64 = 0.1;
+/// Minimum demand, in requests per second, assumed for each group: one without reported demand may
+/// start to have some.
+const MIN_DEMAND: f64 = 0.1;
 
 /// Sets the group's budget on every endpoint.
 pub fn set_budgets(t: &mut Tables, now: Time) {
-    let zones = zones(t, now);
+    let zones = demand_by_zone(t, now);
     let own = zones.keys().position(|zone| *zone == t.settings.zone);
     let shared = own.filter(|_| !t.is_single_group());
     let budgets: Vec<(usize, u32)> = match shared {
@@ -36,24 +37,25 @@
     }
 }
 
-/// Demand by pool of the instances of each availability zone.
-type Zones = BTreeMap<ZoneId, BTreeMap<PoolId, f64>>;
+/// Demand by pool of the instances in each availability zone.
+type DemandByZone = BTreeMap<ZoneId, BTreeMap<PoolId, f64>>;
 
-/// Gives the demand of each availability zone whose instances are heard; the own one is among them.
-fn zones(t: &Tables, now: Time) -> Zones {
-    let mut zones = Zones::new();
+/// Returns the demand of each availability zone with live instances, including the own one.
+fn demand_by_zone(t: &Tables, now: Time) -> DemandByZone {
+    let mut zones = DemandByZone::new();
     zones.entry(t.settings.zone.clone()).or_default();
-    let heard = t
+    let live = t
         .peers
         .iter()
         .filter(|(_, p)| t.is_live(p, now) && !p.draining);
-    for (_, peer) in heard {
+    for (_, peer) in live {
         let zone = zones.entry(peer.zone.clone()).or_default();
         for (pool, rate) in &peer.demand {
             *zone.entry(pool.clone()).or_default() += rate;
         }
     }
-    // What a lead tells of its whole group is newer than what its instances tell far away.
+    // A lead's report on its whole group is more recent than the reports of its instances, which
+    // arrive over longer paths.
     for (zone, demand) in t.groups.fresh(now, t.settings.peer_stale_after) {
         if *zone != t.settings.zone {
             zones.insert(zone.clone(), demand.clone());
@@ -62,9 +64,9 @@
     zones
 }
 
-/// Gives the own group's places on every endpoint.
-fn shared_budgets(t: &Tables, zones: &Zones, own: usize) -> Vec<(usize, u32)> {
-    // Both versions of a roll-out are shared by themselves: requests of one cannot use the other's.
+/// Returns the own group's places on every endpoint.
+fn shared_budgets(t: &Tables, zones: &DemandByZone, own: usize) -> Vec<(usize, u32)> {
+    // Both versions of a roll-out are divided separately: requests for one cannot use the other.
     let mut pools: BTreeMap<(&str, bool), Vec<(usize, &EndpointRow)>> = BTreeMap::new();
     for (at, e) in t.endpoints.iter() {
         let key = (e.declared.pool.as_str(), rollout::is_new(t, e));
@@ -72,15 +74,15 @@
     }
     let mut budgets = Vec::new();
     for endpoints in pools.values() {
-        let split = Split::new(zones, endpoints);
+        let split = PoolSplit::new(zones, endpoints);
         for (at, e) in endpoints {
             let shares = zones.keys().zip(split.shares(&e.declared.zone));
-            let part = |(zone, share): (&ZoneId, f64)| Part {
+            let part = |(zone, share): (&ZoneId, f64)| Allotment {
                 name: zone.clone(),
                 share,
                 weight: 1.0,
             };
-            let parts: Vec<Part> = shares.map(part).collect();
+            let parts: Vec<Allotment> = shares.map(part).collect();
             let places = f64::from(e.declared.slots);
             budgets.push((*at, integer_budgets(&parts, own, places, e)));
         }
@@ -88,59 +90,59 @@
     budgets
 }
 
-/// How the groups share the engines of one pool; rows are in the order of their zones' names.
+/// Division of the engines of one pool among the groups, in order of zone name.
 #[derive(Debug)]
-struct Split {
-    rows: Vec<Row>,
-    /// Places in zones without instances of ours.
+struct PoolSplit {
+    rows: Vec<GroupRow>,
+    /// Places in availability zones without instances of this site.
     elsewhere: f64,
 }
 
-/// Counts the places of the engines that take new work, of those that are `wanted`.
+/// Counts the slots of the `wanted` engines that accept new work.
 fn open_slots(endpoints: &[(usize, &EndpointRow)], wanted: impl Fn(&EndpointRow) -> bool) -> f64 {
     let rows = endpoints.iter().map(|(_, e)| *e);
     let open = rows.filter(|e| e.present && !e.declared.leaving && wanted(e));
     open.map(|e| f64::from(e.declared.slots)).sum()
 }
 
-/// One group's part.
+/// One group's part of a pool.
 #[derive(Debug)]
-struct Row {
+struct GroupRow {
     zone: ZoneId,
-    /// Places in its zone.
+    /// Places in its availability zone.
     capacity: f64,
-    /// Places in its zone that it takes.
+    /// Places that it uses in its availability zone.
     own: f64,
-    /// Places that it takes elsewhere.
-    lacks: f64,
+    /// Places that it needs elsewhere.
+    shortfall: f64,
 }
 
-impl Row {
-    fn left(&self) -> f64 {
+impl GroupRow {
+    fn spare(&self) -> f64 {
         self.capacity - self.own
     }
 }
 
-impl Split {
-    fn new(zones: &Zones, endpoints: &[(usize, &EndpointRow)]) -> Self {
+impl PoolSplit {
+    fn new(zones: &DemandByZone, endpoints: &[(usize, &EndpointRow)]) -> Self {
         let all = open_slots(endpoints, |_| true);
         let demand = |rates: &BTreeMap<PoolId, f64>| match endpoints.first() {
-            Some((_, e)) => on_endpoint(rates, e).max(LEAST_DEMAND),
-            None => LEAST_DEMAND,
+            Some((_, e)) => on_endpoint(rates, e).max(MIN_DEMAND),
+            None => MIN_DEMAND,
         };
         let total: f64 = zones.values().map(demand).sum();
         let row = |(zone, rates): (&ZoneId, &BTreeMap<PoolId, f64>)| {
             let capacity = open_slots(endpoints, |e| e.declared.zone == *zone);
             let right = all * demand(rates) / total;
             let own = right.min(capacity);
-            Row {
+            GroupRow {
                 zone: zone.clone(),
                 capacity,
                 own,
-                lacks: right - own,
+                shortfall: right - own,
             }
         };
-        let rows: Vec<Row> = zones.iter().map(row).collect();
+        let rows: Vec<GroupRow> = zones.iter().map(row).collect();
         let known: f64 = rows.iter().map(|r| r.capacity).sum();
         Self {
             rows,
@@ -148,20 +150,20 @@
         }
     }
 
-    /// Gives each group's share of the engines in a zone, from 0 to 1.
+    /// Returns each group's share of the engines in an availability zone, from 0 to 1.
     fn shares(&self, zone: &str) -> Vec<f64> {
-        let left: f64 = self.rows.iter().map(Row::left).sum::<f64>() + self.elsewhere;
-        let lacking: f64 = self.rows.iter().map(|r| r.lacks).sum();
+        let left: f64 = self.rows.iter().map(GroupRow::spare).sum::<f64>() + self.elsewhere;
+        let total_shortfall: f64 = self.rows.iter().map(|r| r.shortfall).sum();
         let here = self.rows.iter().find(|r| r.zone == zone);
-        let free = here.map_or(1.0, |r| r.left() / r.capacity.max(1.0));
-        let share = |r: &Row| {
+        let free = here.map_or(1.0, |r| r.spare() / r.capacity.max(1.0));
+        let share = |r: &GroupRow| {
             let own = if r.zone == zone {
                 r.own / r.capacity.max(1.0)
             } else {
                 0.0
             };
-            let taken = if left > 0.0 && lacking > 0.0 {
-                free * r.lacks / lacking
+            let taken = if left > 0.0 && total_shortfall > 0.0 {
+                free * r.shortfall / total_shortfall
             } else {
                 0.0
             };
--- a/crates/firdock-policy/src/system/dispatch_updates.rs
+++ b/crates/firdock-policy/src/system/dispatch_updates.rs
@@ -1,4 +1,4 @@
-//! News of dispatches: started, tokens, ended, refused, broken.
+//! Updates on dispatches: started, tokens, ended, refused, broken.
 
 use firdock_core::{Outcome, Reason, RequestId};
 
@@ -12,7 +12,7 @@
 use crate::table::Tables;
 use crate::time::Time;
 
-/// Takes news of a dispatch; late news of an earlier dispatch is dropped and counted.
+/// Handles an update on a dispatch. A late update on an earlier dispatch is dropped and counted.
 pub fn handle_update(t: &mut Tables, now: Time, e: &EndpointEvent, out: &mut Vec<Action>) {
     let current = t.requests.get(e.id).filter(|r| r.dispatch == e.dispatch);
     let Some(Phase::Dispatching(at) | Phase::Running(at)) = current.map(|r| r.phase) else {
@@ -20,28 +20,32 @@
         return;
     };
     match e.update {
-        DispatchUpdate::Refused { unreachable } => refused(t, now, e.id, at, unreachable, out),
-        DispatchUpdate::Lapsed => lapsed(t, now, e.id, out),
-        DispatchUpdate::Withheld => withheld(t, now, e.id),
-        DispatchUpdate::Started { head_sent } => started(t, e.id, at, head_sent),
-        DispatchUpdate::Tokens { delivered, cached } => tokens(t, now, e.id, at, delivered, cached),
+        DispatchUpdate::Refused { unreachable } => {
+            handle_refused(t, now, e.id, at, unreachable, out);
+        }
+        DispatchUpdate::Lapsed => handle_lapsed(t, now, e.id, out),
+        DispatchUpdate::Withheld => handle_withheld(t, now, e.id),
+        DispatchUpdate::Started { head_sent } => handle_started(t, e.id, at, head_sent),
+        DispatchUpdate::Tokens { delivered, cached } => {
+            handle_tokens(t, now, e.id, at, delivered, cached);
+        }
         DispatchUpdate::Ended {
             prompt,
             cached,
             output,
         } => {
-            ended(t, now, e.id, at, prompt, cached, output);
+            handle_ended(t, now, e.id, at, prompt, cached, output);
         }
-        DispatchUpdate::Failed => rollout::failed(t, e.id),
-        DispatchUpdate::FailureKept => failure_kept(t, e.id),
-        DispatchUpdate::Unproven => unproven(t, e.id),
-        DispatchUpdate::Unresumable => unresumable(t, e.id),
-        DispatchUpdate::Breaking(cause) => breaking(t, now, e.id, at, cause, out),
-        DispatchUpdate::Broke { delivered } => broke(t, now, e.id, at, delivered, out),
+        DispatchUpdate::Failed => rollout::record_failure(t, e.id),
+        DispatchUpdate::FailureKept => mark_failure_kept(t, e.id),
+        DispatchUpdate::Unproven => mark_unproven(t, e.id),
+        DispatchUpdate::Unresumable => mark_unresumable(t, e.id),
+        DispatchUpdate::Breaking(cause) => handle_breaking(t, now, e.id, at, cause, out),
+        DispatchUpdate::Broke { delivered } => handle_broken(t, now, e.id, at, delivered, out),
     }
 }
 
-/// Takes it that the caller went away: held work is dropped, running work is cancelled.
+/// Handles the departure of a caller: a held request is dropped, a running one is cancelled.
 pub fn caller_left(t: &mut Tables, now: Time, id: RequestId, out: &mut Vec<Action>) {
     let Some(row) = t.requests.get(id) else {
         return;
@@ -63,8 +67,8 @@
         }
     }
     if t.settings.coordinates && matches!(row.phase, Phase::Dispatching(_)) {
-        // The member gave the place back, or its request was never sent.
-        fair_share::take_back(t, now, id);
+        // The member returned the slot, or its request was never sent.
+        fair_share::refund(t, now, id);
     }
     lifecycle::count_waste(t, id, WasteCause::CallerLeft);
     let row = t.requests.get(id);
@@ -73,7 +77,7 @@
     *t.stats.reasons.entry(Reason::CallerLeft).or_default() += 1;
 }
 
-fn refused(
+fn handle_refused(
     t: &mut Tables,
     now: Time,
     id: RequestId,
@@ -84,13 +88,13 @@
     if unreachable {
         health::eject(t, now, at);
     }
-    fair_share::take_back(t, now, id);
+    fair_share::refund(t, now, id);
     if t.settings.coordinates {
         lifecycle::finish(t, now, id, Outcome::NotRun);
         return;
     }
     lifecycle::set_phase(t, id, Phase::Held, true);
-    take_back_run(t, id);
+    uncount_run(t, id);
     if unreachable {
         return;
     }
@@ -98,7 +102,8 @@
     let Some(row) = t.requests.get(id).filter(|_| shared) else {
         return;
     };
-    // The endpoint had the request, so another one is a second try that counts for the site.
+    // The endpoint received the request, so sending it to another one is a retry that counts
+    // towards the site's retry budget.
     let most = t.max_retry_credit();
     if t.retry_budgets.allow(row.pool_key(), most) {
         t.retry_budgets.spend(row.pool_key(), most);
@@ -107,36 +112,36 @@
     }
 }
 
-/// Notes that the last dispatch ran nowhere.
-fn take_back_run(t: &mut Tables, id: RequestId) {
+/// Records that the last dispatch did not run.
+fn uncount_run(t: &mut Tables, id: RequestId) {
     if let Some(row) = t.requests.get_mut(id) {
         row.runs -= 1;
     }
 }
 
-fn lapsed(t: &mut Tables, now: Time, id: RequestId, out: &mut Vec<Action>) {
-    withheld(t, now, id);
+fn handle_lapsed(t: &mut Tables, now: Time, id: RequestId, out: &mut Vec<Action>) {
+    handle_withheld(t, now, id);
     let keyed = t.requests.get(id).is_some_and(|r| r.new.key.is_some());
     if keyed {
-        lifecycle::answer(t, now, id, key::unconfirmed_verdict(), out);
+        lifecycle::finish_with_verdict(t, now, id, key::unconfirmed_verdict(), out);
     }
 }
 
-/// Takes a request back of which nothing was sent: the endpoint may still get it, once it may be sent.
-fn withheld(t: &mut Tables, now: Time, id: RequestId) {
-    fair_share::take_back(t, now, id);
+/// Takes back a request that was not sent. The same endpoint may still get it later.
+fn handle_withheld(t: &mut Tables, now: Time, id: RequestId) {
+    fair_share::refund(t, now, id);
     if t.settings.coordinates {
         lifecycle::finish(t, now, id, Outcome::NotRun);
         return;
     }
     lifecycle::set_phase(t, id, Phase::Held, true);
-    take_back_run(t, id);
+    uncount_run(t, id);
     if let Some(row) = t.requests.get_mut(id) {
         row.tried.pop();
     }
 }
 
-fn started(t: &mut Tables, id: RequestId, at: usize, head_sent: bool) {
+fn handle_started(t: &mut Tables, id: RequestId, at: usize, head_sent: bool) {
     lifecycle::set_phase(t, id, Phase::Running(at), false);
     let row = t.requests.get_mut(id).filter(|_| head_sent);
     if let Some(row) = row.filter(|row| !row.head_sent()) {
@@ -144,36 +149,37 @@
     }
 }
 
-/// Notes that the endpoint's answer that it failed can be passed on.
-fn failure_kept(t: &mut Tables, id: RequestId) {
+/// Records that the endpoint's failure response can be forwarded to the caller.
+fn mark_failure_kept(t: &mut Tables, id: RequestId) {
     if let Some(row) = t.requests.get_mut(id) {
         row.failure = EndpointFailure::Buffered;
     }
 }
 
-/// Notes that the answer's end proves nothing.
-fn unproven(t: &mut Tables, id: RequestId) {
+/// Records that the end of the answer does not prove it complete.
+fn mark_unproven(t: &mut Tables, id: RequestId) {
     if let Some(row) = t.requests.get_mut(id) {
         row.completion_proof = CompletionProof::Unproven;
     }
 }
 
-/// Notes that the answer can only go on where it began.
-fn unresumable(t: &mut Tables, id: RequestId) {
+/// Records that the answer can only be continued by the endpoint that began it.
+fn mark_unresumable(t: &mut Tables, id: RequestId) {
     if let Some(row) = t.requests.get_mut(id) {
         row.delivered_part = DeliveredPart::Unresumable;
     }
 }
 
-fn tokens(t: &mut Tables, now: Time, id: RequestId, at: usize, delivered: u32, cached: u32) {
-    first_token(t, now, id, at, cached);
+fn handle_tokens(t: &mut Tables, now: Time, id: RequestId, at: usize, delivered: u32, cached: u32) {
+    record_first_token(t, now, id, at, cached);
     if let Some(row) = t.requests.get_mut(id) {
         row.delivered = row.delivered.max(delivered);
     }
 }
 
-/// Notes the first token of a dispatch: the prompt is computed, and the rate can be learned.
-fn first_token(t: &mut Tables, now: Time, id: RequestId, at: usize, cached: u32) {
+/// Records the first token of a dispatch: the prompt has been processed, so the endpoint's rate can
+/// be learned.
+fn record_first_token(t: &mut Tables, now: Time, id: RequestId, at: usize, cached: u32) {
     let Some(row) = t.requests.get(id).filter(|r| r.first.is_none()) else {
         return;
     };
@@ -198,7 +204,7 @@
     }
 }
 
-fn ended(
+fn handle_ended(
     t: &mut Tables,
     now: Time,
     id: RequestId,
@@ -207,8 +213,8 @@
     cached: u32,
     output: u32,
 ) {
-    first_token(t, now, id, at, cached);
-    rollout::ended(t, now, id, at, output);
+    record_first_token(t, now, id, at, cached);
+    rollout::record_answer(t, now, id, at, output);
     let Some(row) = t.requests.get(id) else {
         return;
     };
@@ -217,24 +223,26 @@
         .filter(|_| row.completion_proof == CompletionProof::Proven);
     let service = row.service;
     let first = row.first.unwrap_or(now);
-    let fresh = output.saturating_sub(1);
+    let tokens_after_first = output.saturating_sub(1);
     if prompt > 0 && row.tried.len() == 1 && row.placement != PlacementState::Adopted {
         let took = now.saturating_sub(first);
-        t.endpoints.get_mut(at).learn_tokens(fresh, took);
-        pace_reports::learn_tokens(t, now, at, fresh, took);
+        t.endpoints
+            .get_mut(at)
+            .learn_tokens(tokens_after_first, took);
+        pace_reports::learn_tokens(t, now, at, tokens_after_first, took);
     }
     if prompt > 0 {
         t.services.get_mut(service).learn_output(output);
         fair_share::settle(t, now, id, output);
     }
-    lifecycle::answered(t, now, id);
+    lifecycle::complete(t, now, id);
     if let Some(content) = content {
-        suspect::answered(t, now, content);
+        suspect::record_answer(t, now, content);
     }
 }
 
-/// Notes how a dispatch comes to break, and has it looked whether its endpoint has ended.
-fn breaking(
+/// Records how a dispatch is about to break, and starts a liveness check if its connection closed.
+fn handle_breaking(
     t: &mut Tables,
     now: Time,
     id: RequestId,
@@ -251,8 +259,8 @@
     }
 }
 
-/// Takes a broken dispatch: the request goes on elsewhere if it may, else it ends.
-fn broke(
+/// Handles a broken dispatch: retries the request elsewhere if permitted, otherwise ends it.
+fn handle_broken(
     t: &mut Tables,
     now: Time,
     id: RequestId,
@@ -261,18 +269,19 @@
     out: &mut Vec<Action>,
 ) {
     lifecycle::count_waste(t, id, WasteCause::EndpointLost);
-    rollout::lost(t, id, at);
-    if !backs_off(t, now, id, at) {
+    rollout::record_lost(t, id, at);
+    if !is_backing_off(t, now, id, at) {
         health::record_broken_dispatch(t, now, at);
     }
-    // By what was held against it before: one end is no reason yet to give a caller up.
-    let goes_on = may_go_on(t, id, at);
-    suspect::broke(t, now, id, at, out);
+    // Decided by the exits recorded before this one: a single exit is no reason to give up on a
+    // caller.
+    let may_retry_now = may_retry(t, id, at);
+    suspect::record_broken_run(t, now, id, at, out);
     if t.settings.coordinates {
         lifecycle::finish(t, now, id, Outcome::Unknown);
         return;
     }
-    if goes_on {
+    if may_retry_now {
         let most = t.max_retry_credit();
         if let Some(row) = t.requests.get(id) {
             t.retry_budgets.spend(row.pool_key(), most);
@@ -292,12 +301,13 @@
         reason,
         retry_after,
     };
-    lifecycle::answer(t, now, id, verdict, out);
+    lifecycle::finish_with_verdict(t, now, id, verdict, out);
 }
 
-/// Tells whether the endpoint wants no request now from the instance that sent it one: what breaks
-/// meanwhile is no failure of it, and nothing would be spared by an ejection.
-fn backs_off(t: &Tables, now: Time, id: RequestId, at: usize) -> bool {
+/// Returns whether the endpoint currently asks the request's instance to back off. A dispatch that
+/// breaks during a back-off does not count as a failure of the endpoint, and ejecting it would save
+/// nothing.
+fn is_backing_off(t: &Tables, now: Time, id: RequestId, at: usize) -> bool {
     let Some(row) = t.requests.get(id) else {
         return false;
     };
@@ -305,8 +315,8 @@
     e.notices.backoff(&row.new.member, now).is_some()
 }
 
-/// Tells whether a broken request may run on a second endpoint.
-fn may_go_on(t: &Tables, id: RequestId, at: usize) -> bool {
+/// Returns whether a broken request may run on a second endpoint.
+fn may_retry(t: &Tables, id: RequestId, at: usize) -> bool {
     let Some(row) = t.requests.get(id) else {
         return false;
     };
@@ -318,7 +328,11 @@
     let most = t.max_retry_credit();
     let allowed = t.retry_budgets.allow(row.pool_key(), most);
     let attempts = service.attempts as usize;
-    let more = attempts == 0 || row.runs < attempts;
-    let spared = suspect::may_repeat(t, row);
-    service.repeatable && allowed && more && spared && (!row.head_sent() || resumable)
+    let attempts_left = attempts == 0 || row.runs < attempts;
+    let suspect_permits = suspect::may_repeat(t, row);
+    service.repeatable
+        && allowed
+        && attempts_left
+        && suspect_permits
+        && (!row.head_sent() || resumable)
 }
--- a/crates/firdock-policy/src/system/drain.rs
+++ b/crates/firdock-policy/src/system/drain.rs
@@ -1,4 +1,4 @@
-//! A planned stop: held requests go to peers, running ones finish here.
+//! Planned stop: held requests are handed over to peers, running ones finish here.
 
 use firdock_core::RequestId;
 
@@ -8,12 +8,12 @@
 use crate::table::Tables;
 use crate::time::Time;
 
-/// Passes held requests on while the instance is stopping, and tells when nothing is left.
+/// Hands over held requests while the instance is stopping, and reports when none are left.
 pub fn run(t: &mut Tables, now: Time, out: &mut Vec<Action>) {
     if !t.draining {
         return;
     }
-    let passable = |r: &&RequestRow| {
+    let can_hand_over = |r: &&RequestRow| {
         r.phase == Phase::Held
             && r.new.origin == Origin::Caller
             && r.minted.is_none()
@@ -22,11 +22,11 @@
     let ids: Vec<RequestId> = t
         .requests
         .iter()
-        .filter(passable)
+        .filter(can_hand_over)
         .map(|r| r.new.id)
         .collect();
     for id in ids {
-        handover::to_any(t, now, id, out);
+        handover::to_any_peer(t, now, id, out);
     }
     if t.requests.is_empty() && !t.drained {
         t.drained = true;
--- a/crates/firdock-policy/src/system/fair_share/level.rs
+++ b/crates/firdock-policy/src/system/fair_share/level.rs
@@ -1,4 +1,4 @@
-//! What accounts may have of each pool where its room is short, by weights and by what they ask for.
+//! Fair shares of accounts in each pool that is short of capacity, by weight and demand.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -6,28 +6,28 @@
 use firdock_core::resource::Account;
 use firdock_core::{PoolId, TierRank};
 
-use super::done_up_to;
+use super::work_done_up_to;
 use crate::table::Tables;
 use crate::table::share::{AccountRank, Levels};
 use crate::time::Time;
 
-/// Part by which accounts have to ask for more than was done before room counts as short: what was
-/// asked within the last tenth of a second may still be on its way to an endpoint.
-const SHORT_PART: f64 = 1.1;
+/// Factor by which demand must exceed the work done before capacity counts as short: requests that
+/// arrived within the last tenth of a second may still be on their way to an endpoint.
+const SHORTAGE_FACTOR: f64 = 1.1;
 
-/// Pause between two takings of levels: a tenth of the time in which what counts as lately fades.
-const LEVEL_PAUSE: Duration = Duration::from_millis(100);
+/// Interval between two updates of the levels: a tenth of the time over which recent work decays.
+const LEVEL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Takes anew what accounts may have of each pool, by what they asked for and had lately.
+/// Recomputes the share level of each pool from recent demand and work.
 pub fn update_levels(t: &mut Tables, now: Time) {
-    if !t.settings.account_shares.is_on() || now < t.levels.taken + LEVEL_PAUSE {
+    if !t.settings.account_shares.is_on() || now < t.levels.taken + LEVEL_INTERVAL {
         return;
     }
     let mut levels = Levels::new(now);
     for pool in pools(t) {
         for rank in 0..=Account::MAX_RANK {
             let fair_shares = fair_shares(t, now, &pool, rank);
-            if let Some(level) = level(&fair_shares) {
+            if let Some(level) = share_per_weight(&fair_shares) {
                 levels.set(&pool, rank, level);
             }
         }
@@ -35,18 +35,18 @@
     t.levels = levels;
 }
 
-/// How the accounts of one rank stand with a pool.
+/// Fair shares of the accounts of one rank in a pool.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PoolFairShares {
     /// Pool.
     pub pool: PoolId,
-    /// Whether its room is short for them.
+    /// Whether capacity is short for these accounts.
     pub short: bool,
-    /// The accounts.
+    /// Accounts with recent demand or work.
     pub rows: Vec<FairShare>,
 }
 
-/// Gives how all accounts stand, by pool and rank; those without any are left out.
+/// Returns the fair shares of all accounts by pool and rank; ranks without any are omitted.
 #[must_use]
 pub fn fair_shares_by_pool(t: &Tables, now: Time) -> Vec<PoolFairShares> {
     let mut all = Vec::new();
@@ -74,78 +74,80 @@
         .collect()
 }
 
-/// Gives the share for each unit of weight of those that ask for more; `None` where there is room.
-fn level(fair_shares: &[FairShare]) -> Option<f64> {
+/// Returns the share per unit of weight of the accounts with unmet demand, or `None` if capacity is
+/// not short.
+fn share_per_weight(fair_shares: &[FairShare]) -> Option<f64> {
     let done: f64 = fair_shares.iter().map(|s| s.done).sum();
     let asked: f64 = fair_shares.iter().map(|s| s.asked).sum();
-    if asked <= done * SHORT_PART {
+    if asked <= done * SHORTAGE_FACTOR {
         return None;
     }
     let levels = fair_shares.iter().map(|s| s.share / s.weight);
     levels.max_by(f64::total_cmp)
 }
 
-/// What an account asked for and had lately of a pool, and what its share is.
+/// Recent demand and work of an account in a pool, and its fair share.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FairShare {
     /// Row of the account.
     pub account: usize,
     /// Its weight.
     pub weight: f64,
-    /// Work asked for, in seconds.
+    /// Work requested, in seconds.
     pub asked: f64,
     /// Work done, in seconds.
     pub done: f64,
-    /// Its share of all that was done for accounts of its rank, by its weight and what it asks for.
+    /// Share of all work done for accounts of its rank, by weight and demand, in seconds.
     pub share: f64,
 }
 
-/// Gives how the accounts of a rank stand that asked for work of a pool lately.
+/// Returns the fair shares of the accounts of a rank with recent demand or work in a pool.
 fn fair_shares(t: &Tables, now: Time, pool: &str, rank: AccountRank) -> Vec<FairShare> {
     let mut rows: Vec<FairShare> = Vec::new();
     for (at, account) in t.accounts.iter().filter(|(_, a)| a.rank == rank) {
         let row = FairShare {
             account: at,
             weight: account.weight,
-            asked: asked(t, now, at, pool),
-            done: done_up_to(t, now, at, pool, TierRank::MAX),
+            asked: work_asked(t, now, at, pool),
+            done: work_done_up_to(t, now, at, pool, TierRank::MAX),
             share: 0.0,
         };
         if row.asked.max(row.done) > 0.0 {
             rows.push(row);
         }
     }
-    let room: f64 = rows.iter().map(|r| r.done).sum();
+    let capacity: f64 = rows.iter().map(|r| r.done).sum();
     let demand = |r: &FairShare| ShareDemand {
         weight: r.weight,
         amount: r.asked.max(r.done),
     };
     let demands: Vec<ShareDemand> = rows.iter().map(demand).collect();
-    for (row, share) in rows.iter_mut().zip(max_min_shares(room, &demands)) {
+    for (row, share) in rows.iter_mut().zip(max_min_shares(capacity, &demands)) {
         row.share = share;
     }
     rows
 }
 
-/// What one account asks for, and its weight.
+/// Demand of one account, with its weight.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ShareDemand {
     /// Weight.
     pub weight: f64,
-    /// What it asks for.
+    /// Demand.
     pub amount: f64,
 }
 
-/// Divides `room` by weight; what one does not ask for goes to the others by theirs.
+/// Divides `capacity` by weighted max-min fairness: what an account does not ask for is divided
+/// among the others by weight.
 ///
-/// No account gets more than it asks for, all of the room is given where it is asked for, and no
-/// account gets less for its weight than another unless it asks for no more.
+/// No account gets more than it asks for, `capacity` is used up as far as there is demand, and an
+/// account gets less per weight than another only if its demand is met.
 #[must_use]
-pub fn max_min_shares(room: f64, demands: &[ShareDemand]) -> Vec<f64> {
+pub fn max_min_shares(capacity: f64, demands: &[ShareDemand]) -> Vec<f64> {
     let mut by_need: Vec<usize> = (0..demands.len()).collect();
     let need = |i: &usize| demands[*i].amount / demands[*i].weight;
     by_need.sort_by(|a, b| need(a).total_cmp(&need(b)));
-    let mut left = room;
+    let mut left = capacity;
     let mut weights: f64 = demands.iter().map(|a| a.weight).sum();
     let mut parts = vec![0.0; demands.len()];
     for i in by_need {
@@ -158,12 +160,12 @@
     parts
 }
 
-/// Gives what an account asked of a pool lately, by all groups.
-fn asked(t: &Tables, now: Time, account: usize, pool: &str) -> f64 {
+/// Returns the recent demand of an account in a pool, over all groups.
+fn work_asked(t: &Tables, now: Time, account: usize, pool: &str) -> f64 {
     let row = t.accounts.get(account);
-    let told = t
+    let remote = t
         .reported_work
         .of(now, t.settings.peer_stale_after, pool, &row.name);
-    let elsewhere: f64 = told.map(|w| w.asked).sum();
+    let elsewhere: f64 = remote.map(|w| w.asked).sum();
     row.work.asked(now, pool) + elsewhere
 }
--- a/crates/firdock-policy/src/system/handover.rs
+++ b/crates/firdock-policy/src/system/handover.rs
@@ -1,4 +1,4 @@
-//! Hand-over of requests to peers, and what becomes of them there.
+//! Hand-over of requests to peers, and the outcome there.
 
 use firdock_core::{Outcome, Reason, RequestId};
 
@@ -10,35 +10,48 @@
 use crate::table::peer::PeerRow;
 use crate::time::Time;
 
-/// Time for which a peer's word that an endpoint is leaving counts.
-pub const LEAVING_WORD: std::time::Duration = std::time::Duration::from_secs(10);
-/// Silence after which a peer's hand-overs end: far longer than heartbeats are apart.
-const PEER_SILENCE: std::time::Duration = std::time::Duration::from_secs(10);
-/// Silence after which a peer's row is dropped.
-const SILENT_PEER: std::time::Duration = std::time::Duration::from_mins(1);
-
-/// Takes a peer's heartbeat.
-pub fn apply_heartbeat(t: &mut Tables, now: Time, mut news: PeerUpdate, out: &mut Vec<Action>) {
-    suspect::merge_reports(t, now, std::mem::take(&mut news.suspects), out);
-    for name in &news.leaving {
+/// Time for which a peer's report that an endpoint is leaving is valid.
+pub const LEAVING_REPORT_TTL: std::time::Duration = std::time::Duration::from_secs(10);
+/// Silence after which hand-overs to a peer end; far longer than the heartbeat interval.
+const PEER_SILENCE_LIMIT: std::time::Duration = std::time::Duration::from_secs(10);
+/// Silence after which a peer's row is removed.
+const SILENT_PEER_TTL: std::time::Duration = std::time::Duration::from_mins(1);
+
+/// Applies a peer's heartbeat.
+pub fn apply_heartbeat(
+    t: &mut Tables,
+    now: Time,
+    mut peer_update: PeerUpdate,
+    out: &mut Vec<Action>,
+) {
+    suspect::merge_reports(t, now, std::mem::take(&mut peer_update.suspects), out);
+    for name in &peer_update.leaving {
         if let Some(at) = t.endpoints.find_start(name) {
-            t.endpoints.get_mut(at).peer_leaving = Some(now + LEAVING_WORD);
+            t.endpoints.get_mut(at).peer_leaving = Some(now + LEAVING_REPORT_TTL);
         }
     }
-    if !t.peers.has_capacity(&news.name) {
+    if !t.peers.has_capacity(&peer_update.name) {
         return;
     }
-    let small = t.is_single_group();
-    if small {
-        limit::apply_peer_use(t, now, &news);
+    let single_group = t.is_single_group();
+    if single_group {
+        limit::apply_peer_use(t, now, &peer_update);
     }
-    let seen = std::mem::take(&mut news.seen);
-    rollout::merge_peer_evidence(t, &news.name, &news.zone, news.incarnation, seen);
-    let at = t.peers.find_or_add(&news.name, || PeerRow::new(&news.name));
-    t.peers.get_mut(at).update(now, news, small);
+    let seen = std::mem::take(&mut peer_update.seen);
+    rollout::merge_peer_evidence(
+        t,
+        &peer_update.name,
+        &peer_update.zone,
+        peer_update.incarnation,
+        seen,
+    );
+    let at = t
+        .peers
+        .find_or_add(&peer_update.name, || PeerRow::new(&peer_update.name));
+    t.peers.get_mut(at).update(now, peer_update, single_group);
 }
 
-/// Takes it that the link to a peer broke: its news no longer counts.
+/// Marks a peer as lost because its link broke: its status no longer counts.
 pub fn mark_peer_lost(t: &mut Tables, name: &str) {
     if let Some(at) = t.peers.find(name) {
         t.peers.get_mut(at).last_seen = Time::ZERO;
@@ -60,7 +73,7 @@
     hand_over(t, now, id, at, HandOverCause::KeyOwner, out);
 }
 
-/// Hands a request to a peer that holds a lower tier; tells whether there is one.
+/// Hands a request over to a peer that holds a lower tier. Returns whether there is one.
 pub fn to_lower_holder(t: &mut Tables, now: Time, id: RequestId, out: &mut Vec<Action>) -> bool {
     let Some(row) = t.requests.get(id) else {
         return false;
@@ -76,8 +89,8 @@
     true
 }
 
-/// Hands a request to any live peer, since this instance is stopping.
-pub fn to_any(t: &mut Tables, now: Time, id: RequestId, out: &mut Vec<Action>) -> bool {
+/// Hands a request over to any live peer because this instance is stopping.
+pub fn to_any_peer(t: &mut Tables, now: Time, id: RequestId, out: &mut Vec<Action>) -> bool {
     let Some(peer) = pick_peer(t, now, id, |_| true) else {
         return false;
     };
@@ -85,7 +98,7 @@
     true
 }
 
-/// Picks the live peer that has fewest of this instance's requests.
+/// Picks the live peer with the fewest requests from this instance.
 fn pick_peer(
     t: &Tables,
     now: Time,
@@ -129,10 +142,10 @@
     });
 }
 
-/// Takes news of a hand-over.
+/// Handles an event of a hand-over.
 pub fn handle_event(t: &mut Tables, now: Time, event: &HandOverEvent, out: &mut Vec<Action>) {
     match event {
-        HandOverEvent::Refused(refusal) => refused(t, now, refusal, out),
+        HandOverEvent::Refused(refusal) => take_back(t, now, refusal, out),
         HandOverEvent::Started(id) => {
             let id = *id;
             if let Some(row) = t.requests.get_mut(id) {
@@ -140,27 +153,29 @@
                 row.first = Some(now);
             }
         }
-        HandOverEvent::Ended(id) => ended(t, now, *id),
+        HandOverEvent::Ended(id) => handle_ended(t, now, *id),
         HandOverEvent::Unknown(id, verdict) => {
-            if handed_to(t, *id).is_some() {
-                lifecycle::answer(t, now, *id, *verdict, out);
+            if receiving_peer(t, *id).is_some() {
+                lifecycle::finish_with_verdict(t, now, *id, *verdict, out);
             }
         }
-        HandOverEvent::Broke(id) => broke(t, now, *id, out),
+        HandOverEvent::Broke(id) => handle_broken(t, now, *id, out),
     }
 }
 
-fn handed_to(t: &Tables, id: RequestId) -> Option<usize> {
+fn receiving_peer(t: &Tables, id: RequestId) -> Option<usize> {
     match t.requests.get(id)?.phase {
         Phase::HandedOver(at) => Some(at),
         _ => None,
     }
 }
 
-/// Takes a request back that the peer did not take.
-fn refused(t: &mut Tables, now: Time, refusal: &HandOverRefusal, out: &mut Vec<Action>) {
+/// Takes back a request that the peer did not accept.
+fn take_back(t: &mut Tables, now: Time, refusal: &HandOverRefusal, out: &mut Vec<Action>) {
     let id = refusal.id;
-    let Some(at) = handed_to(t, id) else { return };
+    let Some(at) = receiving_peer(t, id) else {
+        return;
+    };
     let peer = t.peers.get(at).name.clone();
     lifecycle::set_phase(t, id, Phase::Held, true);
     let Some(row) = t.requests.get_mut(id) else {
@@ -177,7 +192,7 @@
     }
 }
 
-/// Answers a request whose key's owner did not take it: nobody else may run it.
+/// Answers a request that the owner of its key did not accept: no other instance may run it.
 fn owner_refused(
     t: &mut Tables,
     now: Time,
@@ -189,25 +204,25 @@
     let Some(row) = t.requests.get(id) else {
         return;
     };
-    if shed::is_load(verdict.outcome, verdict.reason) {
+    if shed::is_load_refusal(verdict.outcome, verdict.reason) {
         let service = row.service;
         lifecycle::count_shed(t, service);
     }
-    lifecycle::answer(t, now, id, verdict, out);
+    lifecycle::finish_with_verdict(t, now, id, verdict, out);
 }
 
-fn ended(t: &mut Tables, now: Time, id: RequestId) {
-    if handed_to(t, id).is_some() {
-        lifecycle::answered(t, now, id);
+fn handle_ended(t: &mut Tables, now: Time, id: RequestId) {
+    if receiving_peer(t, id).is_some() {
+        lifecycle::complete(t, now, id);
     }
 }
 
-/// Takes a broken link: what was sent may have run, at an endpoint that nobody here knows.
+/// Handles a broken link: the request may have run at an endpoint unknown to this instance.
 ///
-/// The request is not run again even if it may be repeated, for a second dispatch might go to
-/// the endpoint that the peer had chosen.
-fn broke(t: &mut Tables, now: Time, id: RequestId, out: &mut Vec<Action>) {
-    if handed_to(t, id).is_none() {
+/// It is not retried even if it is repeatable, because the second dispatch might go to the same
+/// endpoint that the peer chose.
+fn handle_broken(t: &mut Tables, now: Time, id: RequestId, out: &mut Vec<Action>) {
+    if receiving_peer(t, id).is_none() {
         return;
     }
     let reason = Reason::PeerLost;
@@ -216,29 +231,39 @@
         reason,
         retry_after: None,
     };
-    lifecycle::answer(t, now, id, verdict, out);
+    lifecycle::finish_with_verdict(t, now, id, verdict, out);
 }
 
-/// Ends hand-overs to peers that fell silent: a cut link may not show for many minutes.
-pub fn end_silent(t: &mut Tables, now: Time, out: &mut Vec<Action>) {
-    let silent = |r: &&RequestRow| match r.phase {
-        Phase::HandedOver(at) => t.peers.get(at).last_seen.max(r.dispatched) + PEER_SILENCE < now,
+/// Ends hand-overs to peers that have been silent too long: a cut link may stay undetected for many
+/// minutes.
+pub fn end_silent_hand_overs(t: &mut Tables, now: Time, out: &mut Vec<Action>) {
+    let is_silent = |r: &&RequestRow| match r.phase {
+        Phase::HandedOver(at) => {
+            t.peers.get(at).last_seen.max(r.dispatched) + PEER_SILENCE_LIMIT < now
+        }
         _ => false,
     };
-    let ids: Vec<RequestId> = t.requests.iter().filter(silent).map(|r| r.new.id).collect();
+    let ids: Vec<RequestId> = t
+        .requests
+        .iter()
+        .filter(is_silent)
+        .map(|r| r.new.id)
+        .collect();
     for id in ids {
-        let Some(at) = handed_to(t, id) else { continue };
+        let Some(at) = receiving_peer(t, id) else {
+            continue;
+        };
         let peer = t.peers.get(at).name.clone();
         out.push(Action::CancelHandOver { id, peer });
-        broke(t, now, id, out);
+        handle_broken(t, now, id, out);
     }
 }
 
-/// Forgets peers that have been silent for long and have none of this instance's requests.
-pub fn forget_silent(t: &mut Tables, now: Time) {
+/// Removes peers that have been silent for long and hold none of this instance's requests.
+pub fn remove_silent_peers(t: &mut Tables, now: Time) {
     let stale = t.peer_stale_after();
     t.peers.remove_if(|p| {
-        let keep = if p.draining { stale } else { SILENT_PEER };
+        let keep = if p.draining { stale } else { SILENT_PEER_TTL };
         p.handed_over == 0 && p.last_seen + keep < now
     });
 }
--- a/crates/firdock-policy/src/system/notice.rs
+++ b/crates/firdock-policy/src/system/notice.rs
@@ -1,52 +1,53 @@
-//! Notices of endpoints: kept with the start that gave them, counted, and in force up to the write.
+//! Notices from endpoints: kept per start, counted, and effective until a request is written.
 
 use crate::action::Action;
 use crate::notice::{Notice, NoticeReport};
 use crate::request::Phase;
-use crate::system::handover::LEAVING_WORD;
+use crate::system::handover::LEAVING_REPORT_TTL;
 use crate::table::Tables;
 
-/// Takes what an endpoint said of itself; the word of a start that is over is passed over.
+/// Records a notice that an endpoint sent about itself. Notices from starts that have ended are
+/// ignored.
 ///
-/// What it said to another instance counts as that one's word.
-pub fn record(t: &mut Tables, told: &NoticeReport, out: &mut Vec<Action>) {
-    let Some(at) = t.endpoints.find_start(&told.endpoint) else {
+/// A notice sent to another instance is recorded under that instance's name.
+pub fn record(t: &mut Tables, report: &NoticeReport, out: &mut Vec<Action>) {
+    let Some(at) = t.endpoints.find_start(&report.endpoint) else {
         return;
     };
-    if let Some(time) = told.notice.backoff {
-        t.backoffs_until = t.backoffs_until.max(told.read + time);
+    if let Some(time) = report.notice.backoff {
+        t.backoffs_until = t.backoffs_until.max(report.read + time);
     }
     let e = t.endpoints.get_mut(at);
-    if !told.member.is_empty() {
-        if told.notice.leaving {
-            e.peer_leaving = Some(told.read + LEAVING_WORD);
+    if !report.member.is_empty() {
+        if report.notice.leaving {
+            e.peer_leaving = Some(report.read + LEAVING_REPORT_TTL);
         }
         let notice = Notice {
             leaving: false,
-            ..told.notice
+            ..report.notice
         };
         e.notices.merge(&NoticeReport {
             notice,
-            ..told.clone()
+            ..report.clone()
         });
         return;
     }
-    let new = e.notices.merge(told);
+    let new = e.notices.merge(report);
     let counts = t.stats.notices.entry(e.declared.pool.clone()).or_default();
     counts.leaving += u64::from(new.leaving);
-    counts.backoffs += u64::from(told.notice.backoff.is_some());
+    counts.backoffs += u64::from(report.notice.backoff.is_some());
     if !new.is_empty() {
         withhold(t, at, out);
     }
 }
 
-/// Gives back what is on its way to an endpoint and not written yet.
+/// Withholds dispatches to an endpoint that have not been written yet.
 fn withhold(t: &Tables, at: usize, out: &mut Vec<Action>) {
-    let on_its_way = t
+    let in_flight = t
         .requests
         .iter()
         .filter(|r| r.phase == Phase::Dispatching(at));
-    out.extend(on_its_way.map(|r| Action::Withhold {
+    out.extend(in_flight.map(|r| Action::Withhold {
         id: r.new.id,
         dispatch: r.dispatch,
     }));
--- a/crates/firdock-policy/src/system/place.rs
+++ b/crates/firdock-policy/src/system/place.rs
@@ -1,14 +1,14 @@
-//! Placement: held requests go to endpoints that have room, higher tiers first.
+//! Placement: dispatches held requests to endpoints with free capacity, higher tiers first.
 
 mod choice;
+mod fair_order;
 mod lane;
-mod shared;
 
 use firdock_core::resource::Tier;
 use firdock_core::{Reason, RequestId, TierRank};
 
 use self::choice::{Choice, Placement, choose, estimate};
-use self::lane::{is_held_up, try_lane};
+use self::lane::{is_backing_off, try_lane};
 use super::suspect::{self, Gate};
 use super::{coordinate, fair_share, key, lifecycle, rollout};
 use crate::action::{Action, Dispatch};
@@ -17,8 +17,8 @@
 use crate::table::endpoint::{EndpointRow, Health, UnavailableReason};
 use crate::time::Time;
 
-/// Lanes of a queue that are looked at before the queue counts as blocked.
-const MAX_LOOKS: usize = 8;
+/// Number of lane heads of a queue that are tried before the queue counts as blocked.
+const MAX_LANE_HEADS: usize = 8;
 
 /// Dispatches held requests until none can be placed.
 pub fn run(t: &mut Tables, now: Time, out: &mut Vec<Action>) {
@@ -30,23 +30,23 @@
             continue;
         }
         if t.settings.account_shares.is_on() {
-            shared::run(t, now, rank, out);
+            fair_order::run(t, now, rank, out);
         } else {
-            run_tier(t, now, rank, out);
+            place_tier(t, now, rank, out);
         }
     }
 }
 
-fn run_tier(t: &mut Tables, now: Time, rank: TierRank, out: &mut Vec<Action>) {
-    let waiting =
+fn place_tier(t: &mut Tables, now: Time, rank: TierRank, out: &mut Vec<Action>) {
+    let with_queue =
         |(i, s): (usize, &crate::table::service::ServiceRow)| (!s.queue.is_empty()).then_some(i);
-    let services: Vec<usize> = t.services.iter().filter_map(waiting).collect();
+    let services: Vec<usize> = t.services.iter().filter_map(with_queue).collect();
     for service in services {
         while place_next(t, now, service, rank, out) {}
     }
 }
 
-/// Places the next request of a service and rank; tells whether one left the queue.
+/// Places the next request of a service and rank. Returns whether a request left the queue.
 fn place_next(
     t: &mut Tables,
     now: Time,
@@ -62,70 +62,73 @@
         .heads()
         .map(|(_, id)| id)
         .filter(ranked)
-        .take(MAX_LOOKS)
+        .take(MAX_LANE_HEADS)
         .collect();
     for id in heads {
         match try_lane(t, now, id, out) {
-            Tried::Left => return true,
-            Tried::Waits | Tried::HeldUp | Tried::Busy => {}
+            PlaceResult::Dequeued => return true,
+            PlaceResult::Waiting | PlaceResult::BackingOff | PlaceResult::DuplicateRunning => {}
             // Whatever blocks this request blocks the rest of the queue as well.
-            Tried::Blocked => return false,
+            PlaceResult::Blocked => return false,
         }
     }
     false
 }
 
-/// What came of a try to place a held request.
+/// Result of an attempt to place a held request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Tried {
-    /// It left the queue.
-    Left,
-    /// It stays, and others of its queue may still go.
-    Waits,
-    /// It stays, since endpoints want nothing of the instance that asks; those of others may go.
-    HeldUp,
-    /// It stays, since another try of it runs; all others may go.
-    Busy,
-    /// It stays, and so does the rest of its queue.
+enum PlaceResult {
+    /// The request left the queue.
+    Dequeued,
+    /// The request stays; others of its queue may still be placed.
+    Waiting,
+    /// The request stays because endpoints asked its instance to back off; requests of other
+    /// instances may still be placed.
+    BackingOff,
+    /// The request stays because another request with the same content is running; all others may
+    /// still be placed.
+    DuplicateRunning,
+    /// The request stays, and so does the rest of its queue.
     Blocked,
 }
 
-fn try_place(t: &mut Tables, now: Time, id: RequestId, out: &mut Vec<Action>) -> Tried {
+fn try_place(t: &mut Tables, now: Time, id: RequestId, out: &mut Vec<Action>) -> PlaceResult {
     let Some(row) = t.requests.get(id) else {
-        return Tried::Waits;
+        return PlaceResult::Waiting;
     };
-    let coordinated = coordinate::waits(t, row);
+    let coordinated = coordinate::awaits_placement(t, row);
     let gate = suspect::gate(t, row);
-    // A coordinator's member ends what is in quarantine, and gives its places up.
-    if gate == Gate::Busy || (gate == Gate::Quarantined && t.settings.coordinates) {
-        return Tried::Busy;
+    // On a coordinator, the member that owns a quarantined request ends it and releases its slot.
+    if gate == Gate::DuplicateRunning || (gate == Gate::Quarantined && t.settings.coordinates) {
+        return PlaceResult::DuplicateRunning;
     }
-    if !may_send(t, now, id, out) {
-        return Tried::Left;
+    if !ensure_sendable(t, now, id, out) {
+        return PlaceResult::Dequeued;
     }
     let Some(row) = t.requests.get(id).filter(|_| !coordinated) else {
-        return Tried::Waits;
+        return PlaceResult::Waiting;
     };
     match choose(t, now, row) {
         Placement::On(choice) => {
             dispatch(t, now, id, choice, out);
-            return Tried::Left;
+            return PlaceResult::Dequeued;
         }
-        Placement::Wait => return Tried::Waits,
-        Placement::Blocked if is_held_up(t, now, row) => return Tried::HeldUp,
-        Placement::Blocked if row.tried.is_empty() => return Tried::Blocked,
+        Placement::Wait => return PlaceResult::Waiting,
+        Placement::Blocked if is_backing_off(t, now, row) => return PlaceResult::BackingOff,
+        Placement::Blocked if row.tried.is_empty() => return PlaceResult::Blocked,
         Placement::Blocked => {}
     }
-    if exhausted(t, row) {
+    if all_eligible_tried(t, row) {
         lifecycle::give_up(t, now, id, Reason::NoEndpoint, out);
-        return Tried::Left;
+        return PlaceResult::Dequeued;
     }
-    Tried::Waits
+    PlaceResult::Waiting
 }
 
-/// Notes until when a request may be sent, by its key and by the configuration in force; ends it where
-/// that time has passed, or where it is in quarantine.
-pub fn may_send(t: &mut Tables, now: Time, id: RequestId, out: &mut Vec<Action>) -> bool {
+/// Sets the time until which a request may be sent, as limited by its key and by the configuration
+/// in force. Ends the request and returns `false` if that time has passed or the request is
+/// quarantined.
+pub fn ensure_sendable(t: &mut Tables, now: Time, id: RequestId, out: &mut Vec<Action>) -> bool {
     let Some(row) = t.requests.get(id) else {
         return false;
     };
@@ -134,9 +137,9 @@
         return false;
     }
     let confirm_by = key::confirm_by(t, row);
-    let fresh_by = fresh_by(t, row);
+    let fresh_by = config_valid_until(t, row);
     if confirm_by.is_some_and(|until| until <= now) {
-        lifecycle::answer(t, now, id, key::unconfirmed_verdict(), out);
+        lifecycle::finish_with_verdict(t, now, id, key::unconfirmed_verdict(), out);
         return false;
     }
     if fresh_by.is_some_and(|until| until <= now) {
@@ -148,7 +151,8 @@
         .get(id)
         .is_some_and(|r| r.deadline.is_some_and(|by| by <= now));
     if overdue {
-        // Its caller is gone: an instance that stood still for a while takes up what came meanwhile.
+        // The caller is gone: an instance that was paused handles events that queued up in the
+        // meantime.
         lifecycle::give_up(t, now, id, Reason::TimedOut, out);
         return false;
     }
@@ -160,7 +164,7 @@
 
 /// Sends a request to an endpoint that was chosen elsewhere.
 ///
-/// What is expected there is reckoned here where that was not told with it.
+/// Uses the local estimate of the time to the first token if the grant carries none.
 pub fn send_to(
     t: &mut Tables,
     now: Time,
@@ -178,34 +182,37 @@
     dispatch(t, now, id, Choice { endpoint, estimate }, out);
 }
 
-/// Gives until when a request may be sent by the configuration in force.
+/// Returns the time until which the configuration in force permits sending a request.
 ///
-/// Only a key can be taken away from a caller, so that public services go on.
-fn fresh_by(t: &Tables, row: &RequestRow) -> Option<Time> {
+/// Only a key can be revoked from a caller, so public services are not limited.
+fn config_valid_until(t: &Tables, row: &RequestRow) -> Option<Time> {
     let public = t.services.get(row.service).declared.public;
     t.config_valid_until().filter(|_| !public)
 }
 
-/// Tells whether every endpoint that takes the request has had it.
-fn exhausted(t: &Tables, row: &RequestRow) -> bool {
-    takers(t, row).all(|e| row.tried.contains(&e.start_id))
+/// Returns whether the request was already sent to every eligible endpoint.
+fn all_eligible_tried(t: &Tables, row: &RequestRow) -> bool {
+    eligible_endpoints(t, row).all(|e| row.tried.contains(&e.start_id))
 }
 
-/// Goes over the endpoints of a request's service that belong to the pool that it goes to.
-pub fn takers<'a>(t: &'a Tables, row: &'a RequestRow) -> impl Iterator<Item = &'a EndpointRow> {
+/// Iterates over the endpoints of a request's service that belong to the request's pool.
+pub fn eligible_endpoints<'a>(
+    t: &'a Tables,
+    row: &'a RequestRow,
+) -> impl Iterator<Item = &'a EndpointRow> {
     let endpoints = t.services.get(row.service).endpoints.iter();
     endpoints
         .map(|e| t.endpoints.get(*e))
         .filter(|e| in_pool(row, e))
 }
 
-/// Gives one of the engines that take a request; `None` where it goes to plain endpoints, since all
-/// endpoints of a pool are of one kind.
+/// Returns one of the engines that are eligible for a request, or `None` if the request goes to
+/// plain endpoints: all endpoints of a pool are of the same kind.
 pub fn engine_for<'a>(t: &'a Tables, row: &'a RequestRow) -> Option<&'a EndpointRow> {
-    takers(t, row).next().filter(|e| e.is_engine())
+    eligible_endpoints(t, row).next().filter(|e| e.is_engine())
 }
 
-/// Tells whether an endpoint belongs to the pool that the request goes to.
+/// Returns whether an endpoint belongs to the pool that the request goes to.
 pub fn in_pool(row: &RequestRow, e: &EndpointRow) -> bool {
     row.pool
         .as_ref()
@@ -216,10 +223,10 @@
 ///
 /// # Panics
 ///
-/// Panics if the endpoint had the request before or may not get it, or if a request that may not be
-/// repeated may have run already.
+/// Panics if the request was sent to this endpoint before, if the endpoint may not receive it, or
+/// if a request that is not repeatable may already have run.
 fn dispatch(t: &mut Tables, now: Time, id: RequestId, choice: Choice, out: &mut Vec<Action>) {
-    charge(t, id, choice);
+    charge_lane(t, id, choice);
     fair_share::charge(t, now, id);
     let most = t.max_retry_credit();
     lifecycle::set_phase(t, id, Phase::Dispatching(choice.endpoint), false);
@@ -236,7 +243,7 @@
     let row = t.requests.get(id);
     assert!(
         row.is_none_or(|row| suspect::gate(t, row) == Gate::Open),
-        "request {id} is suspected and was sent"
+        "request {id} was sent although its content is quarantined or already running"
     );
     let e = t.endpoints.get_mut(choice.endpoint);
     if matches!(e.health, Health::Ejected(_)) {
@@ -254,11 +261,11 @@
     let repeatable = t.services.get(row.service).declared.repeatable;
     assert!(
         !row.tried.contains(&start),
-        "request {id} went to endpoint {name} twice"
+        "request {id} was sent to endpoint {name} twice"
     );
     assert!(
         repeatable || !row.ran_before,
-        "request {id} may not be repeated"
+        "request {id} is not repeatable and was sent again"
     );
     row.tried.push(start);
     row.runs += 1;
@@ -284,11 +291,11 @@
         confirm_by: row.confirm_by,
         deadline: row.deadline,
     }));
-    rollout::sent(t, id, choice.endpoint);
+    rollout::record_sent(t, id, choice.endpoint);
 }
 
-/// Charges the account's lane for the work, by its share.
-fn charge(t: &mut Tables, id: RequestId, choice: Choice) {
+/// Charges the work to the account's lane, scaled by the account's share.
+fn charge_lane(t: &mut Tables, id: RequestId, choice: Choice) {
     let Some(row) = t.requests.get(id) else {
         return;
     };
--- a/crates/firdock-policy/src/system/place/shared.rs
+++ b/crates/firdock-policy/src/system/place/fair_order.rs
@@ -1,17 +1,18 @@
-//! Placement where accounts have shares: over all services of a rank in one order.
+//! Placement with account shares: one order over all services of a rank.
 
 use std::collections::HashSet;
 
 use firdock_core::{RequestId, TierRank};
 
-use super::Tried;
+use super::PlaceResult;
 use super::lane::try_lane;
 use crate::action::Action;
 use crate::system::fair_share;
 use crate::table::Tables;
 use crate::time::Time;
 
-/// Places the requests of a rank over all services, the account first that had least for its weight.
+/// Places the requests of a rank over all services, starting with the account that had the least
+/// work for its weight.
 pub fn run(t: &mut Tables, now: Time, rank: TierRank, out: &mut Vec<Action>) {
     let mut blocked: HashSet<usize> = HashSet::new();
     while place_next(t, now, rank, &mut blocked, out) {}
@@ -36,9 +37,9 @@
             continue;
         }
         match try_lane(t, now, id, out) {
-            Tried::Left => return true,
-            Tried::Waits | Tried::HeldUp | Tried::Busy => {}
-            Tried::Blocked => {
+            PlaceResult::Dequeued => return true,
+            PlaceResult::Waiting | PlaceResult::BackingOff | PlaceResult::DuplicateRunning => {}
+            PlaceResult::Blocked => {
                 blocked.insert(service);
             }
         }
--- a/crates/firdock-policy/src/system/restart.rs
+++ b/crates/firdock-policy/src/system/restart.rs
@@ -1,7 +1,8 @@
-//! Endpoints that start again under their names (`docs/design/restarts.md`).
+//! Endpoints that restart under the same name (`docs/design/restarts.md`).
 //!
-//! A start has a row of its own. The row of the earlier one keeps the requests that were sent there until
-//! they end, so that late news of them touch nothing of the later one, which knows nothing of before.
+//! Every start has its own row. The row of an earlier start keeps the requests that were sent there
+//! until they end, so that late updates on them do not affect the later start, which knows nothing
+//! of them.
 
 use firdock_core::resource::Endpoint;
 use firdock_core::{RequestId, StartId};
@@ -12,10 +13,10 @@
 use crate::table::Tables;
 use crate::time::Time;
 
-/// Makes way for a declared endpoint, if an earlier start of it has its name.
+/// Detaches the row of an earlier start with the name of a declared endpoint.
 ///
-/// What was sent to the earlier start before this one began ended with it. What was sent later reached
-/// the new one, though this instance did not know of it yet, and ends there.
+/// Requests sent to the earlier start before this one began were lost with it. Those sent later
+/// reached the new start, of which this instance did not know yet, and end there.
 pub fn detach_previous_start(
     t: &mut Tables,
     now: Time,
@@ -32,34 +33,34 @@
     t.endpoints.get_mut(at).mark_replaced();
     t.stats.restarts += 1;
     let start = t.endpoints.get(at).start_id.clone();
-    suspect::endpoint_ended(t, now, &start, out);
-    let began = began(t, declared);
-    for (id, sent, dispatch) in sent_to(t, at) {
+    suspect::record_exit(t, now, &start, out);
+    let began = start_time(t, declared);
+    for (id, sent, dispatch) in dispatches_at(t, at) {
         if began.is_none_or(|began| sent < began) {
             t.stats.lost_by_restart += 1;
             out.push(Action::GiveUpDispatch { id, dispatch });
         } else {
-            note_sent(t, id, declared.start_id());
+            record_tried_start(t, id, declared.start_id());
         }
     }
 }
 
-/// Notes that a request was sent to a start, which is not to get it twice.
-fn note_sent(t: &mut Tables, id: RequestId, start: StartId) {
+/// Records that a request was sent to a start, so that it is not sent there again.
+fn record_tried_start(t: &mut Tables, id: RequestId, start: StartId) {
     let row = t.requests.get_mut(id);
     if let Some(row) = row.filter(|r| !r.tried.contains(&start)) {
         row.tried.push(start);
     }
 }
 
-/// Gives when a start of an endpoint began, by the clock of this process.
-fn began(t: &Tables, declared: &Endpoint) -> Option<Time> {
-    let zero = t.settings.unix_zero?;
-    declared.started.map(|at| at.saturating_sub(zero))
+/// Returns when a start of an endpoint began, by this process's clock.
+fn start_time(t: &Tables, declared: &Endpoint) -> Option<Time> {
+    let unix_epoch = t.settings.unix_zero?;
+    declared.started.map(|at| at.saturating_sub(unix_epoch))
 }
 
-/// Gives the requests that are at an endpoint, when they were sent, and by which dispatch.
-fn sent_to(t: &Tables, at: usize) -> Vec<(RequestId, Time, u32)> {
+/// Returns the requests at an endpoint, with the time and number of their dispatch.
+fn dispatches_at(t: &Tables, at: usize) -> Vec<(RequestId, Time, u32)> {
     let here =
         |r: &&RequestRow| matches!(r.phase, Phase::Dispatching(e) | Phase::Running(e) if e == at);
     let rows = t.requests.iter().filter(here);
