--- a/crates/firdock-policy/src/cost.rs
+++ b/crates/firdock-policy/src/cost.rs
@@ -1,6 +1,6 @@
-//! The cost model: how long a request would take on an endpoint.
+//! Cost model: estimates how long a request would take on an endpoint.
 //!
-//! Cost = (waiting + uncached prompt) / prefill rate + expected output x token time, with rates
+//! Cost = (waiting + uncached prompt) / prefill rate + expected output x time per token, with rates
 //! learned from the endpoint's own answers (see `docs/design/routing.md`).
 
 mod reported_pace;
@@ -17,66 +17,69 @@
 use crate::table::service::ServiceRow;
 use crate::time::Time;
 
-/// Share of a crowded batch that slows each token, at a full batch.
+/// Relative slowdown of each token when the engine's batch is full.
 const ENGINE_CONTENTION: f64 = 0.5;
-/// Weight of prefill time against the caller's time in the choice of an endpoint.
+/// Weight of prefill time relative to the caller's time when an endpoint is chosen.
 ///
-/// Computing a prefix again that another engine has cached costs all later requests, so it weighs
-/// more than the time that this caller would save (figures in `docs/design/routing.md`).
+/// Recomputing a prefix that another engine has cached delays all later requests, so it weighs more
+/// than the time that this caller would save (figures in `docs/design/routing.md`).
 const PREFILL_WEIGHT: f64 = 8.0;
-/// What a place on an engine of middle speed is worth to the long prompts that come later, in
-/// seconds; one on a faster engine is worth more. Short prompts begin in time on any engine, so
-/// that they leave the fast ones to those that do not.
-const SPARE_SECS: f64 = 0.03;
-/// Bounds of the speed of an engine against the declared one, as learned from its tokens.
-const SPEEDS: (f64, f64) = (0.25, 4.0);
-/// Part of the target beyond which the expected time to the first token is a risk.
-const SAFE_PART: f64 = 0.7;
+/// Value, in seconds, of a free slot on an engine of average speed to long prompts that arrive
+/// later; a slot on a faster engine is worth more. Short prompts meet the target on any engine, so
+/// they leave the fast engines to prompts that do not.
+const FREE_SLOT_SECS: f64 = 0.03;
+/// Bounds of an engine's speed relative to the declared one, as learned from its tokens.
+const SPEED_BOUNDS: (f64, f64) = (0.25, 4.0);
+/// Fraction of the latency target above which the expected time to the first token is a risk.
+const SAFE_FRACTION: f64 = 0.7;
 /// Weight of that risk.
 const RISK_WEIGHT: f64 = 4.0;
-/// Weight of the time to the end of an answer: a long answer holds its place on a slow engine for
-/// many times as long as on a fast one, where whatever fails meanwhile breaks it off. With the line for
-/// the first token, 0.1 is worth 0.013 of a day against none (ten pairs); 0.2 measured the same.
-const STAY_WEIGHT: f64 = 0.1;
-/// How much longer than estimated an answer may take: answers of one service differ a hundredfold in
-/// length.
-const END_MARGIN: f64 = 1.5;
-/// Weight of the time by which an answer would miss its caller's time limit.
+/// Weight of the total time of an answer: a long answer occupies a slot on a slow engine many times
+/// as long as on a fast one, and any failure in that time breaks it off. With the linear fit for
+/// the first token, 0.1 gained 0.013 of a day over no weight (ten pairs of runs);
+/// 0.2 measured the same.
+const TOTAL_WEIGHT: f64 = 0.1;
+/// Factor by which an answer may take longer than estimated: answers of one service differ a
+/// hundredfold in length.
+const OVERRUN_FACTOR: f64 = 1.5;
+/// Weight of the time by which an answer would exceed its caller's deadline.
 const OVERRUN_WEIGHT: f64 = 1.0;
-/// What another availability zone costs in the choice of an engine, in seconds: bytes between zones
-/// are paid for, so that a place nearby is worth a small delay.
-const FAR_ENGINE_SECS: f64 = 0.05;
-/// The same in the choice of a plain server.
-const FAR_PLAIN_SECS: f64 = 0.005;
-/// Time that a plain call takes where nothing was learned yet, in seconds.
-const PLAIN_SECS: f64 = 0.01;
+/// Penalty for an engine in another availability zone, in seconds: traffic between availability
+/// zones is paid for, so an engine nearby is worth a small delay.
+const ZONE_PENALTY_ENGINE_SECS: f64 = 0.05;
+/// The same penalty for a plain server.
+const ZONE_PENALTY_PLAIN_SECS: f64 = 0.005;
+/// Assumed duration of a plain call before any was observed, in seconds.
+const DEFAULT_PLAIN_SECS: f64 = 0.01;
 
 /// Estimate for one request on one endpoint.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Estimate {
     /// Prompt tokens that the endpoint would have to compute.
     pub uncached: u32,
-    /// Prompt tokens that it would compute before the first token, those that wait there included.
+    /// Prompt tokens that it would compute before the first token, including those already waiting.
     pub work: f64,
     /// Seconds to the first token or byte.
     pub first_secs: f64,
     /// Seconds to the end of the answer.
     pub total_secs: f64,
-    /// What the choice goes by: the time to the end, with the prefill weighed in.
+    /// Score that endpoints are compared by, lowest first: the total time, weighted with the
+    /// prefill.
     pub score: f64,
-    /// The part of it by which the answer would be late or cut there.
+    /// The part of the score due to the answer being late or cut off there.
     pub lateness_cost: f64,
 }
 
 impl Estimate {
-    /// Gives the time to the first token or byte.
+    /// Returns the time to the first token or byte.
     #[must_use]
     pub fn first(&self) -> Duration {
         Duration::from_secs_f64(self.first_secs)
     }
 }
 
-/// Estimates a request on an endpoint; `told` is its pool, where its servers tell their pace.
+/// Estimates a request on an endpoint; `pool` is its pool's latency model, if its servers report
+/// their pace.
 #[must_use]
 pub fn estimate(
     now: Time,
@@ -84,15 +87,15 @@
     row: &RequestRow,
     service: &ServiceRow,
     endpoint: &EndpointRow,
-    told: Option<&PoolLatency>,
+    pool: Option<&PoolLatency>,
 ) -> Estimate {
-    let told = told.filter(|_| mechanisms.learning);
+    let pool = pool.filter(|_| mechanisms.learning);
     if !endpoint.is_engine() {
-        let by_pace = told.and_then(|pool| reported_pace::plain(now, endpoint, pool));
+        let by_pace = pool.and_then(|pool| reported_pace::plain(now, endpoint, pool));
         return estimate_plain(mechanisms, endpoint, by_pace);
     }
     let uncached = uncached(now, mechanisms, row, endpoint);
-    if let Some(pool) = told.filter(|_| mechanisms.first_token) {
+    if let Some(pool) = pool.filter(|_| mechanisms.first_token) {
         return reported_pace::engine(now, row, service, endpoint, pool, uncached);
     }
     let work = endpoint.waiting_tokens(now) + f64::from(uncached);
@@ -112,9 +115,9 @@
     };
     let score = if mechanisms.first_token {
         first_secs
-            + RISK_WEIGHT * late_risk(service, first_secs)
-            + SPARE_SECS * speed(endpoint)
-            + STAY_WEIGHT * total_secs
+            + RISK_WEIGHT * lateness_risk(service, first_secs)
+            + FREE_SLOT_SECS * relative_speed(endpoint)
+            + TOTAL_WEIGHT * total_secs
             + OVERRUN_WEIGHT * overrun(now, row, total_secs)
     } else {
         total_secs + weight * f64::from(uncached) / declared.prefill_rate
@@ -129,18 +132,19 @@
     }
 }
 
-/// Gives the seconds that an endpoint as declared works for a request with `output` tokens of answer.
+/// Returns the seconds that an endpoint, at its declared rates, works on a request with `output`
+/// tokens of answer.
 #[must_use]
 pub fn declared_secs(row: &RequestRow, endpoint: &EndpointRow, output: f64) -> f64 {
     if !endpoint.is_engine() {
-        return PLAIN_SECS;
+        return DEFAULT_PLAIN_SECS;
     }
     let declared = &endpoint.declared;
     let prompt = f64::from(row.new.prompt_tokens) + f64::from(row.delivered);
     prompt / declared.prefill_rate.max(1.0) + output * declared.token_secs()
 }
 
-/// Estimates a plain call, of which all that is known is how long the endpoint took before.
+/// Estimates a plain call, for which only earlier response times are known.
 fn estimate_plain(
     mechanisms: Mechanisms,
     endpoint: &EndpointRow,
@@ -151,7 +155,7 @@
     } else {
         1.0
     };
-    let secs = by_pace.unwrap_or(PLAIN_SECS * slowdown * contention(endpoint));
+    let secs = by_pace.unwrap_or(DEFAULT_PLAIN_SECS * slowdown * contention(endpoint));
     Estimate {
         uncached: 0,
         work: 0.0,
@@ -162,37 +166,37 @@
     }
 }
 
-/// Gives the part of the time to the first token that puts the target at risk, in seconds.
-fn late_risk(service: &ServiceRow, first_secs: f64) -> f64 {
-    (first_secs - SAFE_PART * service.tier.target().as_secs_f64()).max(0.0)
+/// Returns by how many seconds the time to the first token puts the target at risk.
+fn lateness_risk(service: &ServiceRow, first_secs: f64) -> f64 {
+    (first_secs - SAFE_FRACTION * service.tier.target().as_secs_f64()).max(0.0)
 }
 
-/// Gives the seconds by which an answer that takes longer than estimated would miss its caller's limit.
+/// Returns by how many seconds an answer slower than estimated would exceed its caller's deadline.
 fn overrun(now: Time, row: &RequestRow, total_secs: f64) -> f64 {
     let left = row.deadline.map(|by| by.saturating_sub(now).as_secs_f64());
-    left.map_or(0.0, |left| (END_MARGIN * total_secs - left).max(0.0))
+    left.map_or(0.0, |left| (OVERRUN_FACTOR * total_secs - left).max(0.0))
 }
 
-/// Gives how fast an engine makes tokens against what was declared.
-fn speed(endpoint: &EndpointRow) -> f64 {
+/// Returns an engine's token rate relative to the declared one.
+fn relative_speed(endpoint: &EndpointRow) -> f64 {
     let declared = endpoint.declared.token_secs();
-    (declared / endpoint.token_secs.max(1e-6)).clamp(SPEEDS.0, SPEEDS.1)
+    (declared / endpoint.token_secs.max(1e-6)).clamp(SPEED_BOUNDS.0, SPEED_BOUNDS.1)
 }
 
-/// Gives what an endpoint in another availability zone costs in the choice, in seconds.
+/// Returns the penalty for an endpoint in another availability zone, in seconds.
 #[must_use]
 pub fn zone_penalty_secs(mechanisms: Mechanisms, zone: &ZoneId, endpoint: &EndpointRow) -> f64 {
     let near = endpoint.declared.zone == *zone || endpoint.declared.zone.is_empty();
     match (mechanisms.prefer_own_zone && !near, endpoint.is_engine()) {
         (false, _) => 0.0,
-        (true, true) => FAR_ENGINE_SECS,
-        (true, false) => FAR_PLAIN_SECS,
+        (true, true) => ZONE_PENALTY_ENGINE_SECS,
+        (true, false) => ZONE_PENALTY_PLAIN_SECS,
     }
 }
 
-/// Estimates the answer's tokens that are still to come, by the mean of the service.
+/// Estimates the remaining tokens of the answer by the mean of the service.
 ///
-/// Callers' own estimates, right at the median and often off by a half, earned nothing here
+/// Callers' own estimates, correct at the median but often off by half, brought no improvement
 /// (`docs/design/overload.md`).
 #[must_use]
 pub fn expected_output(row: &RequestRow, service: &ServiceRow) -> f64 {
@@ -213,13 +217,13 @@
     f64::from(e.running) / f64::from(e.budget.max(1))
 }
 
-/// Gives by how much what runs at an endpoint slows what comes to it.
+/// Returns the factor by which the requests running at an endpoint slow a new one.
 #[must_use]
 pub fn contention(e: &EndpointRow) -> f64 {
     contention_at(e, e.running)
 }
 
-/// Gives by how much what runs at an endpoint slows one that runs there.
+/// Returns the factor by which the other requests at an endpoint slow one that runs there.
 #[must_use]
 pub fn contention_from_others(e: &EndpointRow) -> f64 {
     contention_at(e, e.running.saturating_sub(1))
--- a/crates/firdock-policy/src/cost/reported_pace.rs
+++ b/crates/firdock-policy/src/cost/reported_pace.rs
@@ -1,7 +1,7 @@
-//! Estimates for servers that tell how long work takes there now.
+//! Estimates for servers that report how long work currently takes.
 
 use super::{
-    Estimate, OVERRUN_WEIGHT, RISK_WEIGHT, contention, expected_output, late_risk, load, overrun,
+    Estimate, OVERRUN_WEIGHT, RISK_WEIGHT, contention, expected_output, lateness_risk, load, overrun,
 };
 use crate::request::RequestRow;
 use crate::table::endpoint::EndpointRow;
@@ -9,23 +9,24 @@
 use crate::table::service::ServiceRow;
 use crate::time::Time;
 
-/// Weight of the time to the first token: callers are served well by any that is within the target.
-const FIRST_WEIGHT: f64 = 0.2;
-/// Weight of the time to the end of an answer: whatever fails meanwhile breaks it off.
-const STAY_WEIGHT: f64 = 0.1;
-/// What the last place on a server of usual pace is worth to the answers that are late on a slow one, in
-/// seconds: answers that are in time anywhere leave it to those.
-const SPARE_SECS: f64 = 0.3;
-/// Bounds of a server's speed in that.
-const SPEEDS: (f64, f64) = (0.25, 2.0);
-/// What an answer that is late by a pause costs, in seconds: as much as one whose first token is late
-/// by a part of a second, since it is worth as little to its caller.
-const GAP_SECS: f64 = 1.0;
-/// Parts of the gap target between which a pause turns from safe to too long: steps differ by the
-/// prompts that are read beside them.
-const GAP_PARTS: (f64, f64) = (0.7, 1.1);
+/// Weight of the time to the first token; it is low, as callers are served well by any time within
+/// the target.
+const FIRST_TOKEN_WEIGHT: f64 = 0.2;
+/// Weight of the total time of an answer: any failure in that time breaks it off.
+const TOTAL_WEIGHT: f64 = 0.1;
+/// Value, in seconds, of the last free slot on a server of usual pace to answers that would be late
+/// on a slow one; answers that are in time anywhere leave the slot to those.
+const FREE_SLOT_SECS: f64 = 0.3;
+/// Bounds of a server's speed in that term.
+const SPEED_BOUNDS: (f64, f64) = (0.25, 2.0);
+/// Cost of an answer with too long a pause, in seconds: the same as of one whose first token is
+/// late by a part of a second, as both are worth equally little to the caller.
+const LONG_GAP_SECS: f64 = 1.0;
+/// Range of the gap target, as fractions, over which a pause goes from acceptable to too long:
+/// decoding steps vary with the prompts that are prefilled in the same batch.
+const GAP_FRACTIONS: (f64, f64) = (0.7, 1.1);
 
-/// Estimates a request on an engine of a pool whose engines tell their pace.
+/// Estimates a request on an engine of a pool whose engines report their pace.
 pub fn engine(
     now: Time,
     row: &RequestRow,
@@ -51,42 +52,47 @@
     let token = pool.token_secs() * contention(e);
     let stream_secs = output * token * pace(first_secs + output * token * usual);
     let total_secs = first_secs + stream_secs;
-    let risk = late_risk(service, first_secs);
+    let risk = lateness_risk(service, first_secs);
     let over = overrun(now, row, total_secs);
     let middle = service.output_log.exp().min(output) * token * usual;
     let chance = pool
         .slow_phases
         .slow_probability_within(e.reported_pace.slow_probability(now, pool), middle);
-    let late = chance * slow_pause(service, e, pool, token);
-    let speed = usual.recip().clamp(SPEEDS.0, SPEEDS.1);
-    let lateness_cost = RISK_WEIGHT * risk + GAP_SECS * late + OVERRUN_WEIGHT * over;
+    let late = chance * long_gap_probability(service, e, pool, token);
+    let speed = usual.recip().clamp(SPEED_BOUNDS.0, SPEED_BOUNDS.1);
+    let lateness_cost = RISK_WEIGHT * risk + LONG_GAP_SECS * late + OVERRUN_WEIGHT * over;
     Estimate {
         uncached,
         work,
         first_secs,
         total_secs,
         score: lateness_cost
-            + FIRST_WEIGHT * first_secs
-            + SPARE_SECS * speed * load(e)
-            + STAY_WEIGHT * total_secs,
+            + FIRST_TOKEN_WEIGHT * first_secs
+            + FREE_SLOT_SECS * speed * load(e)
+            + TOTAL_WEIGHT * total_secs,
         lateness_cost,
     }
 }
 
-/// Gives how surely a slow moment of the engine makes a pause that is longer than the service's target.
+/// Returns how likely a slow phase of the engine causes a pause longer than the service's target.
 ///
-/// An event comes when all of its tokens are there, so that one slow moment in an answer is enough.
-fn slow_pause(service: &ServiceRow, e: &EndpointRow, pool: &PoolLatency, token: f64) -> f64 {
+/// An event is sent when all of its tokens are computed, so one slow phase in an answer is enough.
+fn long_gap_probability(
+    service: &ServiceRow,
+    e: &EndpointRow,
+    pool: &PoolLatency,
+    token: f64,
+) -> f64 {
     let Some(gap) = service.declared.gap() else {
         return 0.0;
     };
     let own = e.reported_pace.baseline().unwrap_or(pool.slowest_pace());
     let event = f64::from(e.declared.event_tokens) * token * own;
     let part = event * pool.slow_phases.slow_factor() / gap.as_secs_f64();
-    ((part - GAP_PARTS.0) / (GAP_PARTS.1 - GAP_PARTS.0)).clamp(0.0, 1.0)
+    ((part - GAP_FRACTIONS.0) / (GAP_FRACTIONS.1 - GAP_FRACTIONS.0)).clamp(0.0, 1.0)
 }
 
-/// Estimates a plain call to a server of a pool whose servers tell their pace.
+/// Estimates a plain call to a server of a pool whose servers report their pace.
 pub fn plain(now: Time, e: &EndpointRow, pool: &PoolLatency) -> Option<f64> {
     let secs = pool.plain_secs();
     let pace = e.reported_pace.mean_over(now, secs, pool)?;
--- a/crates/firdock-policy/src/rollout.rs
+++ b/crates/firdock-policy/src/rollout.rs
@@ -1,8 +1,9 @@
-//! Roll-outs: what is told of them between instances, and the figures that they are decided by.
+//! Roll-outs: the data that instances exchange about them, and the calculations behind each
+//! decision.
 //!
-//! A new version gets a small part of its pool's requests until its time is nearly up, and all of
-//! them only when what is then left of that time is no more than a bad version may get. Evidence
-//! against it stops it before (`docs/design/rollouts.md`).
+//! A new version gets a small fraction of its pool's requests until its time is nearly up. It gets
+//! all of them only once the traffic of the remaining time is no more than a bad version may get.
+//! Evidence against it stops the roll-out earlier (`docs/design/rollouts.md`).
 
 pub mod allowance;
 pub mod evidence;
@@ -15,31 +16,31 @@
 
 pub use self::evidence::{Evidence, Tally};
 
-/// How far a roll-out is; a later stage replaces an earlier one, in words of peers as well.
+/// Stage of a roll-out; a later stage replaces an earlier one, also when a peer reports it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Stage {
-    /// The new version gets a small part, and is watched.
+    /// The new version gets a small fraction of the requests and is observed.
     #[default]
     Watching,
-    /// All new work goes to the new version; the end is about to be recorded.
+    /// All new work goes to the new version; its completion is about to be recorded.
     Moving,
-    /// The new version is bad and gets nothing any more; that is about to be recorded.
+    /// The new version is bad and gets no more requests; the rollback is about to be recorded.
     Halted,
     /// Recorded: the traffic has moved, and the old endpoints stop.
     Completed,
-    /// Recorded: the new version was given up.
+    /// Recorded: the new version was rolled back.
     RolledBack,
 }
 
 impl Stage {
-    /// Tells whether the platform's store has the end of the roll-out.
+    /// Returns whether the end of the roll-out is recorded in the platform's store.
     #[must_use]
     pub fn is_recorded(self) -> bool {
         matches!(self, Self::Completed | Self::RolledBack)
     }
 
-    /// Gives the word for lines of the log.
+    /// Returns the name used in log lines.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -52,46 +53,46 @@
     }
 }
 
-/// What instances tell each other of a roll-out.
+/// Status of a roll-out as instances exchange it.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct RolloutStatus {
     /// Pool.
     pub pool: PoolId,
-    /// Which order of the pool: its position in the platform's log.
+    /// The order within the pool: its position in the platform's log.
     pub order: Offset,
-    /// How far it is.
+    /// Stage of the roll-out.
     pub stage: Stage,
-    /// How long ago the order was first known of.
+    /// Time since the order was first seen.
     pub age: Duration,
-    /// Part of the pool's requests that the new version gets while it is watched; 0 where the teller
-    /// does not know it.
+    /// Fraction of the pool's requests that the new version gets while it is observed; 0 if the
+    /// reporting instance does not know it.
     pub ratio: f64,
 }
 
-/// State of a roll-out that is to be kept in the platform's store.
+/// State of a roll-out to be kept in the platform's store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutRecord {
     /// Pool.
     pub pool: PoolId,
-    /// Which order of the pool.
+    /// The order within the pool.
     pub order: Offset,
     /// Version that the traffic moves to.
     pub version: SoftwareVersion,
-    /// `Watching` while it runs, or how it ended.
+    /// `Watching` while it is in progress, otherwise its final stage.
     pub stage: Stage,
-    /// How long ago the order was first known of.
+    /// Time since the order was first seen.
     pub age: Duration,
-    /// What was found against the version, for operators; empty for nothing.
+    /// Finding against the version, for operators; empty if there is none.
     pub reason: String,
 }
 
-/// What an instance tells of roll-outs in a heartbeat.
+/// Roll-out data that an instance sends in a heartbeat.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct RolloutReport {
-    /// How far they are.
+    /// Status of each roll-out.
     pub statuses: Vec<RolloutStatus>,
-    /// What it saw of those that go on.
+    /// This instance's evidence on the roll-outs in progress.
     pub own: Vec<Evidence>,
-    /// What its group saw.
+    /// The evidence of its group.
     pub group: Vec<Evidence>,
 }
--- a/crates/firdock-policy/src/rollout/allowance.rs
+++ b/crates/firdock-policy/src/rollout/allowance.rs
@@ -1,98 +1,102 @@
 //! How many requests a version may get before it is known to be good.
 //!
-//! A bad version may get a part of all requests that reach its pool until the roll-out's time is up,
-//! and a few more. Whether it is bad may show late, or never before it gets everything: so all of the
-//! traffic moves only when the rest of the time is short enough for the allowance by itself.
+//! Until the time of the roll-out is up, a bad version may get a given fraction of all requests to
+//! its pool, plus a fixed number. A version may turn out bad late, or only once it gets all
+//! traffic. All traffic therefore moves only when what remains of the time fits into the allowance
+//! by itself.
 
 use std::time::Duration;
 
 use firdock_core::settings::Rollouts;
 
-/// Part of the allowance that the watched version uses at most; the rest is for the end. Of 200 drawn bad
-/// versions of each kind, 0.4 found up to 12 in 100 fewer, and half of one more in two kinds of ten
-/// (`docs/design/rollouts.md`).
-const WATCHED_PART: f64 = 0.6;
-/// Part of the ratio that is used: instances reckon with counts that are a few heartbeats old.
-const RATIO_PART: f64 = 0.95;
-/// Part of the slack that is used, likewise.
-const SLACK_PART: f64 = 0.5;
-/// Greatest part of a pool's requests that a watched version gets, however few they are: half of them
-/// tell the most about the difference between two versions.
-const MOST_WATCHED: f64 = 0.5;
-/// Least part of the allowance that the watched version uses, however little time the end has then.
-const LEAST_WATCHED_PART: f64 = 0.1;
-/// Time over which a rate is taken at the beginning, in seconds.
-const FIRST_SECS: f64 = 1.0;
-/// Part of its time for which a version is watched at least, also where so few requests come that the
-/// allowance would let it have all of them.
-const WATCHED_TIME: f64 = 0.75;
-/// Time that the end takes: a look each 50 ms, and a call to the store, which answers in 4 ms and at times
-/// many times later. The watched version leaves as much of the allowance as that needs.
-const END_TIME: Duration = Duration::from_millis(150);
+/// Largest fraction of the allowance for the observed version; the rest is kept for the final move.
+/// Of 200 simulated bad versions of each kind, a fraction of 0.4 detected up to 12 in 100 fewer, and 0.5 in 100 more for two of the ten kinds (`docs/design/rollouts.md`).
+const OBSERVED_FRACTION: f64 = 0.6;
+/// Fraction of the ratio that is used: instances work with counts that are a few heartbeats old.
+const RATIO_FRACTION: f64 = 0.95;
+/// Fraction of the slack that is used, for the same reason.
+const SLACK_FRACTION: f64 = 0.5;
+/// Largest fraction of a pool's requests for an observed version, however few requests there are:
+/// an even split gives the most evidence on the difference between two versions.
+const MAX_OBSERVED: f64 = 0.5;
+/// Smallest fraction of the allowance for the observed version, however little time that leaves for
+/// the final move.
+const MIN_OBSERVED_FRACTION: f64 = 0.1;
+/// Minimum time over which the request rate is computed at the start, in seconds.
+const MIN_RATE_SECS: f64 = 1.0;
+/// Minimum fraction of the roll-out's time for which a version is observed, also if so few requests
+/// arrive that the allowance would cover all of them.
+const OBSERVED_TIME_FRACTION: f64 = 0.75;
+/// Duration of the final move: a check every 50 ms, and a call to the store, which takes 4 ms and
+/// at times many times as long. The observed version leaves that much of the allowance.
+const MOVE_TIME: Duration = Duration::from_millis(150);
 
-/// How far a roll-out has come.
+/// Progress of a roll-out.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Progress {
     /// Longest time that may have passed since the order.
     pub elapsed: Duration,
-    /// How much shorter it may have been: the order was read that long after the read before.
+    /// How much shorter that time may be: the interval between the read that found the order and
+    /// the one before.
     pub uncertainty: Duration,
-    /// Time that the roll-out has.
+    /// Time limit of the roll-out.
     pub time: Duration,
-    /// Requests that were sent to the pool since the order.
+    /// Requests sent to the pool since the order.
     pub sent: u64,
-    /// Those among them that went to the new version.
+    /// Those of them that went to the new version.
     pub exposed: u64,
 }
 
 impl Progress {
-    /// Estimates the requests that are still to come until the time is up.
-    fn to_come(self) -> f64 {
-        let surely = self.elapsed.saturating_sub(self.uncertainty);
-        let rate = self.sent as f64 / surely.as_secs_f64().max(FIRST_SECS);
-        rate * self.time.saturating_sub(surely).as_secs_f64()
+    /// Estimates the requests that will arrive until the time is up.
+    fn expected_requests(self) -> f64 {
+        let min_elapsed = self.elapsed.saturating_sub(self.uncertainty);
+        let rate = self.sent as f64 / min_elapsed.as_secs_f64().max(MIN_RATE_SECS);
+        rate * self.time.saturating_sub(min_elapsed).as_secs_f64()
     }
 
-    /// Gives what the version had beyond a ratio, as a part of the requests that are still to come.
+    /// Returns what the version got beyond a ratio, as a fraction of the requests still to come.
     ///
-    /// The ratio follows the estimate of all requests. What a lower estimate let the version have, as
-    /// while callers only begin to come, would be missing at the end.
+    /// The ratio follows the estimate of all requests. What the version got under a lower estimate, for example while callers were only starting, would be missing from the allowance
+    /// at the end.
     fn surplus(self, ratio: f64) -> f64 {
         let beyond = self.exposed as f64 - ratio * self.sent as f64;
-        beyond.max(0.0) / self.to_come().max(1.0)
+        beyond.max(0.0) / self.expected_requests().max(1.0)
     }
 
     /// Estimates all requests until the time is up.
     fn all(self) -> f64 {
-        self.sent as f64 + self.to_come()
+        self.sent as f64 + self.expected_requests()
     }
 }
 
-fn allowed(all: f64, bounds: Rollouts) -> f64 {
-    RATIO_PART * bounds.exposure_ratio * all + SLACK_PART * bounds.exposure_slack
+fn allowance(all: f64, bounds: Rollouts) -> f64 {
+    RATIO_FRACTION * bounds.exposure_ratio * all + SLACK_FRACTION * bounds.exposure_slack
 }
 
-/// Gives the part of a pool's requests that a watched version gets.
+/// Returns the fraction of a pool's requests that an observed version gets.
 #[must_use]
 pub fn watched_ratio(progress: Progress, bounds: Rollouts) -> f64 {
     let all = progress.all();
     if all < 1.0 {
-        return WATCHED_PART * bounds.exposure_ratio;
+        return OBSERVED_FRACTION * bounds.exposure_ratio;
     }
-    let whole = allowed(all, bounds) / all;
-    let end = (END_TIME + progress.uncertainty).as_secs_f64()
-        / progress.time.as_secs_f64().max(FIRST_SECS);
-    let least = LEAST_WATCHED_PART * whole;
+    let whole = allowance(all, bounds) / all;
+    let end = (MOVE_TIME + progress.uncertainty).as_secs_f64()
+        / progress.time.as_secs_f64().max(MIN_RATE_SECS);
+    let least = MIN_OBSERVED_FRACTION * whole;
     let before_end = (whole - end).max(least);
-    let ratio = (WATCHED_PART * whole).min(before_end).min(MOST_WATCHED);
+    let ratio = (OBSERVED_FRACTION * whole)
+        .min(before_end)
+        .min(MAX_OBSERVED);
     (ratio - progress.surplus(ratio)).max(least)
 }
 
-/// Tells whether all of the traffic may move now: a version that is bad without having shown it would
-/// still get no more than it may.
+/// Returns whether all traffic may move now: a bad version that has not been detected would still
+/// stay within its allowance.
 #[must_use]
 pub fn may_move_all(progress: Progress, bounds: Rollouts) -> bool {
-    let watched = progress.elapsed >= progress.time.mul_f64(WATCHED_TIME);
-    let room = allowed(progress.all(), bounds) - progress.exposed as f64;
-    watched && progress.to_come() <= room.max(0.0)
+    let watched = progress.elapsed >= progress.time.mul_f64(OBSERVED_TIME_FRACTION);
+    let room = allowance(progress.all(), bounds) - progress.exposed as f64;
+    watched && progress.expected_requests() <= room.max(0.0)
 }
--- a/crates/firdock-policy/src/rollout/evidence.rs
+++ b/crates/firdock-policy/src/rollout/evidence.rs
@@ -1,40 +1,41 @@
-//! Evidence for and against a version: how its answers went beside those of the old one.
+//! Evidence for and against a version: the results of its answers compared with those of the old
+//! one.
 //!
-//! Counts are totals since the order, so that a word that is lost or comes twice does no harm, and
-//! add up over instances.
+//! Counts are totals since the order. A lost or repeated report therefore does no harm, and counts
+//! can be added up over instances.
 
 use std::collections::BTreeMap;
 
 use firdock_core::{EndpointId, Offset, PoolId, ServiceId};
 use serde::{Deserialize, Serialize};
 
-/// Bands that the times of answers are told apart by, each twice as wide as the second before it.
+/// Histogram bins for answer times; each is twice as wide as the second before it.
 pub const BINS: usize = 24;
-/// Bands for each doubling of the time.
-const BANDS_A_DOUBLING: f64 = 2.0;
-/// Band of an answer that took just as long as was expected: four doublings are told apart below.
-const MIDDLE_BAND: f64 = 8.0;
+/// Bins per doubling of the time.
+const BINS_PER_DOUBLING: f64 = 2.0;
+/// Bin of an answer that took exactly the expected time; four doublings below it are distinguished.
+const EXPECTED_BIN: f64 = 8.0;
 
-/// How many answers went which way.
+/// Counts of answers by result.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tally {
-    /// Answers by which an endpoint told that it failed.
+    /// Answers in which the endpoint reported a failure.
     pub failed: u32,
     /// Answers that broke off or never came.
     pub lost: u32,
-    /// Whole answers, by the band of the time that they took against what was expected.
+    /// Complete answers, by the bin of the ratio of actual to expected time.
     #[serde(rename = "bands")]
     pub bins: Vec<u32>,
 }
 
 impl Tally {
-    /// Counts a whole answer that took `stretch` times as long as was expected.
+    /// Counts a complete answer that took `stretch` times the expected time.
     pub fn record_answer(&mut self, stretch: f64) {
-        let band = band(stretch);
-        if self.bins.len() <= band {
-            self.bins.resize(band + 1, 0);
+        let bin = bin(stretch);
+        if self.bins.len() <= bin {
+            self.bins.resize(bin + 1, 0);
         }
-        self.bins[band] += 1;
+        self.bins[bin] += 1;
     }
 
     /// Adds another tally.
@@ -49,47 +50,47 @@
         }
     }
 
-    /// Counts the whole answers.
+    /// Returns the number of complete answers.
     #[must_use]
     pub fn whole(&self) -> u32 {
         self.bins.iter().sum()
     }
 
-    /// Counts the whole answers in a band and beyond.
+    /// Returns the number of complete answers in a bin and all higher ones.
     #[must_use]
-    pub fn count_from_bin(&self, band: usize) -> u32 {
-        self.bins.iter().skip(band).sum()
+    pub fn count_from_bin(&self, bin: usize) -> u32 {
+        self.bins.iter().skip(bin).sum()
     }
 }
 
-/// Gives the band of an answer's time.
-fn band(stretch: f64) -> usize {
+/// Returns the bin of an answer's time.
+fn bin(stretch: f64) -> usize {
     let doublings = stretch.max(f64::MIN_POSITIVE).log2();
-    let band = (MIDDLE_BAND + BANDS_A_DOUBLING * doublings).floor();
-    band.clamp(0.0, (BINS - 1) as f64) as usize
+    let bin = (EXPECTED_BIN + BINS_PER_DOUBLING * doublings).floor();
+    bin.clamp(0.0, (BINS - 1) as f64) as usize
 }
 
-/// Whose answers a tally counts: those to one service's requests, by one endpoint of the new version
-/// or, where the name is empty, by all of the old one.
+/// Key of a tally: a service, and one endpoint of the new version, or an empty name for all
+/// endpoints of the old one.
 pub type TallyKey = (ServiceId, EndpointId);
 
-/// What one instance or several saw of a roll-out since its order.
+/// What one or more instances observed of a roll-out since its order.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evidence {
     /// Pool.
     pub pool: PoolId,
-    /// Which order of the pool.
+    /// The order within the pool.
     pub order: Offset,
-    /// Requests that were sent to endpoints of the pool.
+    /// Requests sent to endpoints of the pool.
     pub sent: u64,
-    /// Those among them that went to the new version.
+    /// Those of them that went to the new version.
     pub exposed: u64,
-    /// How their answers went.
+    /// Results of their answers.
     pub tallies: BTreeMap<TallyKey, Tally>,
 }
 
 impl Evidence {
-    /// Makes evidence of nothing yet.
+    /// Creates empty evidence.
     #[must_use]
     pub fn new(pool: PoolId, order: Offset) -> Self {
         Self {
@@ -99,13 +100,13 @@
         }
     }
 
-    /// Gives the tally of one service at one endpoint of the new version, or at the old one.
+    /// Returns the tally of one service at one endpoint of the new version, or at the old version.
     pub fn tally(&mut self, service: &str, endpoint: &str) -> &mut Tally {
         let key = (service.to_owned(), endpoint.to_owned());
         self.tallies.entry(key).or_default()
     }
 
-    /// Adds what another instance saw.
+    /// Adds the evidence of another instance.
     pub fn add(&mut self, other: &Self) {
         self.sent += other.sent;
         self.exposed += other.exposed;
--- a/crates/firdock-policy/src/rollout/verdict.rs
+++ b/crates/firdock-policy/src/rollout/verdict.rs
@@ -1,10 +1,10 @@
-//! Whether the evidence says that a version is bad.
+//! Decides whether the evidence shows that a version is bad.
 //!
-//! The part of bad answers is compared with that of the old version, on each service's requests and on
-//! all together, by a sequential likelihood ratio: it may be looked at after each answer. A bad
-//! answer is one that failed, or that took longer than nearly all of the old version's do. Endpoints
-//! have faults of their own, in either version; so the bad answers have to come from most endpoints
-//! of the new one.
+//! The fraction of bad answers is compared with that of the old version, for each service and for
+//! all together, by a sequential likelihood ratio test, which may be evaluated after every answer.
+//! A bad answer is one that failed or took longer than nearly all answers of the old version.
+//! Endpoints of either version can have faults of their own, so bad answers have to come from most
+//! endpoints of the new version.
 
 use std::collections::BTreeMap;
 
@@ -12,54 +12,58 @@
 
 use super::evidence::{BINS, Evidence, Tally};
 
-/// Part of the old version's answers that may count as slow: answers are slow from the band on that has
-/// no more of them in it and beyond. With 0.15 looked at besides, 4 in 100 more of the slow versions were
-/// found, and 4 in 100 good ones given up (200 drawn roll-outs of each kind).
-const SLOW_PART: f64 = 0.04;
-/// Old answers from which on slow ones are told apart.
-const SLOW_LEAST: u32 = 40;
-/// Added to the old version's part of bad answers: endpoints of one version differ by as much.
+/// Fraction of the old version's answers that may count as slow: the first bin with at most this
+/// fraction in it and above is the threshold. With 0.15 tested in addition, 4 in 100 more of the
+/// slow versions were detected, and 4 in 100 good ones were rolled back (200 simulated roll-outs of
+/// each kind).
+const SLOW_FRACTION: f64 = 0.04;
+/// Minimum number of old answers for a slowness threshold.
+const MIN_SLOW_ANSWERS: u32 = 40;
+/// Added to the old version's fraction of bad answers: endpoints of one version differ by this
+/// much.
 const MARGIN: f64 = 0.04;
-/// Part of bad answers that is assumed of the old version where it gave too few to tell.
-const UNKNOWN_PART: f64 = 0.1;
-/// Old answers from which on their own part of bad ones counts.
-const KNOWN_LEAST: u32 = 20;
-/// Parts of its answers that a bad version may spoil, all held to be equally likely.
-const SPOILED: [f64; 4] = [0.1, 0.2, 0.4, 0.8];
-/// Logarithm of the likelihood ratio from which on a version is bad: one in 1,100, looked at on some
-/// five services and on all together. Of 200 drawn good versions of 60 endpoints none was called bad.
-/// What 10 found less was measured only together with other changes (`docs/design/rollouts.md`).
-const BAD_FROM: f64 = 7.0;
-/// The same from which on a version is doubted: its trial goes on, though its time is up.
-const DOUBTED_FROM: f64 = 3.0;
-/// Endpoints of the new version that have to show it at least, where there are so many.
-const LEAST_ENDPOINTS: usize = 2;
-/// Bad answers from which on an endpoint shows it, and how many times the old version's part they have to
-/// be: by chance alone, one of three endpoints has one more than its part.
-const WORSE_LEAST: f64 = 2.0;
-const WORSE_TIMES: f64 = 1.5;
-/// Answers from which on an endpoint counts among them.
-const ENDPOINT_LEAST: u32 = 3;
-/// Answers that broke off count up to this part of an endpoint's whole ones, and one more: a crash
-/// loses all that ran there at one time, and is the endpoint's own fault.
-const LOST_PART: f64 = 0.15;
-
-/// What the evidence says against a version.
+/// Fraction of bad answers assumed for the old version if it gave too few to tell.
+const DEFAULT_BAD_FRACTION: f64 = 0.1;
+/// Minimum number of old answers for their own fraction of bad ones to be used.
+const MIN_OLD_ANSWERS: u32 = 20;
+/// Fractions of answers that a bad version may spoil, all assumed equally likely.
+const SPOILED_FRACTIONS: [f64; 4] = [0.1, 0.2, 0.4, 0.8];
+/// Log-likelihood ratio at which a version is bad: odds of 1,100 to 1, tested on about five
+/// services and on all together. Of 200 simulated good versions with 60 endpoints none was called
+/// bad. What a threshold of 10 missed was measured only together with other changes
+/// (`docs/design/rollouts.md`).
+const BAD_RATIO: f64 = 7.0;
+/// Log-likelihood ratio at which a version is in doubt: its observation continues past its time.
+const DOUBT_RATIO: f64 = 3.0;
+/// Minimum number of endpoints of the new version with bad answers, where it has that many.
+const MIN_BAD_ENDPOINTS: usize = 2;
+/// Minimum number of bad answers for an endpoint to count as worse, and minimum multiple of the old
+/// version's fraction: by chance alone, one of three endpoints has one bad answer more than its
+/// share.
+const MIN_WORSE_ANSWERS: f64 = 2.0;
+const WORSE_FACTOR: f64 = 1.5;
+/// Minimum number of answers for an endpoint to be compared.
+const MIN_ENDPOINT_ANSWERS: u32 = 3;
+/// Broken answers count up to this fraction of an endpoint's complete ones, plus one: a crash
+/// breaks everything that runs at the time and is the fault of that endpoint alone.
+const LOST_FRACTION: f64 = 0.15;
+
+/// Evidence against a version.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Finding {
-    /// Whether that is enough to call it bad; a doubt otherwise.
+    /// Whether it is enough to call the version bad; otherwise the version is in doubt.
     pub bad: bool,
     /// Service whose requests show it; `None` for all of them together.
     pub service: Option<ServiceId>,
     /// Answers of the new version.
     pub answers: u32,
-    /// Those among them that were bad.
+    /// Those of them that were bad.
     pub bad_answers: u32,
-    /// Part of bad answers that is reckoned with for the old version.
+    /// Assumed fraction of bad answers of the old version.
     pub old_part: f64,
 }
 
-/// Answers, and the bad ones among them.
+/// Number of answers, and of bad ones among them.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 struct Counts {
     answers: f64,
@@ -69,7 +73,7 @@
 impl Counts {
     fn new(tally: &Tally, slow: usize) -> Self {
         let whole = f64::from(tally.whole());
-        let lost = f64::from(tally.lost).min(1.0 + LOST_PART * whole);
+        let lost = f64::from(tally.lost).min(1.0 + LOST_FRACTION * whole);
         let failed = f64::from(tally.failed) + lost;
         Self {
             answers: whole + failed,
@@ -83,7 +87,7 @@
     }
 }
 
-/// Both versions' answers to the requests of one service, or of all.
+/// Both versions' answers to the requests of one service, or of all services.
 #[derive(Debug, Default)]
 struct Compared<'a> {
     old: Counts,
@@ -91,11 +95,15 @@
 }
 
 impl Compared<'_> {
-    /// Gives the part of bad answers that is reckoned with for the old version.
+    /// Returns the fraction of bad answers assumed for the old version.
     fn old_part(&self) -> f64 {
         let part = (self.old.bad + 1.0) / (self.old.answers + 2.0) + MARGIN;
-        let known = self.old.answers >= f64::from(KNOWN_LEAST);
-        if known { part } else { part.max(UNKNOWN_PART) }
+        let known = self.old.answers >= f64::from(MIN_OLD_ANSWERS);
+        if known {
+            part
+        } else {
+            part.max(DEFAULT_BAD_FRACTION)
+        }
     }
 
     fn new_counts(&self) -> Counts {
@@ -106,23 +114,24 @@
         all
     }
 
-    /// Tells whether most of the new version's endpoints, and no fewer than `least`, give more bad answers
-    /// than the old version.
-    fn is_spread(&self, old: f64, least: usize) -> bool {
-        let told = |c: &&Counts| c.answers >= f64::from(ENDPOINT_LEAST);
-        let told: Vec<&Counts> = self.new.values().filter(told).collect();
-        let worse = |c: &&&Counts| c.bad >= WORSE_LEAST && c.bad > WORSE_TIMES * old * c.answers;
-        let worse = told.iter().filter(worse).count();
-        2 * worse > told.len() && worse >= least
+    /// Returns whether most endpoints of the new version, and at least `least`, give more bad
+    /// answers than the old version.
+    fn is_spread(&self, old: f64, min_endpoints: usize) -> bool {
+        let has_enough = |c: &&Counts| c.answers >= f64::from(MIN_ENDPOINT_ANSWERS);
+        let compared: Vec<&Counts> = self.new.values().filter(has_enough).collect();
+        let worse =
+            |c: &&&Counts| c.bad >= MIN_WORSE_ANSWERS && c.bad > WORSE_FACTOR * old * c.answers;
+        let worse = compared.iter().filter(worse).count();
+        2 * worse > compared.len() && worse >= min_endpoints
     }
 
-    fn finding(&self, service: Option<&str>, least: usize) -> Option<Finding> {
+    fn finding(&self, service: Option<&str>, min_endpoints: usize) -> Option<Finding> {
         let old = self.old_part();
         let new = self.new_counts();
-        let ratio = ratio(new, old);
-        let doubted = ratio >= DOUBTED_FROM && self.is_spread(old, least);
+        let log_likelihood_ratio = log_likelihood_ratio(new, old);
+        let doubted = log_likelihood_ratio >= DOUBT_RATIO && self.is_spread(old, min_endpoints);
         doubted.then(|| Finding {
-            bad: ratio >= BAD_FROM,
+            bad: log_likelihood_ratio >= BAD_RATIO,
             service: service.map(ToOwned::to_owned),
             answers: new.answers as u32,
             bad_answers: new.bad as u32,
@@ -131,39 +140,39 @@
     }
 }
 
-/// Gives the logarithm of how much likelier counts are for a bad version than for one like the old.
-fn ratio(counts: Counts, old: f64) -> f64 {
+/// Returns the log-likelihood ratio of the counts: a bad version against one like the old.
+fn log_likelihood_ratio(counts: Counts, old: f64) -> f64 {
     let good = counts.answers - counts.bad;
     let old = old.min(0.99);
-    let likelier = |spoiled: &f64| {
+    let log_ratio = |spoiled: &f64| {
         let part = old + (1.0 - old) * spoiled;
         counts.bad * (part / old).ln() + good * ((1.0 - part) / (1.0 - old)).ln()
     };
-    let logs = SPOILED.map(|s| likelier(&s));
-    let most = logs.iter().copied().fold(f64::NEG_INFINITY, f64::max);
-    let sum: f64 = logs.iter().map(|l| (l - most).exp()).sum();
-    most + (sum / SPOILED.len() as f64).ln()
+    let log_ratios = SPOILED_FRACTIONS.map(|s| log_ratio(&s));
+    let most = log_ratios.iter().copied().fold(f64::NEG_INFINITY, f64::max);
+    let sum: f64 = log_ratios.iter().map(|l| (l - most).exp()).sum();
+    most + (sum / SPOILED_FRACTIONS.len() as f64).ln()
 }
 
-/// Gives the band from which on answers to a service's requests are slow.
-fn slow_band(old: Option<&Tally>) -> usize {
-    let Some(old) = old.filter(|t| t.whole() >= SLOW_LEAST) else {
+/// Returns the first bin in which answers to a service's requests are slow.
+fn slow_bin(old: Option<&Tally>) -> usize {
+    let Some(old) = old.filter(|t| t.whole() >= MIN_SLOW_ANSWERS) else {
         return BINS;
     };
-    let most = SLOW_PART * f64::from(old.whole());
-    let slow = |band: &usize| f64::from(old.count_from_bin(*band)) <= most;
+    let most = SLOW_FRACTION * f64::from(old.whole());
+    let slow = |bin: &usize| f64::from(old.count_from_bin(*bin)) <= most;
     (0..=BINS).find(slow).unwrap_or(BINS)
 }
 
-/// Gives what the evidence says against a version; `None` where it says nothing. The new version has so
-/// many `endpoints` that take work.
+/// Evaluates the evidence; `None` if there is nothing against the version. `endpoints` is the
+/// number of endpoints of the new version that take work.
 #[must_use]
 pub fn evaluate(evidence: &Evidence, endpoints: usize) -> Option<Finding> {
     let mut services: BTreeMap<&str, Compared<'_>> = BTreeMap::new();
     let mut all = Compared::default();
     for ((service, endpoint), tally) in &evidence.tallies {
         let old = evidence.tallies.get(&(service.clone(), String::new()));
-        let counts = Counts::new(tally, slow_band(old));
+        let counts = Counts::new(tally, slow_bin(old));
         for compared in [services.entry(service).or_default(), &mut all] {
             if endpoint.is_empty() {
                 compared.old.add(counts);
@@ -172,10 +181,10 @@
             }
         }
     }
-    let least = endpoints.min(LEAST_ENDPOINTS);
+    let min_endpoints = endpoints.min(MIN_BAD_ENDPOINTS);
     let by_service = services
         .iter()
-        .filter_map(|(name, c)| c.finding(Some(name), least));
-    let findings = by_service.chain(all.finding(None, least));
+        .filter_map(|(name, c)| c.finding(Some(name), min_endpoints));
+    let findings = by_service.chain(all.finding(None, min_endpoints));
     findings.max_by_key(|f| f.bad)
 }
--- a/crates/firdock-policy/src/table/limit.rs
+++ b/crates/firdock-policy/src/table/limit.rs
@@ -1,8 +1,9 @@
-//! Buckets of account limits, which all instances fill and empty together.
+//! Token buckets of account limits, shared by all instances.
 //!
-//! Each instance keeps its own view of one shared bucket: it takes out what it lets pass, and what
-//! its peers tell that they let pass. Views differ by what was told last, so that the sum over all
-//! instances exceeds the limit by no more than one heartbeat's demand (`docs/design/limits.md`).
+//! Each instance keeps its own view of one shared bucket: it deducts what it admits and what its
+//! peers report that they admitted. Views differ by the latest reports, so the sum over all
+//! instances exceeds the limit by at most the demand of one heartbeat interval
+//! (`docs/design/limits.md`).
 
 use std::time::Duration;
 
@@ -11,60 +12,61 @@
 use crate::event::UseTotals;
 use crate::time::Time;
 
-/// Time for which an account that was used is told of in heartbeats: several of them, in case
-/// that some are lost.
+/// Time for which a used account is reported in heartbeats: several of them, as some may be lost.
 pub const REPORT_AFTER_USE: Duration = Duration::from_secs(5);
-/// Time constant, in seconds, of what counts as asked for lately: about three times the age that
-/// other instances' words have where instances are many.
-const RECENT_SECS: f64 = 1.5;
-/// Part of a limit that all parts give out together: a little less, so that the common level, which
-/// stops all at once, is seldom overdrawn.
-const PART_RATE: f64 = 0.97;
-/// Seconds of a limit that all instances together let pass at once when they start: callers that
-/// found all of them dark come back in one moment, within their limits, and would be refused for a
-/// bucket that is empty only because nobody knows what it held. After a fall of all for 1.3 s, 155 of
-/// some 1,200 of worth that callers asked for in four seconds was refused so. More adds nothing (0.7 s
-/// measured the same), and a limit holds to within a tenth of what nine seconds of it are.
-const START_SECS: f64 = 0.4;
-/// Part of a limit below which the demand counts as calm: near the limit, the parts count already.
-const CALM_PART: f64 = 0.9;
+/// Time constant of recent demand, in seconds: about three times the age of other instances'
+/// reports in a large site.
+const DEMAND_TIME_CONSTANT: f64 = 1.5;
+/// Fraction of a limit that all instances' shares give out together: slightly less than the whole,
+/// so that the common level, which stops all of them at once, is seldom overdrawn.
+const SHARE_RATE: f64 = 0.97;
+/// Seconds' worth of a limit that all instances together may admit at once when they start. Callers
+/// that found all instances down return in one moment, within their limits, and would be refused
+/// because the bucket's level is unknown and assumed to be empty. After an outage of all instances
+/// for 1.3 s, 155 of some 1,200 units that callers asked for in four seconds were refused for that
+/// reason. A larger value brings nothing (0.7 s measured the same), and a limit holds within a
+/// tenth of nine seconds' worth of it.
+const START_ALLOWANCE_SECS: f64 = 0.4;
+/// Fraction of a limit below which demand counts as low; close to the limit, the shares already
+/// apply.
+const LOW_DEMAND_FRACTION: f64 = 0.9;
 
 /// One account's bucket as this instance sees it.
 ///
-/// It starts empty: a process that just started does not know what was let pass before.
+/// It starts empty: a new process does not know what was admitted before.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Bucket {
     limit: RateLimit,
     level: f64,
-    filled: Time,
-    /// Whether it has what a start gives.
-    begun: bool,
-    /// Units that this instance has let pass since its start.
+    refilled: Time,
+    /// Whether the units for the start were added.
+    start_added: bool,
+    /// Units that this instance has admitted since its start.
     pub used: f64,
-    /// The most that these ever were: what is given back lowers them, and others may know either figure.
+    /// Highest value of `used`: refunds lower it, and other instances may know either value.
     peak_usage: f64,
-    /// Units that callers asked this instance for since its start.
+    /// Units that callers have requested from this instance since its start.
     pub asked: f64,
-    /// When this instance was last asked.
+    /// When units were last requested from this instance.
     pub last_asked: Time,
-    /// What it had let pass and was asked for before it was told of this time.
+    /// Totals before the present period of use, as reported with it.
     pub before: UseTotals,
-    /// Asked for lately here, and everywhere else as others tell.
-    own: Recent,
-    others: Recent,
-    /// This instance's own part of the limit, which counts while more is asked for than it allows.
-    part_level: f64,
-    part_filled: Time,
+    /// Recent demand here, and everywhere else as reported.
+    own_demand: DecayingSum,
+    peer_demand: DecayingSum,
+    /// This instance's own share of the limit, which applies while demand exceeds the limit.
+    share_level: f64,
+    share_refilled: Time,
 }
 
-/// What was asked for lately: a sum that fades.
+/// Recent demand: an exponentially decaying sum.
 #[derive(Debug, Clone, Copy, Default)]
-struct Recent {
+struct DecayingSum {
     units: f64,
     at: Time,
 }
 
-impl Recent {
+impl DecayingSum {
     fn add(&mut self, now: Time, units: f64) {
         self.units = self.at(now) + units;
         self.at = now;
@@ -72,34 +74,34 @@
 
     fn at(&self, now: Time) -> f64 {
         let secs = now.saturating_sub(self.at).as_secs_f64();
-        self.units * (-secs / RECENT_SECS).exp()
+        self.units * (-secs / DEMAND_TIME_CONSTANT).exp()
     }
 }
 
 impl Bucket {
-    /// Makes the empty bucket of a limit.
+    /// Creates the empty bucket of a limit.
     #[must_use]
     pub fn new(now: Time, limit: RateLimit) -> Self {
         Self {
             limit,
-            filled: now,
+            refilled: now,
             ..Self::default()
         }
     }
 
-    /// Puts a changed limit in force.
+    /// Applies a changed limit.
     pub fn set_limit(&mut self, limit: RateLimit) {
         self.limit = limit;
         self.level = self.level.min(limit.burst);
     }
 
-    /// Gives what a request of `tokens` tokens counts as.
+    /// Returns the cost of a request with `tokens` tokens.
     #[must_use]
     pub fn cost(&self, tokens: u32) -> f64 {
         self.limit.cost(tokens)
     }
 
-    /// Notes what a request that arrived asks for.
+    /// Records the demand of a new request.
     pub fn record_demand(&mut self, now: Time, units: f64) {
         if self.last_asked + REPORT_AFTER_USE <= now {
             self.before = UseTotals {
@@ -109,77 +111,83 @@
         }
         self.asked += units;
         self.last_asked = now;
-        self.own.add(now, units);
+        self.own_demand.add(now, units);
     }
 
-    /// Notes what callers asked other instances for.
+    /// Records demand at other instances.
     pub fn record_peer_demand(&mut self, now: Time, units: f64) {
-        self.others.add(now, units.max(0.0));
+        self.peer_demand.add(now, units.max(0.0));
     }
 
-    /// Tells whether this instance's own part of the limit still allows something, where more is
-    /// asked for everywhere than the limit allows.
+    /// Returns whether this instance's own share of the limit allows a request, where total demand
+    /// exceeds the limit.
     ///
-    /// What others let pass is known late. If all went by the common level alone, all would let
-    /// everything pass at once when it rises above nothing, and nothing for seconds after. `phase`,
-    /// from 0 to 1, sets the instances' parts apart, so that they do not fill at one moment.
+    /// What other instances admit is known late. With the common level alone, all instances would
+    /// admit everything at once when it rises above zero, and then nothing for seconds. `phase`,
+    /// from 0 to 1, offsets the shares of the instances so that they do not fill at the same
+    /// moment.
     pub fn own_part_allows(&mut self, now: Time, phase: f64) -> bool {
-        let (own, others) = (self.own.at(now), self.others.at(now));
-        let share = own / (own + others).max(f64::MIN_POSITIVE);
+        let (own_demand, peer_demand) = (self.own_demand.at(now), self.peer_demand.at(now));
+        let share = own_demand / (own_demand + peer_demand).max(f64::MIN_POSITIVE);
         let most = self.limit.burst * share;
-        let since = std::mem::replace(&mut self.part_filled, now);
-        if (own + others) / RECENT_SECS <= self.limit.per_second * CALM_PART {
-            self.part_level = most * (2.0 * phase - 1.0);
+        let since = std::mem::replace(&mut self.share_refilled, now);
+        if (own_demand + peer_demand) / DEMAND_TIME_CONSTANT
+            <= self.limit.per_second * LOW_DEMAND_FRACTION
+        {
+            self.share_level = most * (2.0 * phase - 1.0);
             return true;
         }
-        // While the common level is overdrawn, nobody's part fills: all would be full at its end.
+        // While the common level is overdrawn, no share fills; otherwise all would be full when it
+        // recovers.
         if self.level >= 0.0 {
             let secs = now.saturating_sub(since).as_secs_f64();
-            let rate = self.limit.per_second * PART_RATE * share;
-            self.part_level = (self.part_level + rate * secs).min(most);
+            let rate = self.limit.per_second * SHARE_RATE * share;
+            self.share_level = (self.share_level + rate * secs).min(most);
         }
-        self.part_level >= 0.0
+        self.share_level >= 0.0
     }
 
-    /// Gives the bucket once what an instance may let pass at its start, of which it has this part.
+    /// Adds, once, the units that an instance may admit at its start; `part` is its fraction of
+    /// them.
     pub fn add_start_units(&mut self, part: f64) {
-        if !std::mem::replace(&mut self.begun, true) {
-            self.level += self.limit.per_second * START_SECS * part;
+        if !std::mem::replace(&mut self.start_added, true) {
+            self.level += self.limit.per_second * START_ALLOWANCE_SECS * part;
         }
     }
 
-    /// Fills the bucket up to `now`; `part` is the part of the limit that this instance may use.
+    /// Refills the bucket up to `now`; `part` is the fraction of the limit that this instance may
+    /// use.
     pub fn refill(&mut self, now: Time, part: f64) {
-        let secs = now.saturating_sub(self.filled).as_secs_f64();
+        let secs = now.saturating_sub(self.refilled).as_secs_f64();
         let most = (self.limit.burst * part).max(self.level.min(0.0));
         self.level = (self.level + self.limit.per_second * part * secs).min(most);
-        self.filled = now;
+        self.refilled = now;
     }
 
-    /// Takes a request's cost out; tells whether there was room.
+    /// Deducts a request's cost; returns whether the bucket allowed it.
     ///
-    /// A bucket that is not overdrawn lets one request through, however large: a limit bounds the
-    /// rate, and must not keep out what is larger than the burst for ever.
+    /// A bucket that is not overdrawn admits one request of any size: a limit bounds the rate, and
+    /// must not exclude requests larger than the burst forever.
     pub fn try_take(&mut self, cost: f64) -> bool {
         if self.level < 0.0 {
             return false;
         }
         self.level -= cost;
-        self.part_level -= cost;
+        self.share_level -= cost;
         self.used += cost;
         self.peak_usage = self.peak_usage.max(self.used);
         true
     }
 
-    /// Gives the cost of a request back that ran nowhere.
+    /// Refunds the cost of a request that ran nowhere.
     pub fn refund(&mut self, cost: f64) {
         self.level += cost;
-        self.part_level += cost;
+        self.share_level += cost;
         self.used -= cost;
     }
 
-    /// Gives the most that this instance is known to have let pass since its start, and what it was
-    /// asked for.
+    /// Returns the highest total that this instance is known to have admitted since its start, and
+    /// the demand.
     #[must_use]
     pub fn peak_usage(&self) -> UseTotals {
         UseTotals {
@@ -188,12 +196,12 @@
         }
     }
 
-    /// Takes out what a peer let pass.
+    /// Deducts what a peer admitted.
     pub fn deduct_peer_use(&mut self, units: f64) {
         self.level -= units;
     }
 
-    /// Gives how long it takes until the bucket lets requests pass again, in seconds.
+    /// Returns the time until the bucket admits requests again, in seconds.
     #[must_use]
     pub fn wait_secs(&self) -> f64 {
         (-self.level).max(0.0) / self.limit.per_second.max(1.0)
--- a/crates/firdock-policy/src/table/suspects.rs
+++ b/crates/firdock-policy/src/table/suspects.rs
@@ -1,7 +1,7 @@
-//! Requests under which endpoints ended, by what they ask for.
+//! Suspects: requests during which endpoints exited, keyed by their content.
 //!
-//! They outlive the rows of the requests: what was learned from one try is needed at the next, which
-//! has another id and may come to another instance.
+//! They outlive the rows of the requests: what one attempt showed is needed at the next, which has
+//! another id and may reach another instance.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -13,54 +13,54 @@
 use crate::suspect::{BrokenRun, ReportedExit, SuspectReport};
 use crate::time::Time;
 
-/// Ends that put a request into quarantine. One or two may be chance: a server that ends for another
-/// reason takes all with it that it runs.
+/// Exits that put a request into quarantine. One or two may be chance, as a server that exits for
+/// another reason takes all its requests with it.
 pub const EXITS_TO_QUARANTINE: usize = 3;
-/// Suspects that are kept, some hundred bytes each.
-const MOST: usize = 1_024;
-/// Suspects of one account that are kept, so that what one account sends pushes out its own alone.
-const MOST_OF_ACCOUNT: usize = 128;
-/// Ends of one suspect that are kept: more than are needed while it still runs somewhere.
+/// Maximum number of suspects, some hundred bytes each.
+const MAX_SUSPECTS: usize = 1_024;
+/// Maximum number of suspects per account, so that one account's requests evict only its own.
+const MAX_PER_ACCOUNT: usize = 128;
+/// Maximum number of exits kept per suspect: more than needed while it is still running somewhere.
 const MAX_EXITS: usize = 16;
-/// Time for which a suspect out of quarantine is kept after its last change. Callers come back within
-/// minutes; a request that ends a server each day is for those who run the server.
-const KEEP: Duration = Duration::from_hours(1);
-/// Time for which one that was cleared is kept, so that others hear of that before it is forgotten.
-const KEEP_CLEARED: Duration = Duration::from_mins(1);
-/// Time for which what is new of a suspect is told with each heartbeat: several of them may be lost.
-const NEW_FOR: Duration = Duration::from_millis(1_500);
-/// New suspects that are told with one heartbeat: what several servers run, which may fall together. What
-/// ended most goes first, then what changed last.
-const MOST_NEW: usize = 60;
-/// Others that are told with it by turns, for those that have missed them.
-const BY_TURNS: usize = 2;
-
-/// One end of an endpoint with a suspect on board.
+/// Time for which a suspect outside quarantine is kept after its last change. Callers retry within
+/// minutes; a request that ends one server a day is left to the operators of the server.
+const RETENTION: Duration = Duration::from_hours(1);
+/// Time for which a cleared suspect is kept, so that other instances learn of it first.
+const CLEARED_RETENTION: Duration = Duration::from_mins(1);
+/// Time for which a change is included in every heartbeat, as several of them may be lost.
+const CHANGE_REPORT_TIME: Duration = Duration::from_millis(1_500);
+/// Maximum number of changed suspects per heartbeat: what several servers run, which may all exit
+/// together. Those with the most exits come first, then the latest changed.
+const MAX_CHANGED_REPORTS: usize = 60;
+/// Number of other suspects per heartbeat, in rotation, for instances that have missed them.
+const ROTATED_REPORTS: usize = 2;
+
+/// An endpoint's exit while it ran a suspect.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Exit {
     /// Start of the endpoint.
     pub start: StartId,
     /// When the request was sent there.
     pub sent: Time,
-    /// When the endpoint ended.
+    /// When the endpoint exited.
     pub at: Time,
-    /// Whether it counts no more.
+    /// Whether it no longer counts.
     pub void: bool,
 }
 
-/// A request under which endpoints ended.
+/// A request during which endpoints exited.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Suspect {
-    /// What it asks for.
+    /// Content of the request.
     pub content: Arc<Content>,
     /// Account that sends it.
     pub account: AccountId,
-    /// Service that it matched when an endpoint first ended under it.
+    /// Service that it matched when an endpoint first exited during it.
     pub service: ServiceId,
     exits: Vec<Exit>,
     changed: Time,
-    /// When this instance saw a change of it itself.
-    seen: Option<Time>,
+    /// When this instance itself last observed a change.
+    changed_here: Option<Time>,
 }
 
 impl Suspect {
@@ -71,21 +71,21 @@
             service,
             exits: Vec::new(),
             changed: now,
-            seen: None,
+            changed_here: None,
         }
     }
 
-    /// Gives the ends that are known, with those that count no more.
+    /// Returns all known exits, including those that no longer count.
     #[must_use]
     pub fn exits(&self) -> &[Exit] {
         &self.exits
     }
 
-    /// Gives the ends that count, in order.
+    /// Returns the exits that count, in order.
     ///
-    /// Of runs that were on board of endpoints at the same time, one counts: a rack that loses power
-    /// ends many endpoints at one moment, and would convict whatever ran at three of them. A request
-    /// that ends its endpoints goes on doing so, one after the other.
+    /// Of runs whose times at their endpoints overlapped, only one counts: a rack that loses power
+    /// ends many endpoints at once, which would incriminate whatever ran on three of them. A
+    /// request that causes exits keeps doing so, one after another.
     #[must_use]
     pub fn counted(&self) -> Vec<&Exit> {
         let mut exits: Vec<&Exit> = self.exits.iter().filter(|e| !e.void).collect();
@@ -99,7 +99,8 @@
         counted
     }
 
-    /// Gives since when it is in quarantine, if it is: nothing of it is sent any more.
+    /// Returns since when the request has been in quarantine, if it is; it is no longer sent to any
+    /// endpoint.
     #[must_use]
     pub fn quarantined_since(&self) -> Option<Time> {
         let third = EXITS_TO_QUARANTINE - 1;
@@ -110,18 +111,19 @@
         self.exits.iter().all(|e| e.void)
     }
 
-    /// Adds an end; one endpoint's end counts once, whoever saw it and however often it was sent there.
+    /// Adds an exit; the exit of one endpoint counts once, whoever reports it and however often the
+    /// request was sent there.
     fn add(&mut self, exit: Exit) -> bool {
         if let Some(known) = self.exits.iter_mut().find(|e| e.start == exit.start) {
             let changed = exit.void && !known.void;
             known.void |= exit.void;
-            // Told times grow later on their way, so that the earliest is nearest to what was seen.
+            // Reported times drift later in transit, so the earliest is the most accurate.
             known.sent = known.sent.min(exit.sent);
             known.at = known.at.min(exit.at);
             return changed;
         }
         if self.exits.len() >= MAX_EXITS {
-            // Those that count beside others say nothing more.
+            // Exits that overlap with a counted one carry no further information.
             let counted: Vec<StartId> = self.counted().iter().map(|e| e.start.clone()).collect();
             self.exits.retain(|e| counted.contains(&e.start));
         }
@@ -132,7 +134,7 @@
         room
     }
 
-    /// Makes all ends up to a time count no more; tells whether any did.
+    /// Marks all exits up to a time as no longer counting; returns whether any changed.
     fn void(&mut self, until: Time) -> bool {
         let counting = self.exits.iter_mut().filter(|e| !e.void && e.at <= until);
         counting.fold(false, |_, exit| {
@@ -141,10 +143,10 @@
         })
     }
 
-    /// Gives what other instances are told of it.
+    /// Returns the report for other instances.
     #[must_use]
     pub fn report(&self, now: Time) -> SuspectReport {
-        let told = |e: &Exit| ReportedExit {
+        let exit = |e: &Exit| ReportedExit {
             start: e.start.clone(),
             sent_ago: now.saturating_sub(e.sent),
             ended_ago: now.saturating_sub(e.at),
@@ -154,15 +156,15 @@
             content: Arc::clone(&self.content),
             account: self.account.clone(),
             service: self.service.clone(),
-            exits: self.exits.iter().map(told).collect(),
+            exits: self.exits.iter().map(exit).collect(),
         }
     }
 }
 
-/// Whom a change of the table came from.
+/// Revision of the table, by the source of its changes.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Revision {
-    /// Changes that this instance saw itself, which it tells at once.
+    /// Changes that this instance observed itself and reports at once.
     pub own: u64,
     /// All changes.
     pub all: u64,
@@ -172,7 +174,8 @@
 #[derive(Debug, Default)]
 pub struct Suspects {
     rows: BTreeMap<ContentId, Suspect>,
-    /// Until when ends count no more of those that an operator let go: others may tell of them later.
+    /// For requests released by an operator: the time up to which exits do not count, as other
+    /// instances may report them later.
     released: BTreeMap<ContentId, Time>,
     revision: Revision,
 }
@@ -184,25 +187,25 @@
         self.rows.get(&id)
     }
 
-    /// Goes over all suspects.
+    /// Iterates over all suspects.
     pub fn iter(&self) -> impl Iterator<Item = &Suspect> {
         self.rows.values()
     }
 
-    /// Gives how often the table changed.
+    /// Returns the revision of the table.
     #[must_use]
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Tells whether a request is in quarantine.
+    /// Returns whether a request is in quarantine.
     #[must_use]
     pub fn is_quarantined(&self, id: ContentId) -> bool {
         let row = self.rows.get(&id);
         row.is_some_and(|s| s.quarantined_since().is_some())
     }
 
-    /// Notes that an endpoint ended with a request on board; tells whether that is new.
+    /// Records that an endpoint exited while it ran a request; returns whether that is new.
     pub fn record_exit(&mut self, now: Time, of: &BrokenRun, at: Time) -> bool {
         let exit = Exit {
             start: of.start.clone(),
@@ -224,28 +227,28 @@
         changed
     }
 
-    /// Notes that this instance saw a change itself, of which it tells all others.
+    /// Records that this instance itself observed a change, which it reports to all others.
     fn mark_own_change(&mut self, now: Time, id: ContentId) {
         self.revision.own += 1;
         if let Some(row) = self.rows.get_mut(&id) {
-            row.seen = Some(now);
+            row.changed_here = Some(now);
         }
     }
 
-    /// Takes what another instance tells of a suspect; tells whether any of it is new.
-    pub fn merge_report(&mut self, now: Time, told: SuspectReport) -> bool {
-        let exits = told.exits.into_iter().take(MAX_EXITS).map(|e| Exit {
+    /// Merges the report of another instance; returns whether any of it is new.
+    pub fn merge_report(&mut self, now: Time, report: SuspectReport) -> bool {
+        let exits = report.exits.into_iter().take(MAX_EXITS).map(|e| Exit {
             start: e.start,
             sent: now.saturating_sub(e.sent_ago.max(e.ended_ago)),
             at: now.saturating_sub(e.ended_ago),
             void: e.void,
         });
         let exits: Vec<Exit> = exits.collect();
-        let known = self.rows.contains_key(&told.content.id);
+        let known = self.rows.contains_key(&report.content.id);
         if !known && exits.iter().all(|e| e.void) {
             return false;
         }
-        let new = Suspect::new(now, told.content, told.account, told.service);
+        let new = Suspect::new(now, report.content, report.account, report.service);
         self.change(now, new, exits)
     }
 
@@ -269,17 +272,16 @@
         changed
     }
 
-    /// Takes it that an operator lets a request go, with what ended up to a time.
+    /// Releases a request on behalf of an operator: exits up to `until` no longer count.
     pub fn release(&mut self, now: Time, id: ContentId, until: Time) {
-        if self.released.len() < MOST || self.released.contains_key(&id) {
+        if self.released.len() < MAX_SUSPECTS || self.released.contains_key(&id) {
             let known = self.released.entry(id).or_insert(until);
             *known = until.max(*known);
         }
         self.clear(now, id, until);
     }
 
-    /// Takes it that what ended up to a time is not held against a request; tells whether that changed
-    /// anything.
+    /// Clears a request of the exits up to a time; returns whether that changed anything.
     pub fn clear(&mut self, now: Time, id: ContentId, until: Time) -> bool {
         let Some(row) = self.rows.get_mut(&id) else {
             return false;
@@ -293,35 +295,47 @@
         changed
     }
 
-    /// Forgets what was kept long enough; what is in quarantine stays until an operator lets it go.
+    /// Removes what has been kept long enough; a request in quarantine stays until an operator
+    /// releases it.
     pub fn sweep(&mut self, now: Time) {
         self.rows.retain(|_, s| {
-            let keep = if s.is_cleared() { KEEP_CLEARED } else { KEEP };
+            let keep = if s.is_cleared() {
+                CLEARED_RETENTION
+            } else {
+                RETENTION
+            };
             s.changed + keep > now || s.quarantined_since().is_some()
         });
     }
 
-    /// Gives what is told of suspects with a heartbeat: what this instance saw lately, and others by turns.
+    /// Returns the reports for a heartbeat: recent changes that this instance observed, and others
+    /// in rotation.
     #[must_use]
-    pub fn reports(&self, now: Time, turn: usize) -> Vec<SuspectReport> {
-        let is_new = |s: &&Suspect| s.seen.is_some_and(|seen| seen + NEW_FOR > now);
+    pub fn reports(&self, now: Time, round: usize) -> Vec<SuspectReport> {
+        let is_new = |s: &&Suspect| {
+            s.changed_here
+                .is_some_and(|changed_here| changed_here + CHANGE_REPORT_TIME > now)
+        };
         let (new, others): (Vec<&Suspect>, Vec<&Suspect>) = self.rows.values().partition(is_new);
-        let start = turn * BY_TURNS % others.len().max(1);
-        let turns = others.iter().cycle().skip(start);
-        let turns = turns.take(BY_TURNS.min(others.len()));
-        let told = most_important(new).into_iter().chain(turns.copied());
-        told.map(|s| s.report(now)).collect()
+        let start = round * ROTATED_REPORTS % others.len().max(1);
+        let rotated = others.iter().cycle().skip(start);
+        let rotated = rotated.take(ROTATED_REPORTS.min(others.len()));
+        let chosen = most_important(new).into_iter().chain(rotated.copied());
+        chosen.map(|s| s.report(now)).collect()
     }
 
-    /// Gives what is new and was heard from others: the leads of groups tell it on.
+    /// Returns recent changes learned from other instances, which the leads of groups forward.
     #[must_use]
     pub fn reports_to_forward(&self, now: Time) -> Vec<SuspectReport> {
-        let is_new = |s: &&Suspect| s.changed + NEW_FOR > now && s.seen != Some(s.changed);
-        let heard = most_important(self.rows.values().filter(is_new).collect());
-        heard.into_iter().map(|s| s.report(now)).collect()
+        let is_new = |s: &&Suspect| {
+            s.changed + CHANGE_REPORT_TIME > now && s.changed_here != Some(s.changed)
+        };
+        let received = most_important(self.rows.values().filter(is_new).collect());
+        received.into_iter().map(|s| s.report(now)).collect()
     }
 
-    /// Gives what an instance is told that was not heard before: all that counts, quarantine first.
+    /// Returns the reports for a newly met instance: all suspects that are not cleared, those in
+    /// quarantine first.
     #[must_use]
     pub fn all_reports(&self, now: Time, most: usize) -> Vec<SuspectReport> {
         let mut rows: Vec<&Suspect> = self.rows.values().filter(|s| !s.is_cleared()).collect();
@@ -332,13 +346,14 @@
     /// Makes room for one more suspect of an account.
     fn evict_if_full(&mut self, account: &AccountId) {
         let of_account = self.rows.values().filter(|s| s.account == *account).count();
-        let own = of_account >= MOST_OF_ACCOUNT;
-        if !own && self.rows.len() < MOST {
+        let own = of_account >= MAX_PER_ACCOUNT;
+        if !own && self.rows.len() < MAX_SUSPECTS {
             return;
         }
         let rows = self.rows.iter();
         let rows = rows.filter(|(_, s)| !own || s.account == *account);
-        // What ended least, and that longest ago, is the least loss.
+        // The suspect with the fewest exits, and of those the least recently changed, is the least
+        // loss.
         let least = rows.min_by_key(|(_, s)| (s.counted().len(), s.changed));
         if let Some(id) = least.map(|(id, _)| *id) {
             self.rows.remove(&id);
@@ -346,9 +361,9 @@
     }
 }
 
-/// Gives as many suspects as one heartbeat tells of, the foremost ones.
+/// Returns the most important suspects, as many as fit into one heartbeat.
 fn most_important(mut suspects: Vec<&Suspect>) -> Vec<&Suspect> {
     suspects.sort_by_key(|s| Reverse((s.counted().len(), s.changed)));
-    suspects.truncate(MOST_NEW);
+    suspects.truncate(MAX_CHANGED_REPORTS);
     suspects
 }
