--- a/crates/firdock-policy/src/table.rs
+++ b/crates/firdock-policy/src/table.rs
@@ -1,4 +1,4 @@
-//! The tables of entities that the systems run over.
+//! The tables of entities that the systems operate on.
 
 pub mod account;
 pub mod dispatch_rates;
@@ -33,30 +33,31 @@
 use crate::time::Time;
 use crate::usage::MergedCounts;
 
-/// Instances up to which all of them are one group; of more, each availability zone is one.
+/// Number of instances up to which all of them are one group; in a larger site, each availability
+/// zone is one.
 pub const SINGLE_GROUP_LIMIT: usize = 16;
-/// Peers up to which heartbeats come at their full pace (see `docs/design/peers.md`).
-const PEERS_AT_PACE: usize = 16;
+/// Number of peers up to which heartbeats are sent at full rate (see `docs/design/peers.md`).
+const PEERS_AT_FULL_RATE: usize = 16;
 
-/// The same for peers in other availability zones: their heartbeats are as many times rarer, and two
-/// of them may be lost.
-const FAR_PEERS_AT_PACE: usize = 4;
-/// Most that their pace is stretched by.
-const MAX_FAR_TIMES: u32 = 25;
+/// The same for peers in other availability zones: their heartbeats are less frequent by the same
+/// factor, and two of them may be lost.
+const REMOTE_PEERS_AT_FULL_RATE: usize = 4;
+/// Maximum factor by which their interval is stretched.
+const MAX_REMOTE_FACTOR: u32 = 25;
 
-/// How many instances the leads of all groups hear.
+/// Number of instances that the leads of all groups receive heartbeats from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReachableInstances {
-    /// When this instance was told.
+    /// When it was reported to this instance.
     pub at: Time,
-    /// Instances, this one among them.
+    /// Number of instances, including this one.
     pub count: usize,
 }
 
-/// Every table of one instance.
+/// All tables of one instance.
 #[derive(Debug)]
 pub struct Tables {
-    /// Bounds and switches.
+    /// Limits and switches.
     pub settings: PolicySettings,
     /// Version of the configuration in force.
     pub version: u64,
@@ -70,108 +71,111 @@
     pub accounts: account::Accounts,
     /// Peers.
     pub peers: peer::Peers,
-    /// What all instances let pass of account limits, as the leads of this one's group count it.
+    /// What all instances admitted under account limits, as counted by the leads of this instance's
+    /// group.
     pub site_use: MergedCounts,
     /// Idempotency keys that this instance owns.
     pub keys: key::Keys,
-    /// Transfers of keys from their earlier owners.
+    /// Transfers of keys from their previous owners.
     pub transfers: transfer::Transfers,
-    /// Member views by the log.
+    /// Membership views from the log.
     pub views: view::Views,
     /// Whether the instance is stopping.
     pub draining: bool,
-    /// Whether [`crate::Action::Drained`] has been given.
+    /// Whether [`crate::Action::Drained`] has been issued.
     pub drained: bool,
-    /// Requests answered since the rate was last taken.
+    /// Requests finished since the rate was last updated.
     pub finished: u32,
-    /// Requests that end a second, smoothed.
+    /// Finished requests per second, smoothed.
     pub finish_rate: f64,
-    /// When the budgets on endpoints were last set.
+    /// When the budgets of endpoints were last updated.
     pub budgets_updated_at: Time,
-    /// How fast the endpoints of each pool take requests.
+    /// Dispatch rates of this instance by pool.
     pub dispatch_rates: dispatch_rates::DispatchRates,
-    /// Pools whose servers tell how long work takes there now.
+    /// Latency models of pools whose servers report their pace.
     pub pool_latencies: pool_latency::PoolLatencies,
-    /// When the rates were last taken.
+    /// When the rates were last updated.
     pub rates_updated_at: Time,
-    /// Second tries that the budgets still allow.
+    /// Retry budgets by pool.
     pub retry_budgets: retry::RetryBudgets,
-    /// Other instances that are known of, whether heard from or not; `None` before anyone told.
+    /// Number of other instances known, whether or not they have sent heartbeats; `None` until it
+    /// is known.
     pub known_peers: Option<usize>,
-    /// When the last time ends in which an endpoint wants no request of some instance.
+    /// End of the last back-off that an endpoint asked of any instance.
     pub backoffs_until: Time,
-    /// Demand of other groups, as their leads tell.
+    /// Demand of other groups, as reported by their leads.
     pub groups: group::Groups,
-    /// Work that other groups did for accounts, as their leads tell.
+    /// Work that other groups did for accounts, as reported by their leads.
     pub reported_work: share::ReportedWork,
-    /// What accounts may have where room is short.
+    /// Fair-share levels of accounts where capacity is short.
     pub levels: share::Levels,
-    /// How many instances the leads of all groups heard last.
+    /// Number of instances that the leads of all groups last received heartbeats from.
     pub reachable: Option<ReachableInstances>,
-    /// When the configuration in force was last known to be the newest.
+    /// When the configuration in force was last confirmed to be the newest.
     pub config_confirmed_at: Option<Time>,
     /// Whether a coordinator places this instance's requests on engines.
     pub coordinated: bool,
     /// Roll-outs of pools.
     pub rollouts: rollout::Rollouts,
-    /// Requests under which endpoints ended.
+    /// Requests during which endpoints exited.
     pub suspects: suspects::Suspects,
-    /// Ends of endpoints and runs that broke, of the last seconds.
+    /// Exits of endpoints and broken runs of the last seconds.
     pub endpoint_exits: endpoint_exits::EndpointExits,
     /// Counters.
     pub stats: Stats,
 }
 
 impl Tables {
-    /// Counts the other instances that are known of.
+    /// Returns the number of other instances known.
     #[must_use]
     pub fn peers_known(&self) -> usize {
         self.known_peers.unwrap_or(0).max(self.peers.len())
     }
 
-    /// Tells whether instances are so few that all of them are one group.
+    /// Returns whether the site is small enough for all instances to be one group.
     #[must_use]
     pub fn is_single_group(&self) -> bool {
         self.known_peers.unwrap_or(self.peers.len()) < SINGLE_GROUP_LIMIT
     }
 
-    /// Gives the most second tries that the budget of one pool saves up.
+    /// Returns the maximum credit of a pool's retry budget.
     #[must_use]
     pub fn max_retry_credit(&self) -> f64 {
-        retry::RetryBudgets::most(&self.settings, self.peers_known())
+        retry::RetryBudgets::max_credit(&self.settings, self.peers_known())
     }
 
-    /// Gives the age at which a peer's news is stale: where peers are many, heartbeats are rarer.
+    /// Returns the age at which a peer's heartbeat is stale: heartbeats are less frequent where
+    /// peers are many.
     #[must_use]
     pub fn peer_stale_after(&self) -> Duration {
-        let times = self.peers_known() / PEERS_AT_PACE;
-        self.settings.peer_stale_after * u32::try_from(times).unwrap_or(u32::MAX).max(1)
+        let factor = self.peers_known() / PEERS_AT_FULL_RATE;
+        self.settings.peer_stale_after * u32::try_from(factor).unwrap_or(u32::MAX).max(1)
     }
 
-    /// Tells whether a peer's news is recent; where instances are many, those of other availability
-    /// zones tell seldom, since leads of groups tell for them.
+    /// Returns whether a peer's heartbeat is recent. In a large site, peers in other availability
+    /// zones send few heartbeats, since the leads of groups report for them.
     #[must_use]
     pub fn is_live(&self, peer: &peer::PeerRow, now: Time) -> bool {
-        let near =
+        let same_zone =
             peer.zone.is_empty() || peer.zone == self.settings.zone || self.is_single_group();
-        let stale = if near {
+        let stale = if same_zone {
             self.peer_stale_after()
         } else {
-            let times = self.peers_known() / FAR_PEERS_AT_PACE;
-            let times = u32::try_from(times).unwrap_or(u32::MAX);
-            self.settings.peer_stale_after * times.clamp(1, MAX_FAR_TIMES)
+            let factor = self.peers_known() / REMOTE_PEERS_AT_FULL_RATE;
+            let factor = u32::try_from(factor).unwrap_or(u32::MAX);
+            self.settings.peer_stale_after * factor.clamp(1, MAX_REMOTE_FACTOR)
         };
         peer.last_seen > Time::ZERO && peer.last_seen + stale > now
     }
 
-    /// Gives until when requests with a key may be sent by the configuration in force.
+    /// Returns until when requests with a key may be sent under the configuration in force.
     #[must_use]
     pub fn config_valid_until(&self) -> Option<Time> {
         let limit = self.settings.max_config_age?;
         Some(self.config_confirmed_at.map_or(Time::ZERO, |at| at + limit))
     }
 
-    /// Makes empty tables.
+    /// Creates empty tables.
     #[must_use]
     pub fn new(settings: PolicySettings) -> Self {
         let views = view::Views::new(settings.member.clone());
--- a/crates/firdock-policy/src/table/endpoint.rs
+++ b/crates/firdock-policy/src/table/endpoint.rs
@@ -17,16 +17,16 @@
 pub type Endpoints = Rows<EndpointRow>;
 
 impl Endpoints {
-    /// Makes an empty table.
+    /// Creates an empty table.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Finds the row of one start of an endpoint by the name that another instance told.
+    /// Finds the row of one start of an endpoint by the name that another instance reported.
     ///
-    /// A start that is over, or not known here yet, has none. A name without a start stands for the
-    /// present one, for that is how instances name it that know of none.
+    /// A start that has ended, or is not known here yet, has no row. A name without a start denotes
+    /// the present start: instances that know of none use that form.
     #[must_use]
     pub fn find_start(&self, told: &str) -> Option<usize> {
         if let Some(at) = self.find(told) {
@@ -37,59 +37,59 @@
     }
 }
 
-/// First pause of an ejected endpoint; it doubles with each further failure.
-const EJECT_BASE: Duration = Duration::from_millis(500);
-/// Longest pause of an ejected endpoint.
-const EJECT_MAX: Duration = Duration::from_secs(30);
-/// Missed reports after which an endpoint is ejected.
+/// Duration of an endpoint's first ejection; it doubles with each further failure.
+const EJECTION_BASE: Duration = Duration::from_millis(500);
+/// Maximum duration of an ejection.
+const MAX_EJECTION: Duration = Duration::from_secs(30);
+/// Number of consecutive missed reports after which an endpoint is ejected.
 pub const MISSED_REPORTS: u32 = 4;
-/// Time for which what an endpoint said is kept after the configuration lost it. Outages of a store in
-/// which entries lapse last seconds to minutes, and endpoints that leave are gone in less; a name that
-/// is out of use for longer costs no row any more.
-const NOTICE_KEEP: Duration = Duration::from_mins(10);
+/// Time for which an endpoint's notices are kept after the configuration lost it. Store outages
+/// during which entries lapse last seconds to minutes, and endpoints that leave are gone sooner; a
+/// name unused for longer takes up no row.
+const NOTICE_RETENTION: Duration = Duration::from_mins(10);
 /// Weight of a new sample in learned rates.
-const LEARN: f64 = 0.2;
-/// Seconds to the first token of an engine that has no prompt to compute, before any was seen; those
-/// of two sites took 0.045 on their fast engines and 0.07 on slow ones.
-const FIRST_SECS: f64 = 0.045;
-/// Prompt tokens over which the assumed time for each token is taken: about a middle prompt, so that
-/// what is seen soon outweighs it.
-const FIRST_SPAN: f64 = 5_000.0;
-/// Least prompt tokens a second that are assumed, so that no declared rate makes the line endless.
-const LEAST_RATE: f64 = 1.0;
+const LEARN_WEIGHT: f64 = 0.2;
+/// Assumed seconds to the first token of an engine without a prompt, before any was observed; two
+/// sites measured 0.045 on fast engines and 0.07 on slow ones.
+const DEFAULT_FIRST_TOKEN_SECS: f64 = 0.045;
+/// Prompt tokens over which the assumed time per token extends: an average prompt, so that
+/// observations soon outweigh the assumption.
+const DEFAULT_SPAN: f64 = 5_000.0;
+/// Minimum prompt tokens per second assumed, so that no declared rate makes the fit infinite.
+const MIN_PREFILL_RATE: f64 = 1.0;
 /// Bounds of the learned slowdown.
-const SLOWDOWN: (f64, f64) = (0.5, 32.0);
-/// Age after which a load report no longer counts.
-const REPORT_AGE: Duration = Duration::from_secs(10);
+const SLOWDOWN_BOUNDS: (f64, f64) = (0.5, 32.0);
+/// Age after which a load report is ignored.
+const MAX_REPORT_AGE: Duration = Duration::from_secs(10);
 
-/// Health of an endpoint as this instance sees it.
+/// Health of an endpoint as this instance observes it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Health {
-    /// Takes work.
+    /// Accepts work.
     Healthy,
-    /// Takes no work until the time given.
+    /// Gets no work until the given time.
     Ejected(Time),
-    /// Takes one request at a time until one succeeds.
+    /// Gets one request at a time until one succeeds.
     Probing,
 }
 
-/// A look at an endpoint that is under way.
+/// A liveness check of an endpoint that is in progress.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LivenessCheck {
     /// When it began.
     pub began: Time,
-    /// Whether something broke there since, of which it says nothing.
+    /// Whether something else broke there since, which this check does not cover.
     pub again: bool,
 }
 
 /// Load that an endpoint reported.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Reported {
-    /// When the endpoint took the reading, by this process's clock.
+    /// When the endpoint measured it, by this process's clock.
     pub taken: Time,
-    /// Prompt tokens that it had yet to compute.
+    /// Prompt tokens yet to be computed.
     pub backlog: u32,
-    /// Prompt tokens of this instance among them.
+    /// Those of them that belong to this instance's requests.
     pub own_backlog: f64,
 }
 
@@ -100,12 +100,12 @@
     reason = "each is told by another source"
 )]
 pub struct EndpointRow {
-    /// What operators declared.
+    /// Declaration by the operators.
     pub declared: Endpoint,
-    /// Name of this start of it, by which requests know where they went.
+    /// Id of this start, which requests record when they are sent there.
     pub start_id: StartId,
-    /// Whether a later start has taken its place: it gets nothing more then, and the row goes with the
-    /// last request that was sent there.
+    /// Whether a later start has replaced it: it then gets no more requests, and the row is removed
+    /// with the last request that was sent there.
     replaced: bool,
     /// Whether the configuration in force still has it.
     pub present: bool,
@@ -113,58 +113,58 @@
     pub absent_since: Option<Time>,
     /// Whether the instance list shows it as leaving.
     pub listed_leaving: bool,
-    /// Whether the endpoint itself said that it is leaving.
+    /// Whether the endpoint itself reported that it is leaving.
     pub reported_leaving: bool,
-    /// Whether a peer said that it is leaving, and until when that counts.
+    /// Until when a peer's report that it is leaving counts, if there is one.
     pub peer_leaving: Option<Time>,
     /// Health.
     pub health: Health,
-    /// Failures in a row.
+    /// Consecutive failures.
     pub failures: u32,
-    /// Dispatches that broke in a row.
+    /// Consecutive broken dispatches.
     pub broken: u32,
-    /// Whether it is being looked whether it is still there.
+    /// The liveness check in progress, if any.
     pub liveness_check: Option<LivenessCheck>,
-    /// Missed reports in a row.
+    /// Consecutive missed reports.
     pub missed: u32,
-    /// Requests of this instance dispatched and not ended.
+    /// Requests that this instance has dispatched there and that have not ended.
     pub running: u32,
-    /// Prompt tokens of this instance that it has yet to compute, as estimated.
+    /// Estimated prompt tokens of this instance that it has yet to compute.
     pub backlog: f64,
-    /// Seconds for each token, learned.
+    /// Learned seconds per token.
     pub token_secs: f64,
-    /// Observed over assumed time of a plain server, learned.
+    /// Learned ratio of observed to assumed time of a plain server.
     pub slowdown: f64,
-    /// Samples that the slowdown was learned from.
+    /// Number of samples behind the slowdown.
     pub firsts: u32,
-    /// Seconds to an engine's first token by the prompt tokens that it computes before, learned.
+    /// Learned seconds to an engine's first token as a function of the prompt tokens to compute.
     pub first_token_fit: LinearFit,
-    /// Samples that the time for each token was learned from.
+    /// Number of samples behind the seconds per token.
     pub streams: u32,
-    /// What it said of itself with its answers.
+    /// Notices that it gave with its answers.
     pub notices: Notices,
-    /// What it told of its pace.
+    /// Pace that it reported.
     pub reported_pace: ReportedPace,
-    /// Last report.
+    /// Latest load report.
     pub report: Option<Reported>,
-    /// Believed prefix cache.
+    /// Assumed content of its prefix cache.
     pub cache: PrefixCache,
-    /// Requests that this instance may have there at once.
+    /// Maximum number of this instance's concurrent requests there.
     pub budget: u32,
-    /// Since when it is held back for its version, which is rare in its pool: until no order can be
-    /// missing that would concern it.
+    /// Since when it has been held back because its version is rare in its pool; it is held until
+    /// no roll-out order that concerns it can be missing.
     pub held_since: Option<Time>,
 }
 
-/// Gives the weight of one more sample: the first ones count evenly, so that an endpoint whose
-/// speed is not known yet is known soon.
-fn weight(samples: &mut u32) -> f64 {
+/// Returns the weight of the next sample. The first samples are weighted evenly, so that the speed
+/// of a new endpoint is learned quickly.
+fn sample_weight(samples: &mut u32) -> f64 {
     *samples = samples.saturating_add(1);
-    LEARN.max(1.0 / f64::from(*samples))
+    LEARN_WEIGHT.max(1.0 / f64::from(*samples))
 }
 
 impl EndpointRow {
-    /// Makes a row from what operators declared.
+    /// Creates a row from a declaration.
     #[must_use]
     pub fn new(declared: Endpoint) -> Self {
         let token_secs = declared.token_secs();
@@ -190,9 +190,9 @@
             slowdown: 1.0,
             firsts: 0,
             first_token_fit: LinearFit::new(
-                FIRST_SECS,
-                FIRST_SPAN,
-                FIRST_SPAN / rate.max(LEAST_RATE),
+                DEFAULT_FIRST_TOKEN_SECS,
+                DEFAULT_SPAN,
+                DEFAULT_SPAN / rate.max(MIN_PREFILL_RATE),
             ),
             streams: 0,
             notices: Notices::default(),
@@ -203,41 +203,41 @@
         }
     }
 
-    /// Tells whether a declaration is of another start of the endpoint.
+    /// Returns whether a declaration belongs to another start of the endpoint.
     #[must_use]
     pub fn is_other_start(&self, declared: &Endpoint) -> bool {
         self.declared.started != declared.started
     }
 
-    /// Takes it that a later start has taken its place.
+    /// Marks it as replaced by a later start.
     pub fn mark_replaced(&mut self) {
         self.replaced = true;
         self.present = false;
     }
 
-    /// Tells whether a later start has taken its place.
+    /// Returns whether a later start has replaced it.
     #[must_use]
     pub fn is_replaced(&self) -> bool {
         self.replaced
     }
 
-    /// Tells whether it is a model engine.
+    /// Returns whether it is a model engine.
     #[must_use]
     pub fn is_engine(&self) -> bool {
         self.declared.backend == EndpointKind::Engine
     }
 
-    /// Tells whether it is leaving, by whichever word came first.
+    /// Returns whether it is leaving, by the report of any source.
     #[must_use]
     pub fn leaving(&self, now: Time) -> bool {
         self.leaving_source(now).is_some()
     }
 
-    /// Gives who says that it is leaving, the endpoint itself first.
+    /// Returns the source that reported that it is leaving, the endpoint itself first.
     #[must_use]
     pub fn leaving_source(&self, now: Time) -> Option<LeavingSource> {
         let by_peer = self.peer_leaving.is_some_and(|until| until > now);
-        let said = [
+        let reported = [
             (
                 self.notices.leaving_since().is_some(),
                 LeavingSource::Answer,
@@ -247,34 +247,37 @@
             (self.listed_leaving, LeavingSource::List),
             (by_peer, LeavingSource::Peer),
         ];
-        let first = said.into_iter().find(|(said, _)| *said);
+        let first = reported.into_iter().find(|(reported, _)| *reported);
         first.map(|(_, source)| source)
     }
 
-    /// Tells whether this instance knows of the leaving by itself, and may tell peers.
+    /// Returns whether this instance knows from a source other than peers that it is leaving, and
+    /// may report that to peers.
     #[must_use]
     pub fn is_leaving_known_directly(&self, now: Time) -> bool {
         let source = self.leaving_source(now);
         source.is_some_and(|s| s != LeavingSource::Peer)
     }
 
-    /// Tells whether nothing that was seen of it speaks against it.
+    /// Returns whether no failure has been observed.
     #[must_use]
     pub fn is_healthy(&self) -> bool {
         self.health == Health::Healthy
     }
 
-    /// Tells whether it may get work of an instance now, or why not.
+    /// Checks whether the endpoint may get work of an instance now.
     ///
-    /// All that is sent goes by this, up to the write: first tries, repeats, probes, requests that go on
-    /// after another endpoint, and places that a coordinator gives. While each way knew an endpoint by
-    /// the list, by peers and by failures alone, two of six that asked for 3 s got 108 requests in them,
-    /// and 5 of 120 callers were served; by this it is none and 120 (40 requests a second in virtual
-    /// time, half of what the other four bear). `member` is the instance that sends, empty for the own one.
+    /// Everything sent is subject to this check, up to the write: first attempts, retries, probes,
+    /// requests resumed from another endpoint, and placements by a coordinator. When these paths
+    /// relied on the instance list, peers and failures alone, two of six endpoints that had asked
+    /// for a back-off of 3 s received 108 requests in it, and 5 of 120 callers were served; with
+    /// this check it was 0 requests and 120 callers (40 requests per second of virtual time, half
+    /// of what the other four can take). `member` is the sending instance, empty for this one.
     ///
     /// # Errors
     ///
-    /// Fails with why it may not; what the endpoint itself said goes before what was seen of it.
+    /// Returns the reason if it may not; what the endpoint itself reported takes precedence over
+    /// observed failures.
     pub fn check_available(&self, member: &str, now: Time) -> Result<(), UnavailableReason> {
         if !self.present {
             return Err(UnavailableReason::Absent);
@@ -292,41 +295,44 @@
         }
     }
 
-    /// Tells whether new work of this instance may go to it at all.
+    /// Returns whether this instance may send it new work.
     #[must_use]
     pub fn usable(&self, now: Time) -> bool {
         self.check_available("", now).is_ok()
     }
 
-    /// Tells whether the row goes on, though the configuration lost it, for what the endpoint said.
+    /// Returns whether the row is kept, though the configuration lost it, for the sake of the
+    /// endpoint's notices.
     ///
-    /// An entry of an endpoint that lives lapses while the platform's store is away, and comes back as
-    /// it was before: its next row would know nothing of a word that still holds.
+    /// The entry of a live endpoint lapses while the platform's store is unavailable and later
+    /// returns unchanged: a new row would not have the notices that still apply.
     #[must_use]
     pub fn keeps_notices(&self, now: Time) -> bool {
-        let kept = self.absent_since.is_some_and(|at| at + NOTICE_KEEP > now);
-        kept && !self.replaced && self.notices.any_in_effect(now)
+        let in_retention = self
+            .absent_since
+            .is_some_and(|at| at + NOTICE_RETENTION > now);
+        in_retention && !self.replaced && self.notices.any_in_effect(now)
     }
 
-    /// Notes a failure and ejects the endpoint for a while, longer for each failure in a row.
+    /// Records a failure and ejects the endpoint, for longer with each consecutive failure.
     pub fn eject(&mut self, now: Time) {
         let doublings = self.failures.min(6);
         self.failures += 1;
-        let pause = (EJECT_BASE * 2_u32.pow(doublings)).min(EJECT_MAX);
-        self.health = Health::Ejected(now + pause);
+        let duration = (EJECTION_BASE * 2_u32.pow(doublings)).min(MAX_EJECTION);
+        self.health = Health::Ejected(now + duration);
     }
 
-    /// Notes a success.
+    /// Records a success.
     pub fn recover(&mut self) {
         self.failures = 0;
         self.broken = 0;
         self.health = Health::Healthy;
     }
 
-    /// Learns from the time to the first token of a dispatch that had `work` prompt tokens before it.
+    /// Learns from the time to the first token of a dispatch with `work` prompt tokens to compute.
     ///
-    /// A prompt takes a time of its own and one for each token: reckoned by a common factor, what
-    /// short prompts teach made long ones appear three times as slow as they were.
+    /// A prompt takes a fixed time plus a time per token. With a single common factor, samples of
+    /// short prompts made long ones appear three times as slow as they were.
     pub fn learn_first(&mut self, work: f64, observed: Duration) {
         self.first_token_fit.learn(work, observed.as_secs_f64());
     }
@@ -334,25 +340,25 @@
     /// Learns from the time to the first byte of a plain server.
     pub fn learn_plain(&mut self, predicted: Duration, observed: Duration) {
         let ratio = observed.as_secs_f64() / predicted.as_secs_f64().max(0.005);
-        let sample = (self.slowdown * ratio).clamp(SLOWDOWN.0, SLOWDOWN.1);
-        self.slowdown += weight(&mut self.firsts) * (sample - self.slowdown);
+        let sample = (self.slowdown * ratio).clamp(SLOWDOWN_BOUNDS.0, SLOWDOWN_BOUNDS.1);
+        self.slowdown += sample_weight(&mut self.firsts) * (sample - self.slowdown);
     }
 
-    /// Learns from the time that `tokens` tokens after the first took.
+    /// Learns from the time taken by the `tokens` tokens after the first.
     pub fn learn_tokens(&mut self, tokens: u32, took: Duration) {
         if tokens > 0 {
             let sample = took.as_secs_f64() / f64::from(tokens);
-            self.token_secs += weight(&mut self.streams) * (sample - self.token_secs);
+            self.token_secs += sample_weight(&mut self.streams) * (sample - self.token_secs);
         }
     }
 
-    /// Estimates the prompt tokens that wait there, with the stale report corrected.
+    /// Estimates the prompt tokens waiting there, corrected for the age of the report.
     ///
-    /// What the report counted of this instance's own is taken out and replaced by what this
-    /// instance knows now, so that a dispatch since the report's time counts at once.
+    /// This instance's own part of the report is replaced by its present estimate, so that
+    /// dispatches made since the report count at once.
     #[must_use]
     pub fn waiting_tokens(&self, now: Time) -> f64 {
-        let Some(r) = self.report.filter(|r| r.taken + REPORT_AGE > now) else {
+        let Some(r) = self.report.filter(|r| r.taken + MAX_REPORT_AGE > now) else {
             return self.backlog;
         };
         let others = (f64::from(r.backlog) - r.own_backlog).max(0.0);
--- a/crates/firdock-policy/src/table/linear_fit.rs
+++ b/crates/firdock-policy/src/table/linear_fit.rs
@@ -1,23 +1,23 @@
-//! A straight line learned from samples, of which old ones are forgotten.
+//! A linear function learned from samples with exponential forgetting.
 
-/// Weight that the samples so far keep at each new one: about fifteen of them count, which an
-/// engine of a busy site gives in two or three seconds.
+/// Weight that earlier samples keep at each new one: about fifteen of them count, which an engine
+/// of a busy site delivers in two or three seconds.
 const KEEP: f64 = 0.93;
-/// Weight of each of the two samples that stand for what is assumed at first, which are not
-/// forgotten: they hold the line where all samples lie at one place.
+/// Weight of each of the two samples that represent the initial assumption. They are not forgotten,
+/// and keep the fit determined when all samples are close together.
 const ASSUMED_WEIGHT: f64 = 0.02;
-/// Most that a sample may be above what the line says, as a multiple: one that waited for something
-/// else says nothing of the line.
-const MOST_ABOVE: f64 = 5.0;
-/// Least value of the line.
-const LEAST: f64 = 1e-3;
+/// Maximum multiple of the fitted value that a sample may count as: a request that waited for
+/// something else says nothing about the fit.
+const MAX_SAMPLE_FACTOR: f64 = 5.0;
+/// Minimum value of the fit.
+const MIN_VALUE: f64 = 1e-3;
 
-/// A line through weighted samples, by least squares.
+/// Weighted least-squares fit of a line.
 #[derive(Debug, Clone, Copy)]
 pub struct LinearFit {
     keep: f64,
     assumed: Sums,
-    seen: Sums,
+    observed: Sums,
 }
 
 /// Sums over weighted samples.
@@ -31,7 +31,7 @@
 }
 
 impl Sums {
-    /// Makes the sums of one sample.
+    /// Creates the sums of one sample.
     fn of(weight: f64, x: f64, y: f64) -> Self {
         Self {
             weight,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Gives these sums with `share` of the others.
+    /// Returns these sums plus `share` times others.
     fn plus(self, share: f64, others: Self) -> Self {
         Self {
             weight: self.weight + share * others.weight,
@@ -55,7 +55,7 @@
 }
 
 impl LinearFit {
-    /// Makes a line that is assumed to begin at `base` and to reach `base + rise` at `span`.
+    /// Creates a fit with the initial assumption of `base` at zero and `base + rise` at `span`.
     #[must_use]
     pub fn new(base: f64, span: f64, rise: f64) -> Self {
         let first = Sums::of(ASSUMED_WEIGHT, 0.0, base);
@@ -63,37 +63,37 @@
         Self {
             keep: KEEP,
             assumed: first.plus(1.0, last),
-            seen: Sums::default(),
+            observed: Sums::default(),
         }
     }
 
-    /// Sets the weight that the samples so far keep at each new one, where more of them come.
+    /// Sets the weight that earlier samples keep at each new one, for uses with more samples.
     #[must_use]
     pub fn with_keep(mut self, keep: f64) -> Self {
         self.keep = keep;
         self
     }
 
-    /// Takes a sample.
+    /// Adds a sample.
     pub fn learn(&mut self, x: f64, y: f64) {
         self.learn_weighted(1.0, x, y);
     }
 
-    /// Takes a sample that counts for more or less than others.
+    /// Adds a sample with a weight.
     pub fn learn_weighted(&mut self, weight: f64, x: f64, y: f64) {
-        let y = y.min(self.at(x) * MOST_ABOVE);
-        self.seen = Sums::of(weight, x, y).plus(self.keep, self.seen);
+        let y = y.min(self.at(x) * MAX_SAMPLE_FACTOR);
+        self.observed = Sums::of(weight, x, y).plus(self.keep, self.observed);
     }
 
-    /// Gives the line's value; it neither falls nor begins below nothing.
+    /// Returns the fitted value; the fit neither decreases nor starts below zero.
     #[must_use]
     pub fn at(&self, x: f64) -> f64 {
-        let all = self.assumed.plus(1.0, self.seen);
+        let all = self.assumed.plus(1.0, self.observed);
         let (mean_x, mean_y) = (all.x / all.weight, all.y / all.weight);
-        let spread = all.xx / all.weight - mean_x * mean_x;
-        let common = all.xy / all.weight - mean_x * mean_y;
+        let variance = all.xx / all.weight - mean_x * mean_x;
+        let covariance = all.xy / all.weight - mean_x * mean_y;
         let steepest = mean_y / mean_x.max(f64::MIN_POSITIVE);
-        let slope = (common / spread.max(f64::MIN_POSITIVE)).clamp(0.0, steepest);
-        (mean_y + slope * (x - mean_x)).max(LEAST)
+        let slope = (covariance / variance.max(f64::MIN_POSITIVE)).clamp(0.0, steepest);
+        (mean_y + slope * (x - mean_x)).max(MIN_VALUE)
     }
 }
--- a/crates/firdock-policy/src/table/share.rs
+++ b/crates/firdock-policy/src/table/share.rs
@@ -1,7 +1,7 @@
-//! What the endpoints of each pool did lately for each account, here and in other groups.
+//! Recent work of the endpoints of each pool for each account, here and in other groups.
 //!
-//! Work is counted in seconds that it takes on an endpoint as declared, so that an account whose
-//! requests came to slow endpoints is not charged for that.
+//! Work is measured in seconds at an endpoint's declared rates, so that an account is not charged
+//! more because its requests reached slow endpoints.
 
 use std::collections::BTreeMap;
 use std::iter;
@@ -12,64 +12,64 @@
 use crate::event::AccountWork;
 use crate::time::Time;
 
-/// Time constant, in seconds, of what counts as done lately: callers who asked for nothing for a
-/// while have their whole share again within a second, and so have those that had lent it.
-const FADE_SECS: f64 = 1.0;
-/// Availability zones whose word is kept.
+/// Time constant of recent work, in seconds: accounts that were idle have their whole share again
+/// within a second, and so do those that had lent theirs.
+const DECAY_SECS: f64 = 1.0;
+/// Maximum number of availability zones with reports.
 const MAX_ZONES: usize = 64;
-/// Work, in seconds, of which other groups are told at least: a thousandth of one endpoint.
-const LEAST_SECS: f64 = 1e-3;
+/// Minimum work, in seconds, that is reported to other groups: a thousandth of one endpoint.
+const MIN_REPORTED_SECS: f64 = 1e-3;
 
-/// Work that fades.
+/// Exponentially decaying sum of work.
 #[derive(Debug, Clone, Copy, Default)]
-struct Fading {
+struct DecayingWork {
     secs: f64,
     at: Time,
 }
 
-impl Fading {
+impl DecayingWork {
     fn at(&self, now: Time) -> f64 {
         let age = now.saturating_sub(self.at).as_secs_f64();
-        self.secs * (-age / FADE_SECS).exp()
+        self.secs * (-age / DECAY_SECS).exp()
     }
 
-    /// Adds work, or takes it back; what was done never falls below nothing.
+    /// Adds work, or subtracts it when negative; the sum never falls below zero.
     fn add(&mut self, now: Time, secs: f64) {
         self.secs = (self.at(now) + secs).max(0.0);
         self.at = self.at.max(now);
     }
 }
 
-/// What one account asked for and had of one pool lately, by the declared rank of its requests.
+/// Recent work of one pool for one account, by the declared rank of its requests.
 #[derive(Debug, Clone, Copy, Default)]
-struct Used {
-    asked: Fading,
-    done: Fading,
+struct PoolUse {
+    asked: DecayingWork,
+    done: DecayingWork,
 }
 
-/// What one account asked for and had lately, by pool and rank.
+/// Recent work for one account, by pool and rank.
 #[derive(Debug, Default)]
 pub struct Work {
-    pools: BTreeMap<PoolId, BTreeMap<TierRank, Used>>,
+    pools: BTreeMap<PoolId, BTreeMap<TierRank, PoolUse>>,
 }
 
 impl Work {
-    fn of(&mut self, pool: &str, rank: TierRank) -> &mut Used {
+    fn of(&mut self, pool: &str, rank: TierRank) -> &mut PoolUse {
         let ranks = self.pools.entry(pool.to_owned()).or_default();
         ranks.entry(rank).or_default()
     }
 
-    /// Adds work that callers asked for.
+    /// Adds requested work.
     pub fn add_asked(&mut self, now: Time, pool: &str, rank: TierRank, secs: f64) {
         self.of(pool, rank).asked.add(now, secs);
     }
 
-    /// Adds work that is done, or takes back what was not.
+    /// Adds work done, or subtracts what was not done.
     pub fn add_done(&mut self, now: Time, pool: &str, rank: TierRank, secs: f64) {
         self.of(pool, rank).done.add(now, secs);
     }
 
-    /// Gives what it had of a pool lately, in its requests of a rank and of all above.
+    /// Returns the recent work of a pool for requests of a rank and all higher ones.
     #[must_use]
     pub fn done(&self, now: Time, pool: &str, rank: TierRank) -> f64 {
         let Some(ranks) = self.pools.get(pool) else {
@@ -78,61 +78,65 @@
         ranks.range(..=rank).map(|(_, u)| u.done.at(now)).sum()
     }
 
-    /// Gives what it asked of a pool lately.
+    /// Returns the work recently requested of a pool.
     #[must_use]
     pub fn asked(&self, now: Time, pool: &str) -> f64 {
         let ranks = self.pools.get(pool).into_iter().flatten();
         ranks.map(|(_, u)| u.asked.at(now)).sum()
     }
 
-    /// Goes over the pools that it asked for.
+    /// Iterates over the pools that it sent requests to.
     pub fn pools(&self) -> impl Iterator<Item = &PoolId> {
         self.pools.keys()
     }
 
-    /// Gives what it asked for and had lately, as other groups are told.
+    /// Returns the recent work as reported to other groups.
     pub fn reports(&self, now: Time, account: &str) -> impl Iterator<Item = AccountWork> {
-        let ranks = |(pool, ranks)| iter::repeat(pool).zip::<&BTreeMap<TierRank, Used>>(ranks);
-        let told = self.pools.iter().flat_map(ranks);
-        let told = told.map(move |(pool, (rank, used))| AccountWork {
+        let ranks = |(pool, ranks)| iter::repeat(pool).zip::<&BTreeMap<TierRank, PoolUse>>(ranks);
+        let entries = self.pools.iter().flat_map(ranks);
+        let entries = entries.map(move |(pool, (rank, used))| AccountWork {
             account: account.to_owned(),
             pool: pool.clone(),
             rank: *rank,
             asked: used.asked.at(now),
             done: used.done.at(now),
         });
-        told.filter(|w| w.asked.max(w.done) > LEAST_SECS)
+        entries.filter(|w| w.asked.max(w.done) > MIN_REPORTED_SECS)
     }
 }
 
-/// What one group's lead told of accounts, by pool and account.
+/// Report of one group's lead, by pool and account.
 type GroupRows = BTreeMap<PoolId, BTreeMap<AccountId, Vec<AccountWork>>>;
 
-/// What the leads of other groups told of the work that their groups' endpoints did.
+/// Work of other groups' endpoints, as reported by their leads.
 #[derive(Debug, Default)]
 pub struct ReportedWork {
     zones: BTreeMap<ZoneId, (Time, GroupRows)>,
 }
 
 impl ReportedWork {
-    /// Takes a lead's word over, in place of its last one.
+    /// Replaces a lead's previous report.
     pub fn update(&mut self, now: Time, zone: ZoneId, work: Vec<AccountWork>) {
         if self.zones.len() >= MAX_ZONES && !self.zones.contains_key(&zone) {
-            // Those that are still there tell at the next heartbeat.
+            // Active leads report again at their next heartbeat.
             self.zones.clear();
         }
         let mut rows = GroupRows::new();
-        for told in work {
-            let accounts = rows.entry(told.pool.clone()).or_default();
-            accounts.entry(told.account.clone()).or_default().push(told);
+        for entry in work {
+            let accounts = rows.entry(entry.pool.clone()).or_default();
+            accounts
+                .entry(entry.account.clone())
+                .or_default()
+                .push(entry);
         }
         self.zones.insert(zone, (now, rows));
     }
 
-    /// Goes over what other groups did for an account in a pool, as told within `age`.
+    /// Iterates over the work of other groups for an account in a pool, from reports younger than
+    /// `age`.
     ///
-    /// Words that are older count for nothing: the group goes by what it did itself, so that accounts
-    /// have even shares of its own places, which no other group gives away.
+    /// Older reports are ignored: the group then relies on its own counts, which give accounts even
+    /// shares of its own slots, and no other group allocates those.
     pub fn of<'a>(
         &'a self,
         now: Time,
@@ -147,19 +151,20 @@
     }
 }
 
-/// Rank of an account, which its requests have in common.
+/// Rank of an account, which applies to all its requests.
 pub type AccountRank = u8;
 
-/// What accounts may have of each pool for each unit of their weights, where room is short.
+/// Fair-share levels: the work per unit of weight that accounts of a rank may have of a pool where
+/// capacity is short.
 #[derive(Debug, Default)]
 pub struct Levels {
     pools: BTreeMap<PoolId, BTreeMap<AccountRank, f64>>,
-    /// When they were taken.
+    /// When the levels were computed.
     pub taken: Time,
 }
 
 impl Levels {
-    /// Makes levels that are taken now: room is short nowhere yet.
+    /// Creates levels as of now, with no shortage anywhere.
     #[must_use]
     pub fn new(now: Time) -> Self {
         Self {
@@ -168,13 +173,13 @@
         }
     }
 
-    /// Puts a level in place of the last one.
+    /// Replaces a level.
     pub fn set(&mut self, pool: &str, rank: AccountRank, level: f64) {
         let ranks = self.pools.entry(pool.to_owned()).or_default();
         ranks.insert(rank, level);
     }
 
-    /// Gives the level; `None` where there is room for all.
+    /// Returns the level; `None` where capacity suffices for all.
     #[must_use]
     pub fn of(&self, pool: &str, rank: AccountRank) -> Option<f64> {
         self.pools.get(pool)?.get(&rank).copied()
--- a/crates/firdock-policy/src/usage.rs
+++ b/crates/firdock-policy/src/usage.rs
@@ -1,12 +1,12 @@
-//! Sums of what instances let pass of account limits, as the leads of groups count it.
+//! Aggregation of what instances admit under account limits, as the leads of groups count it.
 //!
-//! Where instances are many, none needs to know what each other one let pass: a row for each instance
-//! and account grows with both, and passing all of them on to all grows with the square of the
-//! instances. A lead counts what the members of its group tell; leads tell each other the counts of their
-//! groups, and their groups the counts of all (see `docs/design/limits.md`).
+//! In a large site no instance needs to know what each other one admitted: a row per instance and
+//! account grows with both, and forwarding all rows to all grows with the square of the number of
+//! instances. A lead adds up the reports of the members of its group; leads send each other the
+//! counts of their groups, and their groups the counts of all (see `docs/design/limits.md`).
 //!
-//! A count tells something only by how much it rises, since each lead counts from its own start. What two
-//! leads of a group tell of the same use counts once.
+//! A count is meaningful only by its increase, since each lead counts from its own start. Use that
+//! two leads of a group both report is counted once.
 
 mod merged_counts;
 mod outbox;
@@ -23,15 +23,15 @@
 use crate::event::{AccountUse, PeerUse, UseCounts, UseTotals};
 use crate::time::Time;
 
-/// Silence after which a teller is forgotten: it was replaced or taken away.
+/// Silence after which a reporter is forgotten: it was replaced or removed.
 const FORGET_AFTER: Duration = Duration::from_mins(1);
 
 /// Counts by account.
 type Counts = BTreeMap<AccountId, UseTotals>;
 
 impl UseTotals {
-    /// Gives by how much these are more than those before; what went down counts as unchanged, since a
-    /// word may be overtaken, and what is given back is soon used again.
+    /// Returns the increase over earlier totals; a decrease counts as no change, since reports may
+    /// arrive out of order, and refunded units are soon used again.
     fn above(self, before: Self) -> Self {
         Self {
             units: (self.units - before.units).max(0.0),
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Gives these less others; either may be the greater.
+    /// Returns the difference; it may be negative.
     #[must_use]
     pub fn minus(self, less: Self) -> Self {
         Self {
@@ -55,26 +55,27 @@
         }
     }
 
-    /// Tells whether nothing was used or asked for.
+    /// Returns whether nothing was used or requested.
     #[must_use]
     pub fn is_zero(&self) -> bool {
         self.units <= 0.0 && self.asked <= 0.0
     }
 }
 
-/// What one member of the group let pass, by its own words.
+/// What one member of the group admitted, by its own reports.
 #[derive(Debug)]
 struct MemberUse {
     incarnation: Uuid,
-    heard: Time,
-    /// The most that it told of each account.
-    most: Counts,
+    last_seen: Time,
+    /// Highest totals that it reported for each account.
+    peak: Counts,
 }
 
-/// What a lead counts of its group and hears of others, and what of that is to be told.
+/// What a lead counts for its group and receives from others, and what of it is still to be
+/// reported.
 #[derive(Debug, Default)]
 pub struct UseAggregator {
-    /// When this instance began to count for its group, as who hears its counts tells beginnings apart;
+    /// Id of this instance's count for its group, by which receivers distinguish successive counts;
     /// `None` while others count.
     began: Option<Uuid>,
     members: BTreeMap<InstanceId, MemberUse>,
@@ -84,23 +85,24 @@
 }
 
 impl UseAggregator {
-    /// Takes what a member of the group let pass since its start, this instance itself among them.
+    /// Adds a report of what a member of the group, possibly this instance, has admitted since its
+    /// start.
     ///
-    /// What it let pass before it was first heard of is not known to be recent. Of an account that it tells
-    /// of later, what rose since callers came for it is.
-    pub fn add_member_report(&mut self, now: Time, word: &PeerUse) {
+    /// What it admitted before its first report is not known to be recent. For an account that it
+    /// reports for the first time later, the increase since callers last began to use it is.
+    pub fn add_member_report(&mut self, now: Time, report: &PeerUse) {
         if self.began.is_none() {
             return;
         }
-        let known = self.members.contains_key(&word.name);
+        let known = self.members.contains_key(&report.name);
         let member = self
             .members
-            .entry(word.name.clone())
-            .or_insert_with(|| MemberUse::new(now, word.incarnation));
-        member.hear(now, word.incarnation);
-        let rises = word.used.iter().map(|told| {
-            let rise = member.rise(told, known);
-            rise.named(told.account.clone())
+            .entry(report.name.clone())
+            .or_insert_with(|| MemberUse::new(now, report.incarnation));
+        member.mark_seen(now, report.incarnation);
+        let rises = report.used.iter().map(|reported| {
+            let rise = member.rise(reported, known);
+            rise.named(reported.account.clone())
         });
         for rise in rises.filter(|rise| !rise.totals().is_zero()) {
             self.to_leads.add(&rise);
@@ -108,51 +110,52 @@
         }
     }
 
-    /// Takes what the lead of another group counted of it.
-    pub fn add_group_report(&mut self, now: Time, zone: &str, word: &UseCounts) {
+    /// Adds the counts of another group as its lead reports them.
+    pub fn add_group_report(&mut self, now: Time, zone: &str, report: &UseCounts) {
         if self.began.is_none() {
             return;
         }
-        let heard = self.groups.entry(zone.to_owned()).or_default();
-        for rise in heard.merge(now, word) {
+        let counts = self.groups.entry(zone.to_owned()).or_default();
+        for rise in counts.merge(now, report) {
             self.to_group.add(&rise);
         }
     }
 
-    /// Gives what the leads of other groups are to hear of `lead`: counts of the own group; `None` while
+    /// Returns the report to the leads of other groups: the counts of the own group; `None` while
     /// others count.
     pub fn report_for_leads(&mut self, lead: &str) -> Option<UseCounts> {
-        Some(self.to_leads.take_word(lead, self.began?))
+        Some(self.to_leads.report(lead, self.began?))
     }
 
-    /// Gives what the own group is to hear, likewise: counts of all groups.
+    /// Returns the report to the own group: the counts of all groups; `None` while others count.
     pub fn report_for_group(&mut self, lead: &str) -> Option<UseCounts> {
-        Some(self.to_group.take_word(lead, self.began?))
+        Some(self.to_group.report(lead, self.began?))
     }
 
-    /// Forgets members that fell silent, whose rows would pile up where instances come and go.
+    /// Removes members that fell silent; their rows would accumulate as instances come and go.
     pub fn sweep(&mut self, now: Time) {
-        self.members.retain(|_, m| m.heard + FORGET_AFTER > now);
+        self.members.retain(|_, m| m.last_seen + FORGET_AFTER > now);
     }
 
-    /// Begins to count for the group, unless this instance does already; `beginning` is made for this.
-    pub fn start(&mut self, beginning: impl FnOnce() -> Uuid) {
+    /// Starts counting for the group unless this instance already does; `new_id` gives the id of
+    /// the count.
+    pub fn start(&mut self, new_id: impl FnOnce() -> Uuid) {
         if self.began.is_none() {
-            self.began = Some(beginning());
+            self.began = Some(new_id());
         }
     }
 
-    /// Forgets everything, since others count for the group.
+    /// Discards everything, since other instances count for the group.
     pub fn reset(&mut self) {
         if self.began.is_some() {
             *self = Self::default();
         }
     }
 
-    /// Counts the rows that are kept of members and accounts.
+    /// Returns the number of rows of members and accounts.
     #[must_use]
     pub fn rows(&self) -> usize {
-        self.members.values().map(|m| 1 + m.most.len()).sum()
+        self.members.values().map(|m| 1 + m.peak.len()).sum()
     }
 }
 
@@ -160,26 +163,30 @@
     fn new(now: Time, incarnation: Uuid) -> Self {
         Self {
             incarnation,
-            heard: now,
-            most: Counts::new(),
+            last_seen: now,
+            peak: Counts::new(),
         }
     }
 
-    fn hear(&mut self, now: Time, incarnation: Uuid) {
+    fn mark_seen(&mut self, now: Time, incarnation: Uuid) {
         if self.incarnation == incarnation {
-            self.heard = now;
+            self.last_seen = now;
         } else {
             *self = Self::new(now, incarnation);
         }
     }
 
-    /// Gives by how much what is told is more than before; `followed` tells whether the member was heard
-    /// before, which tells of all accounts for which callers come.
-    fn rise(&mut self, told: &AccountUse, followed: bool) -> UseTotals {
-        let first = if followed { told.before } else { told.totals() };
-        let most = self.most.entry(told.account.clone()).or_insert(first);
-        let rise = told.totals().above(*most);
-        *most = most.plus(rise);
+    /// Returns the increase over what was reported before. `followed` says whether the member was
+    /// known: a known member reports every account that callers use.
+    fn rise(&mut self, reported: &AccountUse, followed: bool) -> UseTotals {
+        let first = if followed {
+            reported.before
+        } else {
+            reported.totals()
+        };
+        let peak = self.peak.entry(reported.account.clone()).or_insert(first);
+        let rise = reported.totals().above(*peak);
+        *peak = peak.plus(rise);
         rise
     }
 }
--- a/crates/firdock-policy/src/usage/merged_counts.rs
+++ b/crates/firdock-policy/src/usage/merged_counts.rs
@@ -1,4 +1,4 @@
-//! Counts that several tell of the same use, each from its own beginning.
+//! Counts of the same use by several reporters, each from its own start.
 
 use std::collections::BTreeMap;
 
@@ -9,87 +9,91 @@
 use crate::event::{AccountUse, UseCounts, UseTotals};
 use crate::time::Time;
 
-/// One of those who count the same.
+/// A reporter of the counts.
 #[derive(Debug)]
-struct Teller {
+struct Reporter {
     began: Uuid,
-    heard: Time,
-    /// Whether it was heard when it had counted nothing yet.
-    whole: bool,
-    /// What makes its counts go on from what was known: of one that was heard from its beginning when it
-    /// began, of another when it first told of an account.
+    last_seen: Time,
+    /// Whether it was received from its start, when nothing was counted yet.
+    from_start: bool,
+    /// Offsets that make its counts continue the known totals: taken at its start for a reporter
+    /// received from its start, otherwise at its first report of an account.
     offsets: Counts,
 }
 
-/// Counts that several tell of the same use: a group's two leads, or those who lead it one after another.
+/// Merged counts of the same use: of the two leads of a group, or of successive leads.
 #[derive(Debug, Default)]
 pub struct MergedCounts {
-    tellers: BTreeMap<InstanceId, Teller>,
-    /// How far the use has risen, by whoever counted furthest.
-    risen: Counts,
+    reporters: BTreeMap<InstanceId, Reporter>,
+    /// Total increase, by the reporter that counted furthest.
+    known_totals: Counts,
 }
 
 impl MergedCounts {
-    /// Takes a word; gives by how much the use of each account rose.
+    /// Merges a report; returns the increase for each account.
     ///
-    /// What a teller counted before it was first heard is not known to be new: where it was not heard from
-    /// its beginning, its first word on each account says nothing. What it counts from then on is new, as
-    /// far as no other teller told of it before.
-    pub fn merge(&mut self, now: Time, word: &UseCounts) -> Vec<AccountUse> {
-        self.tellers.retain(|_, t| t.heard + FORGET_AFTER > now);
-        let teller = self
-            .tellers
-            .entry(word.lead.clone())
-            .or_insert_with(|| Teller::new(now, word, &self.risen));
-        if teller.began == word.began {
-            teller.heard = now;
+    /// What a reporter counted before its first report is not known to be new: unless it was
+    /// received from its start, its first report of each account is only a baseline. Later
+    /// increases are new as far as no other reporter has reported them before.
+    pub fn merge(&mut self, now: Time, report: &UseCounts) -> Vec<AccountUse> {
+        self.reporters
+            .retain(|_, t| t.last_seen + FORGET_AFTER > now);
+        let reporter = self
+            .reporters
+            .entry(report.lead.clone())
+            .or_insert_with(|| Reporter::new(now, report, &self.known_totals));
+        if reporter.began == report.began {
+            reporter.last_seen = now;
         } else {
-            *teller = Teller::new(now, word, &self.risen);
+            *reporter = Reporter::new(now, report, &self.known_totals);
         }
-        let whole = teller.whole;
+        let from_start = reporter.from_start;
         let mut rises = Vec::new();
-        for told in &word.counts {
-            let known = self.risen.entry(told.account.clone()).or_default();
+        for reported in &report.counts {
+            let known = self
+                .known_totals
+                .entry(reported.account.clone())
+                .or_default();
             let first = || {
-                if whole {
+                if from_start {
                     UseTotals::default()
                 } else {
-                    known.minus(told.totals())
+                    known.minus(reported.totals())
                 }
             };
-            let offset = *teller
+            let offset = *reporter
                 .offsets
-                .entry(told.account.clone())
+                .entry(reported.account.clone())
                 .or_insert_with(first);
-            let rise = told.totals().plus(offset).above(*known);
+            let rise = reported.totals().plus(offset).above(*known);
             if !rise.is_zero() {
                 *known = known.plus(rise);
-                rises.push(rise.named(told.account.clone()));
+                rises.push(rise.named(reported.account.clone()));
             }
         }
         rises
     }
 
-    /// Forgets the accounts that are not `wanted`: what is told of them later begins anew.
+    /// Removes accounts that are not `wanted`; later reports of them start from a new baseline.
     pub fn retain(&mut self, wanted: impl Fn(&str) -> bool) {
-        self.risen.retain(|account, _| wanted(account));
-        for teller in self.tellers.values_mut() {
-            teller.offsets.retain(|account, _| wanted(account));
+        self.known_totals.retain(|account, _| wanted(account));
+        for reporter in self.reporters.values_mut() {
+            reporter.offsets.retain(|account, _| wanted(account));
         }
     }
 }
 
-impl Teller {
-    fn new(now: Time, word: &UseCounts, risen: &Counts) -> Self {
-        let offsets = if word.fresh {
-            risen.clone()
+impl Reporter {
+    fn new(now: Time, report: &UseCounts, known_totals: &Counts) -> Self {
+        let offsets = if report.fresh {
+            known_totals.clone()
         } else {
             Counts::new()
         };
         Self {
-            began: word.began,
-            heard: now,
-            whole: word.fresh,
+            began: report.began,
+            last_seen: now,
+            from_start: report.fresh,
             offsets,
         }
     }
--- a/crates/firdock-policy/src/usage/outbox.rs
+++ b/crates/firdock-policy/src/usage/outbox.rs
@@ -1,4 +1,4 @@
-//! Counts that wait to be told.
+//! Queue of counts to be reported.
 
 use std::collections::BTreeMap;
 
@@ -8,13 +8,13 @@
 use super::Counts;
 use crate::event::{AccountUse, UseCounts};
 
-/// How often a count that changed is told: one word may be lost.
-const TELLINGS: u8 = 2;
-/// Accounts told of in one word, some 16 KB with the longest names that are usual; the others follow with
-/// the next word.
+/// Number of times a changed count is reported, as one report may be lost.
+const REPORTS_PER_CHANGE: u8 = 2;
+/// Maximum number of accounts per report, about 16 KB with the longest usual names; the others
+/// follow in the next report.
 pub const MAX_REPORTED_ACCOUNTS: usize = 400;
 
-/// Counts that are to be told, those first that have waited longest.
+/// Counts to be reported, those that have waited longest first.
 #[derive(Debug, Default)]
 pub(super) struct Outbox {
     counts: Counts,
@@ -22,11 +22,11 @@
     changes: u64,
 }
 
-/// When a count came to be told, and how often it still is.
+/// When a count was queued, and how many reports of it remain.
 #[derive(Debug, Clone, Copy)]
 struct Waiting {
     since: u64,
-    left: u8,
+    remaining: u8,
 }
 
 impl Outbox {
@@ -36,15 +36,15 @@
         self.changes += 1;
         let new = Waiting {
             since: self.changes,
-            left: TELLINGS,
+            remaining: REPORTS_PER_CHANGE,
         };
         self.waiting
             .entry(rise.account.clone())
-            .and_modify(|w| w.left = TELLINGS)
+            .and_modify(|w| w.remaining = REPORTS_PER_CHANGE)
             .or_insert(new);
     }
 
-    pub(super) fn take_word(&mut self, lead: &str, began: Uuid) -> UseCounts {
+    pub(super) fn report(&mut self, lead: &str, began: Uuid) -> UseCounts {
         UseCounts {
             lead: lead.to_owned(),
             began,
@@ -61,22 +61,22 @@
             .collect();
         order.sort_unstable();
         order.truncate(MAX_REPORTED_ACCOUNTS);
-        let told = order.into_iter().filter_map(|(_, account)| {
-            self.note_told(&account);
+        let reported = order.into_iter().filter_map(|(_, account)| {
+            self.record_reported(&account);
             let count = *self.counts.get(&account)?;
             Some(count.named(account))
         });
-        told.collect()
+        reported.collect()
     }
 
-    fn note_told(&mut self, account: &str) {
+    fn record_reported(&mut self, account: &str) {
         self.changes += 1;
         let Some(waiting) = self.waiting.get_mut(account) else {
             return;
         };
-        waiting.left -= 1;
+        waiting.remaining -= 1;
         waiting.since = self.changes;
-        if waiting.left == 0 {
+        if waiting.remaining == 0 {
             self.waiting.remove(account);
         }
     }
