--- a/crates/firdock-policy/src/action.rs
+++ b/crates/firdock-policy/src/action.rs
@@ -1,4 +1,4 @@
-//! What the policy wants done.
+//! Actions: the outputs of the policy.
 
 use firdock_core::{EndpointId, InstanceId, Reason, RequestId, StartId};
 use serde::{Deserialize, Serialize};
@@ -9,13 +9,13 @@
 use crate::suspect::SuspectReport;
 use crate::time::Time;
 
-/// One thing to do, in the order given.
+/// An action for the caller of the policy, to be taken in the order given.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "action", rename_all = "kebab-case")]
 pub enum Action {
     /// Send the request to an endpoint.
     Dispatch(Dispatch),
-    /// Tell the endpoint to stop working on the request.
+    /// Cancel the request at the endpoint.
     Cancel {
         /// Request.
         id: RequestId,
@@ -24,34 +24,34 @@
         /// Dispatch to cancel.
         dispatch: u32,
     },
-    /// Stop a dispatch whose endpoint has started again since, and tell how far its answer came.
+    /// Stop a dispatch whose endpoint has restarted, and report how far its answer got.
     GiveUpDispatch {
         /// Request.
         id: RequestId,
         /// Dispatch to stop.
         dispatch: u32,
     },
-    /// Look whether an endpoint is still there, whose connection ended early.
+    /// Check whether an endpoint is alive after its connection ended early.
     #[serde(rename = "look")]
     CheckLiveness {
         /// Endpoint.
         endpoint: EndpointId,
-        /// Start that is meant.
+        /// Start of the endpoint.
         start: StartId,
     },
-    /// Give a dispatch back if it is not written yet: its endpoint wants nothing new.
+    /// Withdraw a dispatch unless it has been written: its endpoint takes no new work.
     Withhold {
         /// Request.
         id: RequestId,
-        /// Dispatch to give back.
+        /// Dispatch to withdraw.
         dispatch: u32,
     },
-    /// Ask the coordinator for a place on an engine.
+    /// Ask the coordinator for a placement on an engine.
     Ask {
         /// Request.
         id: RequestId,
     },
-    /// Give a place back that the coordinator gave and that is not used.
+    /// Return an unused placement to the coordinator.
     Decline(Grant),
     /// Hand the request over to a peer.
     HandOver {
@@ -59,10 +59,10 @@
         id: RequestId,
         /// Peer.
         peer: InstanceId,
-        /// Whether the peer owns the request's key, or is asked to make room.
+        /// Why it is handed over.
         cause: HandOverCause,
     },
-    /// Tell the peer that the caller went away.
+    /// Tell the peer that the caller disconnected.
     CancelHandOver {
         /// Request.
         id: RequestId,
@@ -76,35 +76,35 @@
         /// The answer.
         verdict: Verdict,
     },
-    /// Give the peer its request back, which did not run here.
+    /// Return a request to the peer that handed it over; it did not run here.
     RefuseHandOver {
         /// Request.
         id: RequestId,
-        /// Why, for the case that the peer cannot serve it either.
+        /// Verdict for the case that the peer cannot serve it either.
         verdict: Verdict,
-        /// Starts of endpoints that it was dispatched to and that refused it.
+        /// Starts of endpoints to which it was dispatched and which refused it.
         tried: Vec<StartId>,
     },
-    /// End an answer that has begun and cannot be completed, so that the caller can tell.
+    /// Abort an answer that has begun and cannot be completed, so that the caller can detect it.
     Cut {
         /// Request.
         id: RequestId,
-        /// Why.
+        /// Reason.
         reason: Reason,
     },
-    /// Give the endpoint's own answer that it failed, which was kept.
+    /// Send the buffered answer with which the endpoint reported its failure.
     PassFailure {
         /// Request.
         id: RequestId,
     },
-    /// Give the kept answer of an earlier request with the same key.
+    /// Replay the cached answer of an earlier request with the same key.
     Replay {
         /// Request.
         id: RequestId,
-        /// Request whose answer is kept.
+        /// Request whose answer is cached.
         earlier: RequestId,
     },
-    /// Forget the kept answer of a request.
+    /// Remove the cached answer of a request.
     Forget {
         /// Request.
         id: RequestId,
@@ -116,15 +116,15 @@
         /// The transfer.
         transfer: KeyTransfer,
     },
-    /// Keep in the platform's store that nothing of a request is sent any more.
+    /// Record in the platform's store that a request is in quarantine and no longer sent.
     Quarantine(SuspectReport),
-    /// Keep the state of a roll-out in the platform's store.
+    /// Record the state of a roll-out in the platform's store.
     Record(RolloutRecord),
-    /// All work is done; the instance may exit.
+    /// All work is finished; the instance may exit.
     Drained,
 }
 
-/// Order to send a request to an endpoint.
+/// Command to send a request to an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Dispatch {
     /// Request.
@@ -133,14 +133,14 @@
     pub endpoint: EndpointId,
     /// Number of the dispatch.
     pub dispatch: u32,
-    /// Tokens that the caller already has; the endpoint goes on from there.
+    /// Tokens that the caller already has; the endpoint resumes after them.
     pub resume_from: u32,
-    /// Priority for the engine: 0 goes first.
+    /// Priority at the engine; 0 is the highest.
     pub priority: u8,
-    /// Time after which the request must not be written any more: an opaque key's confirmation or
-    /// the configuration's freshness ends then.
+    /// Time after which the request must not be written: the confirmation of an opaque key or the
+    /// validity of the configuration ends then.
     pub confirm_by: Option<Time>,
-    /// When the request's time is up.
+    /// Deadline of the request.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub deadline: Option<Time>,
 }
--- a/crates/firdock-policy/src/buffers.rs
+++ b/crates/firdock-policy/src/buffers.rs
@@ -1,7 +1,7 @@
-//! Accounting of the answers that are held for callers who read slowly, and which of them are cut.
+//! Accounting of answers buffered for slow callers, and the choice of those to abort.
 //!
-//! An endpoint's place is free once its answer is read, so answers wait here for their callers. All of
-//! them share one budget of bytes (see `docs/design/slow-readers.md`).
+//! An endpoint's slot is freed once its answer has been read, so answers wait here for their
+//! callers. They share one budget of bytes (see `docs/design/slow-readers.md`).
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap};
@@ -11,89 +11,90 @@
 
 use crate::time::Time;
 
-/// Number of an answer's buffer, given by its owner.
+/// Id of an answer's buffer, assigned by its owner.
 pub type BufferId = u64;
 
-/// Longest time that a caller may take nothing of what is held for it.
+/// Longest time for which a caller may read nothing of its buffered answer.
 ///
-/// A caller on a poor line may stand still for some seconds and read on; one that takes nothing for
-/// half a minute has stopped for good, and its bytes are of more use to others.
+/// A caller on a poor connection may stall for some seconds and continue; one that reads nothing
+/// for half a minute has stopped for good, and its bytes are of more use to others.
 pub const CALLER_STALL: Duration = Duration::from_secs(30);
 
-/// Time for which a caller may be behind a whole answer before it counts as late: longer than a caller is
-/// that reads as fast as its line lets it, and well below the time at which a lost one is given up.
+/// Time for which a caller may lag behind a complete answer before it counts as late: longer than a
+/// caller lags that reads as fast as its connection allows, and well below the time after which a
+/// lost caller is given up.
 const LATE_AFTER: Duration = Duration::from_secs(1);
 
-/// What is held for one caller.
+/// Buffer of one caller.
 #[derive(Debug, Clone)]
-struct Row {
+struct Buffer {
     account: AccountId,
     bytes: usize,
     /// When the caller last had everything, or the answer began.
     behind_since: Time,
-    /// When the caller last took something, or something was held for it first.
-    taken: Time,
+    /// When the caller last read something, or the first bytes were buffered for it.
+    last_read: Time,
     /// Whether the endpoint's answer is complete.
-    whole: bool,
+    complete: bool,
     /// Whether the caller is known to be late.
     late: bool,
 }
 
-impl Row {
-    /// Gives how much is held for how long, in byte-milliseconds.
+impl Buffer {
+    /// Returns the buffered bytes times the time that the caller has lagged, in byte-milliseconds.
     fn weight(&self, now: Time) -> u128 {
         self.bytes as u128 * now.saturating_sub(self.behind_since).as_millis()
     }
 }
 
-/// Bytes held for callers, by answer, within one budget.
+/// Bytes buffered per answer, within one budget.
 #[derive(Debug)]
 pub struct AnswerBuffers {
     budget: usize,
     bytes: usize,
-    rows: BTreeMap<BufferId, Row>,
+    buffers: BTreeMap<BufferId, Buffer>,
 }
 
 impl AnswerBuffers {
-    /// Makes the accounting of a budget in bytes.
+    /// Creates the accounting for a budget in bytes.
     #[must_use]
     pub fn new(budget: usize) -> Self {
         Self {
             budget,
             bytes: 0,
-            rows: BTreeMap::new(),
+            buffers: BTreeMap::new(),
         }
     }
 
-    /// Begins the accounting of an answer.
+    /// Opens the buffer of an answer.
     pub fn open(&mut self, now: Time, id: BufferId, account: AccountId) {
-        let row = Row {
+        let buffer = Buffer {
             account,
             bytes: 0,
             behind_since: now,
-            taken: now,
-            whole: false,
+            last_read: now,
+            complete: false,
             late: false,
         };
-        self.rows.insert(id, row);
+        self.buffers.insert(id, buffer);
     }
 
-    /// Holds bytes of an answer; gives the answers that are cut for it, which may be this one.
+    /// Buffers bytes of an answer; returns the answers to abort for it, possibly this one.
     ///
-    /// What is cut counts no more. Afterwards the budget is kept, whatever was held.
+    /// Their bytes are no longer counted; the budget holds afterwards in any case.
     pub fn hold(&mut self, now: Time, id: BufferId, bytes: usize) -> Vec<BufferId> {
-        let Some(row) = self.rows.get_mut(&id) else {
+        let Some(row) = self.buffers.get_mut(&id) else {
             return Vec::new();
         };
         if row.bytes == 0 {
             row.behind_since = now;
-            row.taken = now;
+            row.last_read = now;
         }
         row.bytes += bytes;
         self.bytes += bytes;
         let mut cut = Vec::new();
         while self.bytes > self.budget {
-            let Some(next) = self.next_cut(now) else {
+            let Some(next) = self.select_aborted(now) else {
                 break;
             };
             self.close(next);
@@ -102,35 +103,35 @@
         cut
     }
 
-    /// Notes that a caller took bytes that were held for it.
+    /// Records that a caller read bytes buffered for it.
     pub fn consume(&mut self, now: Time, id: BufferId, bytes: usize) {
-        let Some(row) = self.rows.get_mut(&id) else {
+        let Some(row) = self.buffers.get_mut(&id) else {
             return;
         };
         let bytes = bytes.min(row.bytes);
         row.bytes -= bytes;
-        row.taken = now;
+        row.last_read = now;
         self.bytes -= bytes;
     }
 
-    /// Notes that the endpoint's answer is complete.
+    /// Records that the endpoint's answer is complete.
     pub fn mark_complete(&mut self, id: BufferId) {
-        if let Some(row) = self.rows.get_mut(&id) {
-            row.whole = true;
+        if let Some(row) = self.buffers.get_mut(&id) {
+            row.complete = true;
         }
     }
 
-    /// Ends the accounting of an answer.
+    /// Closes the buffer of an answer.
     pub fn close(&mut self, id: BufferId) {
-        if let Some(row) = self.rows.remove(&id) {
+        if let Some(row) = self.buffers.remove(&id) {
             self.bytes -= row.bytes;
         }
     }
 
-    /// Gives the answers of which nothing was taken for `limit`; they count no more.
+    /// Returns the answers of which nothing was read for `limit`; their buffers are closed.
     pub fn cut_stalled(&mut self, now: Time, limit: Duration) -> Vec<BufferId> {
-        let stalled = |row: &Row| row.bytes > 0 && row.taken + limit <= now;
-        let found = self.rows.iter().filter(|(_, row)| stalled(row));
+        let stalled = |row: &Buffer| row.bytes > 0 && row.last_read + limit <= now;
+        let found = self.buffers.iter().filter(|(_, row)| stalled(row));
         let found: Vec<BufferId> = found.map(|(id, _)| *id).collect();
         for id in &found {
             self.close(*id);
@@ -138,12 +139,12 @@
         found
     }
 
-    /// Gives the answers that became late: whole, and their callers behind for some time.
+    /// Returns the answers that became late: complete, with their callers lagging for some time.
     pub fn became_late(&mut self, now: Time) -> Vec<BufferId> {
         let mut found = Vec::new();
-        for (id, row) in &mut self.rows {
+        for (id, row) in &mut self.buffers {
             let behind = row.bytes > 0 && row.behind_since + LATE_AFTER <= now;
-            if behind && row.whole && !row.late {
+            if behind && row.complete && !row.late {
                 row.late = true;
                 found.push(*id);
             }
@@ -151,34 +152,34 @@
         found
     }
 
-    /// Gives the bytes held for all callers.
+    /// Returns the bytes buffered for all callers.
     #[must_use]
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Finds the answer that is cut next.
+    /// Selects the next answer to abort.
     ///
-    /// Answers that are whole come last: their work is done, and they are of use also when late. Among
-    /// the others, those of the account that holds most come first, so that no account's slow callers
-    /// cost another's; of these, the one that held most for longest.
-    fn next_cut(&self, now: Time) -> Option<BufferId> {
-        let holds = |row: &Row| row.bytes > 0;
-        let unfinished = self.rows.values().any(|row| holds(row) && !row.whole);
+    /// Complete answers come last: their work is done, and they are useful even if late. Among the
+    /// others, those of the account with the most bytes come first, so that no account's slow
+    /// callers affect another's; of these, the one with the most byte-milliseconds.
+    fn select_aborted(&self, now: Time) -> Option<BufferId> {
+        let holds = |row: &Buffer| row.bytes > 0;
+        let unfinished = self.buffers.values().any(|row| holds(row) && !row.complete);
         let accounts = self.by_account();
-        let rows = self.rows.iter();
-        let rows = rows.filter(|(_, row)| holds(row) && !(unfinished && row.whole));
-        let order = |(id, row): &(&BufferId, &Row)| {
+        let buffers = self.buffers.iter();
+        let buffers = buffers.filter(|(_, row)| holds(row) && !(unfinished && row.complete));
+        let order = |(id, row): &(&BufferId, &Buffer)| {
             let account = accounts.get(row.account.as_str()).copied();
             (account, row.weight(now), row.bytes, Reverse(**id))
         };
-        rows.max_by_key(order).map(|(id, _)| *id)
+        buffers.max_by_key(order).map(|(id, _)| *id)
     }
 
-    /// Gives the bytes held by account.
+    /// Returns the buffered bytes by account.
     fn by_account(&self) -> HashMap<&str, usize> {
         let mut accounts = HashMap::new();
-        for row in self.rows.values() {
+        for row in self.buffers.values() {
             *accounts.entry(row.account.as_str()).or_default() += row.bytes;
         }
         accounts
--- a/crates/firdock-policy/src/event.rs
+++ b/crates/firdock-policy/src/event.rs
@@ -1,4 +1,4 @@
-//! What the policy is told.
+//! Events: the inputs of the policy.
 
 mod endpoint;
 mod totals;
@@ -25,115 +25,117 @@
     UseTotals,
 };
 
-/// One thing that happened.
+/// An event that the policy reacts to.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Event {
     /// A request arrived.
     Arrived(NewRequest),
-    /// The caller went away.
+    /// The caller disconnected.
     CallerLeft(RequestId),
-    /// An endpoint told something about a dispatch.
+    /// An endpoint reported the progress of a dispatch.
     Endpoint(EndpointEvent),
-    /// It was looked whether an endpoint is still there.
+    /// The result of a liveness check of an endpoint.
     #[serde(rename = "looked")]
     LivenessChecked(LivenessResult),
-    /// An endpoint told how long work takes there now.
+    /// An endpoint reported its current pace.
     #[serde(rename = "paced")]
     PaceReported(PaceReport),
-    /// An endpoint said with an answer that it leaves, or wants nothing for a while.
+    /// An endpoint announced with an answer that it is leaving, or asked for a back-off.
     #[serde(rename = "noticed")]
     NoticeReported(NoticeReport),
     /// An endpoint reported its load and cache.
     Report(LoadReport),
-    /// An endpoint's report could not be had.
+    /// An endpoint's report could not be read.
     ReportMissed(EndpointId),
     /// The configuration in force changed.
     Config(Arc<Catalog>),
-    /// The member view changed.
+    /// The membership view changed.
     View(MemberView),
-    /// Another member transferred keys that it owned and this instance owns now.
+    /// Another member transferred keys that it used to own and this instance now owns.
     KeyTransfer(KeyTransfer),
     /// The log was read up to its end.
     LogRead(LogReading),
     /// The instance list was read.
     Listed(Vec<ListedInstance>),
-    /// Someone else than a peer tells of requests under which endpoints ended: the platform's store, or an
-    /// instance's own tables to those with which it coordinates.
+    /// Suspects reported by a source other than a peer: the platform's store, or an instance's own
+    /// tables on behalf of those it coordinates with.
     #[serde(rename = "suspected")]
     SuspectsReported(Vec<SuspectReport>),
-    /// An operator lets a request go again, for what ended up to a time.
+    /// An operator released a request from exits up to a time.
     Released(ContentId, Time),
-    /// A peer's heartbeat came.
+    /// A peer's heartbeat arrived.
     Peer(PeerUpdate),
-    /// A lead told its counts of what all instances let pass of account limits, this one among them.
+    /// A lead reported its counts of what all instances, including this one, admitted under account
+    /// limits.
     #[serde(rename = "site-used")]
     SiteUseReported(UseCounts),
     /// The link to a peer broke.
     PeerLost(InstanceId),
-    /// So many other instances are known of, whether heard from or not.
+    /// The number of other instances known, whether or not they have sent heartbeats.
     PeersKnown(usize),
-    /// The lead of another group told of its demand.
+    /// The lead of another group reported its demand.
     GroupDemand(GroupDemand),
-    /// The lead of another group told what its endpoints did for accounts.
+    /// The lead of another group reported the work of its endpoints for accounts.
     GroupWork(GroupWork),
-    /// The leads of all groups hear so many instances, this one among them.
+    /// The number of instances, including this one, that the leads of all groups receive heartbeats
+    /// from.
     Reach(usize),
     /// The configuration in force was the newest at this time.
     #[serde(rename = "fresh")]
     ConfigConfirmed(Time),
-    /// Whether an instance answers that places this instance's requests on engines.
+    /// Whether an instance responds that places this instance's requests on engines.
     Coordinated(bool),
-    /// The coordinator gave a request a place on an engine.
+    /// The coordinator placed a request on an engine.
     Granted(Grant),
-    /// The coordinator gave a request up, which ran nowhere.
+    /// The coordinator gave a request up; it ran nowhere.
     NotGranted(RequestId, Verdict),
-    /// To a coordinator: a member already runs this request, which another one had placed.
+    /// For a coordinator: a member already runs this request, which another coordinator had placed.
     Adopted(NewRequest, StartId),
-    /// A peer told something about a hand-over.
+    /// A peer reported the progress of a hand-over.
     HandOver(HandOverEvent),
-    /// A peer told how far a roll-out is.
+    /// A peer reported the status of a roll-out.
     Rollout(RolloutStatus),
-    /// The lead of another group told what its group saw of roll-outs.
+    /// The lead of another group reported its group's evidence on roll-outs.
     GroupEvidence(GroupEvidence),
-    /// The platform's store has this of a roll-out.
+    /// The state of a roll-out as recorded in the platform's store.
     Recorded(RolloutRecord),
-    /// Whether this instance leads the site, and decides on roll-outs.
+    /// Whether this instance leads the site and decides on roll-outs.
     Decides(bool),
-    /// The instance is to stop.
+    /// The instance should stop.
     Drain,
-    /// Time passed.
+    /// Periodic timer.
     Timer,
 }
 
-/// A place on an engine that a coordinator gave to a request.
+/// Placement of a request on an engine by a coordinator.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
     /// Request.
     pub id: RequestId,
     /// Start of the engine.
     pub endpoint: StartId,
-    /// Time to the first token that the coordinator expects, which knows more of the engine than the
-    /// instance that asked; zero where it told none.
+    /// Time to the first token that the coordinator expects; it knows more about the engine than
+    /// the instance that asked. Zero if it was not reported.
     #[serde(default, skip_serializing_if = "Time::is_zero")]
     pub predicted: Time,
 }
 
-/// One start of an instance, told apart from earlier starts under the same name.
+/// One start of an instance, distinct from earlier starts under the same name.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// Name of the instance.
     pub name: InstanceId,
-    /// Minted at the start of the process: what an earlier process knew is lost.
+    /// Generated at the start of the process; state of an earlier process is lost.
     pub incarnation: Uuid,
 }
 
-/// Members by the log, in force since a record's time.
+/// Members according to the log, in force since the time of a record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberView {
-    /// Time of the record that made the view, by the log's clock.
+    /// Time of the record that created the view, by the log's clock.
     pub since: LogTime,
-    /// Number of the view, greater for each later one.
+    /// Number of the view; it increases.
     pub number: u64,
     /// Whether no view was in force before this one.
     pub first: bool,
@@ -144,13 +146,13 @@
 /// A read of the log that reached its end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogReading {
-    /// The log's clock when it answered.
+    /// The log's clock at the response.
     pub log_time: LogTime,
     /// This process's clock when the read was sent.
     pub sent: Time,
 }
 
-/// One row of the platform's instance list.
+/// Entry of the platform's instance list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedInstance {
     /// Name.
@@ -159,7 +161,7 @@
     pub leaving: bool,
 }
 
-/// What a peer tells of itself.
+/// Contents of a peer's heartbeat.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct PeerUpdate {
     /// Peer.
@@ -174,22 +176,22 @@
     pub draining: bool,
     /// Starts of endpoints that it knows to be leaving.
     pub leaving: Vec<StartId>,
-    /// Start of the peer's process: totals of an earlier one do not go on.
+    /// Start of the peer's process; totals do not continue across starts.
     #[serde(default, skip_serializing_if = "Uuid::is_nil")]
     pub incarnation: Uuid,
-    /// What it has let pass of limited accounts since its start.
+    /// What it has admitted for accounts with limits since its start.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub used: Vec<AccountUse>,
-    /// What it saw of roll-outs since their orders.
+    /// Its evidence on roll-outs since their orders.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub seen: Vec<Evidence>,
-    /// Requests under which endpoints ended, those of which something is new or whose turn it is.
+    /// Suspects that changed recently, and others in rotation.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub suspects: Vec<SuspectReport>,
 }
 
 impl PeerUpdate {
-    /// Gives what the peer let pass of account limits.
+    /// Returns what the peer admitted under account limits.
     #[must_use]
     pub fn own_use(&self) -> PeerUse {
         PeerUse {
@@ -200,54 +202,54 @@
     }
 }
 
-/// What became of a hand-over.
+/// Progress of a hand-over.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum HandOverEvent {
-    /// The peer did not take the request, or was not reached; it ran nowhere there.
+    /// The peer refused the request or could not be reached; it ran nowhere there.
     Refused(HandOverRefusal),
-    /// The head of the answer came through the peer.
+    /// The head of the answer arrived through the peer.
     Started(RequestId),
-    /// The whole answer came through the peer.
+    /// The complete answer arrived through the peer.
     Ended(RequestId),
-    /// The peer gave `unknown` as its final answer.
+    /// The peer's final answer was `unknown`.
     Unknown(RequestId, Verdict),
     /// The link broke after the request was sent.
     Broke(RequestId),
 }
 
-/// A peer did not take a request, or was not reached.
+/// Refusal of a request by a peer, or failure to reach it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HandOverRefusal {
     /// Request.
     pub id: RequestId,
-    /// What the peer said; `None` where it was not reached.
+    /// The peer's verdict; `None` if it could not be reached.
     pub verdict: Option<Verdict>,
-    /// Starts of endpoints that the peer dispatched it to and that refused it.
+    /// Starts of endpoints to which the peer dispatched the request and which refused it.
     pub tried: Vec<StartId>,
 }
 
-/// The keys of a member that another owns now.
+/// Keys of a member that another member now owns.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyTransfer {
     /// Start of the member that transfers them.
     pub incarnation: Uuid,
-    /// Number of the newest view that it has folded.
+    /// Number of the newest view that it has applied.
     pub view: u64,
-    /// Keys that it ran or is running, or that others transferred to it, and that the receiver
-    /// owns in that view.
+    /// Keys that it ran or is running, or that were transferred to it, and that the receiver owns
+    /// in that view.
     pub keys: Vec<u64>,
     /// Transfers that it knows of.
     pub known: Vec<KnownTransfer>,
 }
 
-/// That a member transferred its keys to another.
+/// Record of a transfer of keys between two members.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KnownTransfer {
     /// Start of the member that transferred them.
     pub from: Uuid,
     /// Start of the member that received them.
     pub to: Uuid,
-    /// Number of the newest view that the sender had folded.
+    /// Number of the newest view that the sender had applied.
     pub view: u64,
 }
--- a/crates/firdock-policy/src/event/endpoint.rs
+++ b/crates/firdock-policy/src/event/endpoint.rs
@@ -1,4 +1,4 @@
-//! What is heard of endpoints: the course of dispatches, looks at them, and their reports.
+//! Events from endpoints: progress of dispatches, results of liveness checks, and load reports.
 
 use std::time::Duration;
 
@@ -6,88 +6,90 @@
 use firdock_core::{EndpointId, RequestId, StartId};
 use serde::{Deserialize, Serialize};
 
-/// What an endpoint told about a dispatch.
+/// An endpoint's update on a dispatch.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointEvent {
     /// Request.
     pub id: RequestId,
-    /// Number of the dispatch, so that late news of an earlier one is told apart.
+    /// Number of the dispatch, to recognise late updates of an earlier one.
     pub dispatch: u32,
-    /// The news.
+    /// The update.
     #[serde(rename = "news")]
     pub update: DispatchUpdate,
 }
 
-/// The course of a dispatch.
+/// Progress of a dispatch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DispatchUpdate {
-    /// The connect failed or the endpoint itself refused: the request did not run there.
+    /// The connection failed or the endpoint refused the request; it did not run there.
     Refused {
-        /// Whether the endpoint could not even be reached.
+        /// Whether the endpoint could not be reached.
         unreachable: bool,
     },
-    /// The key's confirmation or the configuration's freshness lapsed before the write; the
-    /// request was not sent.
+    /// The key's confirmation or the configuration's validity expired before the write; the request
+    /// was not sent.
     Lapsed,
-    /// The endpoint said meanwhile that it wants nothing new; the request was not sent.
+    /// The endpoint announced in the meantime that it takes no new work; the request was not sent.
     Withheld,
     /// The answer began.
     Started {
-        /// Whether its head was passed on, so that no other answer can be given any more.
+        /// Whether its head was passed on, so that no other answer can be given.
         head_sent: bool,
     },
-    /// Tokens came, and have been passed on.
+    /// Tokens were received and passed on.
     Tokens {
-        /// Tokens of the whole answer that have been passed on so far.
+        /// Tokens of the whole answer passed on so far.
         delivered: u32,
-        /// Prompt tokens that the engine took from its cache.
+        /// Prompt tokens that the engine read from its cache.
         cached: u32,
     },
-    /// The whole answer has been passed on.
+    /// The complete answer has been passed on.
     Ended {
-        /// Prompt tokens as the endpoint counted them.
+        /// Prompt tokens as counted by the endpoint.
         prompt: u32,
-        /// Prompt tokens that the engine took from its cache.
+        /// Prompt tokens that the engine read from its cache.
         cached: u32,
-        /// Tokens of the whole answer.
+        /// Tokens of the complete answer.
         output: u32,
     },
-    /// The endpoint answered that it failed; how the dispatch ends by that is told next.
+    /// The endpoint answered with a failure; an update that ends the dispatch follows.
     Failed,
-    /// That answer is kept whole, so that the caller can get it in place of one of firdock's own.
+    /// That answer is buffered completely and can be passed on instead of an answer of firdock's
+    /// own.
     FailureKept,
-    /// The answer ended with its connection, so that nothing proves it whole; its end is told next.
+    /// The answer ended with its connection, so it is not proven complete; the update that ends the
+    /// dispatch follows.
     Unproven,
-    /// The caller has a part of the answer after which no other endpoint can go on.
+    /// The caller has received a part of the answer from which no other endpoint can resume.
     Unresumable,
-    /// How the dispatch comes to break, which is told next.
+    /// Cause of the break that the next update reports.
     Breaking(BreakCause),
     /// The connection broke or fell silent after the request was sent.
     Broke {
-        /// Tokens of the whole answer that have been passed on.
+        /// Tokens of the answer that have been passed on.
         delivered: u32,
     },
 }
 
-/// How a dispatch came to break.
+/// Cause of a broken dispatch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum BreakCause {
-    /// The connection ended before the answer was whole.
+    /// The connection ended before the answer was complete.
     Closed,
-    /// Nothing came for too long.
+    /// Nothing was received for too long.
     Silent,
-    /// What came is no answer to the request.
+    /// What was received is not an answer to the request.
     Foreign,
-    /// The endpoint answered that it failed.
+    /// The endpoint answered with a failure.
     Failed,
-    /// The endpoint started again meanwhile.
+    /// The endpoint restarted in the meantime.
     Restarted,
 }
 
 impl BreakCause {
-    /// Gives the word for it in logs and metrics.
+    /// Returns its name in logs and metrics.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -100,29 +102,29 @@
     }
 }
 
-/// What a look at an endpoint found whose connection ended early.
+/// Result of a liveness check of an endpoint whose connection ended early.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LivenessResult {
     /// Start of the endpoint.
     pub start: StartId,
-    /// What was found.
+    /// Result.
     pub found: Liveness,
 }
 
-/// Whether an endpoint is still there.
+/// Whether an endpoint is alive.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Liveness {
-    /// Its address takes connections.
+    /// Its address accepts connections.
     Open,
-    /// Its address refuses them: its process has ended.
+    /// Its address refuses connections: its process has exited.
     Ended,
-    /// Its address does not answer, which says nothing of the process.
+    /// Its address does not respond, which says nothing about the process.
     Silent,
 }
 
 impl Liveness {
-    /// Gives the word for it in logs and metrics.
+    /// Returns its name in logs and metrics.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -140,18 +142,18 @@
     pub endpoint: EndpointId,
     /// Age of the report when it was read.
     pub age: Duration,
-    /// Requests that the endpoint works on.
+    /// Requests that the endpoint is processing.
     pub running: u32,
-    /// Requests that wait in the endpoint's own queue.
+    /// Requests waiting in the endpoint's own queue.
     pub waiting: u32,
     /// Prompt tokens that the endpoint has yet to compute.
     pub backlog: u32,
-    /// Whether the endpoint says that it is leaving.
+    /// Whether the endpoint reports that it is leaving.
     pub leaving: bool,
-    /// Whether cache events before these were missed.
+    /// Whether earlier cache events were missed.
     pub gap: bool,
-    /// Blocks that came into the cache.
+    /// Blocks added to the cache.
     pub added: Vec<BlockHash>,
-    /// Blocks that were dropped from the cache.
+    /// Blocks evicted from the cache.
     pub removed: Vec<BlockHash>,
 }
--- a/crates/firdock-policy/src/event/totals.rs
+++ b/crates/firdock-policy/src/event/totals.rs
@@ -1,5 +1,5 @@
-//! What instances and groups tell of accounts and pools: use of limits, demand, work, and what was seen
-//! of roll-outs.
+//! What instances and groups report about accounts and pools: use of limits, demand, work, and
+//! evidence on roll-outs.
 
 use firdock_core::{AccountId, InstanceId, PoolId, TierRank, ZoneId};
 use serde::{Deserialize, Serialize};
@@ -7,48 +7,49 @@
 
 use crate::rollout::Evidence;
 
-/// What one instance has let pass of account limits since its start.
+/// What one instance has admitted under account limits since its start.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct PeerUse {
     /// The instance.
     pub name: InstanceId,
     /// Start of its process.
     pub incarnation: Uuid,
-    /// Totals by account, those that changed at least.
+    /// Totals by account, at least those that changed.
     pub used: Vec<AccountUse>,
 }
 
-/// What the lead of a group counted of what instances let pass of account limits.
+/// Counts by a group's lead of what instances admitted under account limits.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct UseCounts {
     /// The lead.
     pub lead: InstanceId,
-    /// When it began to count, which tells these counts from earlier ones.
+    /// Id of the count, which distinguishes it from earlier counts of the same lead.
     pub began: Uuid,
-    /// Whether nothing rose yet: whoever hears that knows all counts from their beginning.
+    /// Whether nothing was counted yet: a receiver of such a report knows the counts from their
+    /// start.
     pub fresh: bool,
-    /// Counts by account, those that rose at least.
+    /// Counts by account, at least those that increased.
     pub counts: Vec<AccountUse>,
 }
 
-/// What one instance has let pass of one account's limit since its start.
+/// What one instance has admitted under one account's limit since its start.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AccountUse {
     /// Account.
     pub account: AccountId,
-    /// Units of the limit.
+    /// Units admitted under the limit.
     pub units: f64,
-    /// Units that its callers asked for, with those refused for the limit.
+    /// Units that its callers requested, including those refused for the limit.
     #[serde(default)]
     pub asked: f64,
-    /// The same before callers last came after a while in which none did: what rose since then is recent,
-    /// also for who did not follow the account before.
+    /// The totals before the present period of use by callers. The increase since then is recent,
+    /// also for receivers that did not track the account before.
     #[serde(default, skip_serializing_if = "UseTotals::is_zero")]
     pub before: UseTotals,
 }
 
 impl AccountUse {
-    /// Gives the totals without the account's name.
+    /// Returns the totals without the account's name.
     #[must_use]
     pub fn totals(&self) -> UseTotals {
         UseTotals {
@@ -61,14 +62,14 @@
 /// Totals of one account at one instance since its start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct UseTotals {
-    /// Units of the limit that were let pass.
+    /// Units admitted under the limit.
     pub units: f64,
-    /// Units that callers asked for.
+    /// Units that callers requested.
     pub asked: f64,
 }
 
 impl UseTotals {
-    /// Gives the totals with the account's name.
+    /// Returns the totals with the account's name.
     #[must_use]
     pub fn named(self, account: AccountId) -> AccountUse {
         AccountUse {
@@ -83,10 +84,11 @@
 /// Demand of one instance for the endpoints of one pool.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PoolDemand {
-    /// Pool, or a service without a split, which stands for the endpoints that name it.
+    /// Pool; for a service without a traffic split its name, which stands for the endpoints that
+    /// declare it.
     #[serde(rename = "service")] // As recorded sessions name it.
     pub pool: PoolId,
-    /// Requests a second, with those held.
+    /// Requests per second, including those held.
     pub rate: f64,
 }
 
@@ -99,7 +101,7 @@
     pub demand: Vec<PoolDemand>,
 }
 
-/// What the endpoints of one group did lately for accounts.
+/// Recent work of one group's endpoints for accounts.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct GroupWork {
     /// Availability zone.
@@ -108,7 +110,7 @@
     pub work: Vec<AccountWork>,
 }
 
-/// What one account asked for and had of one pool lately, in requests of one rank.
+/// Recent work requested by one account of one pool and done for it, for requests of one rank.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct AccountWork {
     /// Account.
@@ -117,17 +119,17 @@
     pub pool: PoolId,
     /// Declared rank of the requests.
     pub rank: TierRank,
-    /// Work that was asked for, in seconds that it takes on an endpoint as declared.
+    /// Work requested, in seconds at an endpoint's declared rates.
     pub asked: f64,
-    /// Work that is done, likewise.
+    /// Work done, in the same unit.
     pub done: f64,
 }
 
-/// What the instances of one availability zone saw of roll-outs.
+/// Evidence on roll-outs from the instances of one availability zone.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct GroupEvidence {
     /// Availability zone.
     pub zone: ZoneId,
-    /// What they saw, by roll-out.
+    /// Evidence by roll-out.
     pub seen: Vec<Evidence>,
 }
--- a/crates/firdock-policy/src/lib.rs
+++ b/crates/firdock-policy/src/lib.rs
@@ -1,8 +1,9 @@
-//! Every decision of firdock: admission, endpoint, queue or shed, retry, hand-over, ejection.
+//! All decisions of firdock: admission, choice of endpoint, queueing or shedding, retry, hand-over,
+//! ejection.
 //!
-//! The policy does no I/O and has no clock and no threads: [`Scheduler::step`] takes the present
-//! time and an event and gives actions. The same tables run in the daemon, in golden sessions and
-//! in long random runs (see `docs/design/policy.md`).
+//! The policy does no I/O and has neither a clock nor threads: [`Scheduler::step`] takes the
+//! current time and an event and returns actions. The same code runs in the daemon, in golden
+//! sessions and in long randomised runs (see `docs/design/policy.md`).
 
 pub mod action;
 pub mod buffers;
--- a/crates/firdock-policy/src/load.rs
+++ b/crates/firdock-policy/src/load.rs
@@ -1,21 +1,21 @@
-//! What servers say of their load and of their present pace.
+//! Load and pace that servers report.
 
 use firdock_core::EndpointId;
 use serde::{Deserialize, Serialize};
 
 use crate::time::Time;
 
-/// How long work takes at a server now, in hundredths of the usual.
+/// Current duration of work at a server, in hundredths of the usual duration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "u32", into = "u32")]
 pub struct Pace(u32);
 
 impl Pace {
-    /// Least and greatest pace that is believed: a server is neither ten times as fast as usual nor
-    /// of any use to a caller at fifty times its usual time.
+    /// Bounds of accepted values: no server is ten times as fast as usual, and one at fifty times
+    /// its usual time is of no use to a caller.
     pub const BOUNDS: (u32, u32) = (10, 5_000);
 
-    /// Makes a pace from hundredths of the usual; `None` for one that no server can have.
+    /// Creates a pace from hundredths of the usual duration; `None` if it is out of bounds.
     #[must_use]
     pub fn from_hundredths(hundredths: u32) -> Option<Self> {
         let (least, most) = Self::BOUNDS;
@@ -24,13 +24,13 @@
             .then_some(Self(hundredths))
     }
 
-    /// Gives the hundredths.
+    /// Returns the hundredths.
     #[must_use]
     pub fn hundredths(self) -> u32 {
         self.0
     }
 
-    /// Gives the factor by which work takes longer than usual.
+    /// Returns the factor by which work takes longer than usual.
     #[must_use]
     pub fn factor(self) -> f64 {
         f64::from(self.0) / 100.0
@@ -51,20 +51,20 @@
     }
 }
 
-/// What a server said of its load with an answer.
+/// Load that a server reported with an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServerLoad {
-    /// Requests that it works on.
+    /// Requests being processed.
     pub running: u32,
-    /// Requests that wait there.
+    /// Requests waiting there.
     pub waiting: u32,
-    /// Requests that it works on at once.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
-    /// How long work takes there now, where servers tell it.
+    /// Current pace, if the server reports it.
     pub pace: Option<Pace>,
 }
 
-/// The pace that a server told, with the time at which it was read.
+/// A pace reported by a server, with the time at which it was read.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PaceReport {
     /// Server.
--- a/crates/firdock-policy/src/request.rs
+++ b/crates/firdock-policy/src/request.rs
@@ -15,7 +15,7 @@
 use crate::event::BreakCause;
 use crate::time::{LogTime, Time};
 
-/// Where a request came from.
+/// Origin of a request.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Origin {
@@ -26,21 +26,21 @@
     Peer(InstanceId),
 }
 
-/// An idempotency key that a caller gave.
+/// An idempotency key provided by a caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyClaim {
     /// Hash of the account and the key.
     pub hash: u64,
-    /// Hash of the request, so that a key is not taken for another request.
+    /// Hash of the request, so that the key is not accepted for a different request.
     pub fingerprint: u64,
-    /// When the key was minted, for keys that carry it (`UUIDv7`).
+    /// Creation time of the key, for keys that contain it (`UUIDv7`).
     pub minted: Option<LogTime>,
 }
 
 /// A request that arrived.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NewRequest {
-    /// Id minted at the door.
+    /// Id generated at the ingress.
     pub id: RequestId,
     /// Service that the request matched.
     pub service: ServiceId,
@@ -48,34 +48,34 @@
     pub account: AccountId,
     /// Estimated tokens of the prompt; 0 for plain calls.
     pub prompt_tokens: u32,
-    /// Most tokens that the answer may have; 0 for plain calls.
+    /// Maximum tokens of the answer; 0 for plain calls.
     pub output_tokens: u32,
     /// Chained hashes of the prompt's blocks.
     pub blocks: Vec<BlockHash>,
-    /// Bytes that the request occupies.
+    /// Memory that the request occupies, in bytes.
     pub bytes: usize,
-    /// Idempotency key, if the caller gave one.
+    /// Idempotency key, if the caller provided one.
     pub key: Option<KeyClaim>,
     /// Caller or peer.
     pub origin: Origin,
-    /// Starts of endpoints that the peer which handed it over had dispatched it to.
+    /// Starts of endpoints to which the peer that handed it over had dispatched it.
     pub tried: Vec<StartId>,
-    /// When the caller stops waiting, if it said so.
+    /// When the caller stops waiting, if known.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub deadline: Option<Time>,
-    /// An evenly drawn number that picks the pool of a service that splits its requests.
+    /// Uniform random number that selects the pool of a service with a traffic split.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub draw: u32,
-    /// How long it was held before, at the instance that asks for it.
+    /// How long it was held before, at the instance that asks for its placement.
     #[serde(default, skip_serializing_if = "Time::is_zero")]
     pub age: Time,
-    /// Instance that asks for it and will send it; empty for the own one.
+    /// Instance that asks for its placement and will send it; empty for this instance.
     #[serde(default, skip_serializing_if = "InstanceId::is_empty")]
     pub member: InstanceId,
-    /// Availability zone of the instance that asks for it; empty for the own one.
+    /// Availability zone of that instance; empty for this instance.
     #[serde(default, skip_serializing_if = "ZoneId::is_empty")]
     pub zone: ZoneId,
-    /// What it asks for, the same whenever it comes again; `None` where it is not known.
+    /// Content, equal for each repetition of the request; `None` if not known.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub content: Option<Arc<Content>>,
 }
@@ -89,30 +89,30 @@
 }
 
 impl NewRequest {
-    /// Gives the tokens of the prompt and the most that the answer may have.
+    /// Returns the tokens of the prompt plus the maximum tokens of the answer.
     #[must_use]
     pub fn tokens(&self) -> u32 {
         self.prompt_tokens.saturating_add(self.output_tokens)
     }
 }
 
-/// A final answer that firdock itself gives.
+/// Final answer by firdock itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Verdict {
     /// `not-run` or `unknown`.
     pub outcome: Outcome,
-    /// Why.
+    /// Reason.
     pub reason: Reason,
-    /// When the caller should come back; `None` where coming back is no use.
+    /// When the caller should retry; `None` if a retry is of no use.
     pub retry_after: Option<Duration>,
 }
 
-/// Where a request is on its way.
+/// Where a request is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
     /// Waiting in firdock.
     Held,
-    /// Sent towards an endpoint (row), no answer yet.
+    /// Sent to an endpoint (row) that has not answered yet.
     Dispatching(usize),
     /// The endpoint (row) is answering.
     Running(usize),
@@ -120,14 +120,15 @@
     HandedOver(usize),
 }
 
-/// How far the placement of a request by a coordinator is.
+/// State of a request's placement by a coordinator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlacementState {
     /// No coordinator was asked since the request was last held.
     NotRequested,
     /// The coordinator was asked.
     Requested,
-    /// In a coordinator's tables: it ran already when the coordinator first heard of it.
+    /// In a coordinator's tables: the request was already running when the coordinator learned of
+    /// it.
     Adopted,
 }
 
@@ -136,114 +137,115 @@
 pub struct RequestRow {
     /// The request as it arrived.
     pub new: NewRequest,
-    /// How long before its arrival its caller first tried it.
+    /// Time between the caller's first attempt and its arrival.
     pub since_first_attempt: Duration,
     /// Row of its service.
     pub service: usize,
     /// Row of its account.
     pub account: usize,
-    /// Rank in which it is served: the declared one, or a later one where its account had its share.
+    /// Rank at which it is served: the declared one, or a lower one if its account is over its
+    /// share.
     pub rank: u8,
-    /// Rank by its account and tier at arrival.
+    /// Rank by account and tier at arrival.
     pub declared_rank: u8,
     /// When it arrived.
     pub arrived: Time,
-    /// Pool that it goes to, of a service that splits its requests.
+    /// Pool of the request, if its service has a traffic split.
     pub pool: Option<PoolId>,
-    /// When its time is up: the caller's or the service's limit, whichever comes first.
+    /// Deadline: the caller's or the service's limit, whichever is earlier.
     pub deadline: Option<Time>,
-    /// What it was charged against its account's limit.
+    /// Units charged against its account's limit.
     pub charge: f64,
-    /// Where it is.
+    /// Present phase.
     pub phase: Phase,
-    /// Number of the present dispatch, counted from 1.
+    /// Number of the present dispatch, starting at 1.
     pub dispatch: u32,
-    /// Starts of endpoints that it was dispatched to.
+    /// Starts of endpoints to which it was dispatched.
     pub tried: Vec<StartId>,
-    /// Peers (names) that refused it.
+    /// Names of peers that refused it.
     pub refused_by: Vec<String>,
-    /// Why it is with a peer, if it is.
+    /// Why it was handed over, if it is with a peer.
     pub hand_over_cause: Option<HandOverCause>,
-    /// When the key counts as minted, by the log's clock; `None` without a key that binds.
+    /// Creation time of the key, by the log's clock; `None` without a binding key.
     pub minted: Option<LogTime>,
-    /// Until when, by this process's clock, an opaque key may be dispatched.
+    /// Until when, by this process's clock, a request with an opaque key may be dispatched.
     pub confirm_by: Option<Time>,
-    /// Dispatches that may have run, the present one included.
+    /// Dispatches that may have run, including the present one.
     pub runs: usize,
-    /// Whether an earlier dispatch may have run; from then on `not-run` would be untrue.
+    /// Whether an earlier dispatch may have run; `not-run` is then no longer a correct outcome.
     pub ran_before: bool,
-    /// Tokens that reached the caller, from which a second endpoint resumes.
+    /// Tokens that reached the caller, after which another endpoint resumes.
     pub delivered: u32,
-    /// What of an answer has reached the caller.
+    /// Part of the answer that has reached the caller.
     pub delivered_part: DeliveredPart,
-    /// When the present dispatch or hand-over was made.
+    /// Time of the present dispatch or hand-over.
     pub dispatched: Time,
-    /// When the first token or byte came.
+    /// When the first token or byte arrived.
     pub first: Option<Time>,
-    /// Prompt tokens that the present dispatch has to compute, as estimated.
+    /// Estimated prompt tokens that the present dispatch has to compute.
     pub uncached: u32,
-    /// Prompt tokens that its endpoint computes before its first token, as estimated.
+    /// Estimated prompt tokens that its endpoint computes before its first token.
     pub work: f64,
-    /// Work that its account was charged for the present dispatch, in seconds; 0 without shares.
+    /// Work charged to its account for the present dispatch, in seconds; 0 without shares.
     pub charged_work: f64,
     /// Predicted time to the first token of the present dispatch.
     pub predicted: Time,
     /// Tokens that had reached the caller before the present dispatch.
     pub resumed_from: u32,
-    /// Whether the endpoint of the present dispatch answered that it failed.
+    /// Whether the endpoint of the present dispatch reported a failure.
     pub failure: EndpointFailure,
-    /// What the end of the present dispatch's answer proves.
+    /// Whether the end of the present dispatch's answer proves it complete.
     pub completion_proof: CompletionProof,
-    /// How the present dispatch comes to break, if it does.
+    /// Cause for which the present dispatch is breaking, if it is.
     pub breaking: Option<BreakCause>,
-    /// How far its placement by a coordinator is.
+    /// State of its placement by a coordinator.
     pub placement: PlacementState,
-    /// Starts of engines that the coordinator gave it and that this instance could not use.
+    /// Starts of engines that the coordinator assigned and this instance could not use.
     pub declined: Vec<StartId>,
 }
 
-/// Whether an endpoint answered that it failed.
+/// Whether an endpoint reported a failure.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum EndpointFailure {
-    /// It did not.
+    /// No failure.
     #[default]
     None,
-    /// It did.
+    /// A failure was reported.
     Reported,
-    /// It did, and its answer can be passed on.
+    /// A failure was reported, and the answer is buffered and can be passed on.
     Buffered,
 }
 
 /// What the end of an answer proves.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum CompletionProof {
-    /// That the answer is whole, and so that its endpoint lives.
+    /// The answer is complete, so its endpoint is alive.
     #[default]
     Proven,
-    /// Nothing: an endpoint that ends may end its answer so as well.
+    /// Nothing: an endpoint that exits may end its answer in the same way.
     Unproven,
 }
 
-/// What of an answer has reached the caller.
+/// Part of an answer that has reached the caller.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum DeliveredPart {
-    /// Nothing, so that any answer can still be given.
+    /// Nothing; any other answer can still be given.
     #[default]
     Nothing,
-    /// Its head at least; another endpoint can go on after it.
+    /// At least the head; another endpoint can resume the answer.
     Head,
-    /// A part after which no other endpoint can go on.
+    /// A part from which no other endpoint can resume.
     Unresumable,
 }
 
 impl RequestRow {
-    /// Tells whether the head of an answer has reached the caller.
+    /// Returns whether the head of an answer has reached the caller.
     #[must_use]
     pub fn head_sent(&self) -> bool {
         self.delivered_part != DeliveredPart::Nothing
     }
 
-    /// Makes the row of a request that just arrived.
+    /// Creates the row of a new request.
     #[must_use]
     pub fn new(now: Time, new: NewRequest, service: usize, account: usize, rank: u8) -> Self {
         Self {
@@ -283,7 +285,7 @@
         }
     }
 
-    /// Gives the request with its pool, the time limit of its service, and what it was charged.
+    /// Sets the pool, the deadline by the service's limit, and the charge.
     #[must_use]
     pub fn with_service(mut self, service: &Service, charge: f64) -> Self {
         let limit = service.timeout().map(|limit| self.arrived + limit);
@@ -293,25 +295,25 @@
         self
     }
 
-    /// Gives the key of counts by pool: the pool, or empty for all endpoints together.
+    /// Returns the pool key of counts: the pool, or empty for all endpoints together.
     #[must_use]
     pub fn pool_key(&self) -> &str {
         self.pool.as_deref().unwrap_or_default()
     }
 
-    /// Gives the identity of what it asks for, where that is known.
+    /// Returns the id of the content, if it is known.
     #[must_use]
     pub fn content_id(&self) -> Option<ContentId> {
         self.new.content.as_ref().map(|content| content.id)
     }
 
-    /// Tells whether the request may have run, or may be running.
+    /// Returns whether the request may have run, or may be running.
     #[must_use]
     pub fn may_have_run(&self) -> bool {
         self.ran_before || self.phase != Phase::Held
     }
 
-    /// Gives how the request ends if it ends now without an answer.
+    /// Returns the outcome if the request ends now without an answer.
     #[must_use]
     pub fn outcome_unanswered(&self) -> Outcome {
         if self.may_have_run() {
--- a/crates/firdock-policy/src/scheduler.rs
+++ b/crates/firdock-policy/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! The scheduler: takes one event at a time and gives the actions that follow from it.
+//! The scheduler: takes one event at a time and returns the resulting actions.
 
 use crate::action::Action;
 use crate::event::Event;
@@ -11,9 +11,9 @@
 use crate::table::{ReachableInstances, Tables};
 use crate::time::Time;
 
-/// Something that decides; the scheduler here, and simpler baselines in measurements.
+/// A decision procedure: this scheduler, or a simpler baseline in measurements.
 pub trait Policy {
-    /// Takes an event at the time `now` and appends the actions that follow.
+    /// Handles an event at the time `now` and appends the resulting actions.
     fn step(&mut self, now: Time, event: Event, out: &mut Vec<Action>);
 }
 
@@ -24,7 +24,7 @@
 }
 
 impl Scheduler {
-    /// Makes a scheduler with empty tables.
+    /// Creates a scheduler with empty tables.
     #[must_use]
     pub fn new(settings: PolicySettings) -> Self {
         Self {
@@ -32,17 +32,17 @@
         }
     }
 
-    /// Gives the tables, to read.
+    /// Returns the tables for reading.
     #[must_use]
     pub fn tables(&self) -> &Tables {
         &self.tables
     }
 
-    /// Checks everything that must hold between tables.
+    /// Checks all invariants between tables.
     ///
     /// # Panics
     ///
-    /// Panics where an invariant is broken: going on would break a promise to a caller.
+    /// Panics if an invariant is violated; continuing would break a guarantee to a caller.
     pub fn check_invariants(&self, now: Time) {
         invariants::check_all(&self.tables, now);
     }
--- a/crates/firdock-policy/src/settings.rs
+++ b/crates/firdock-policy/src/settings.rs
@@ -1,4 +1,4 @@
-//! Bounds and switches of the policy.
+//! Limits and switches of the policy.
 
 use std::time::Duration;
 
@@ -8,43 +8,43 @@
 
 use crate::event::Member;
 
-/// Mechanisms that can be switched off, so that each can be shown to earn its place.
+/// Mechanisms that can be switched off to measure the effect of each.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[expect(
     clippy::struct_excessive_bools,
     reason = "each switch is independent of the others"
 )]
 pub struct Mechanisms {
-    /// Requests wait in firdock until an endpoint has room, instead of in its queue.
+    /// Requests wait in firdock, not in an endpoint's queue, until an endpoint has capacity.
     pub late_binding: bool,
     /// Cached prefixes count in the choice of an endpoint.
     pub affinity: bool,
-    /// Rates are learned from answers instead of taken from the resources.
+    /// Rates are learned from answers rather than taken from the declarations.
     pub learning: bool,
-    /// Budgets on endpoints follow the demand that peers tell.
+    /// Budgets of endpoints follow the demand reported by peers.
     pub demand_shares: bool,
     /// Failing endpoints are ejected.
     pub ejection: bool,
     /// Broken streams are resumed on another engine.
     pub resume: bool,
-    /// Requests wait a little for an endpoint that has their prefix cached.
+    /// Requests wait for a short time for an endpoint that has their prefix cached.
     pub wait_for_cache: bool,
-    /// Requests that can no longer be answered in time go after those that can.
+    /// Requests that can no longer be answered in time are served after those that can.
     pub late_last: bool,
-    /// Held requests go to peers when this instance is full or stops.
+    /// Held requests are handed over to peers when this instance is full or stopping.
     pub hand_over: bool,
     /// Requests that cannot begin in time are refused while the caller can still go elsewhere.
     pub early_refusal: bool,
-    /// The choice of an endpoint goes by the time to the first token more than by the whole.
+    /// The choice of an endpoint weighs the time to the first token more than the total time.
     pub first_token: bool,
-    /// Engines are shared by whole places that add up over all instances.
+    /// Endpoint budgets are whole slots that add up over all instances.
     pub integer_budgets: bool,
-    /// Endpoints in the own availability zone are preferred.
+    /// Endpoints in the instance's own availability zone are preferred.
     pub prefer_own_zone: bool,
 }
 
 impl Mechanisms {
-    /// All mechanisms on that serve callers of the own interface.
+    /// All mechanisms for callers of firdock's own interface.
     pub const ALL: Self = Self {
         late_binding: true,
         affinity: true,
@@ -61,7 +61,7 @@
         prefer_own_zone: false,
     };
 
-    /// What serves at the edge of a platform, where callers try another instance by themselves.
+    /// Mechanisms at the edge of a platform, where callers retry at another instance by themselves.
     pub const EDGE: Self = Self {
         affinity: false,
         wait_for_cache: false,
@@ -74,20 +74,20 @@
     };
 }
 
-/// Shares of accounts where room is short (`docs/design/shares.md`).
+/// Shares of accounts when capacity is short (`docs/design/shares.md`).
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum AccountShares {
-    /// None: it goes by tier and arrival alone.
+    /// No shares: the order is by tier and arrival.
     #[default]
     Off,
-    /// Of each tier by itself.
+    /// Shares within each tier.
     ByTier,
-    /// Over all tiers of the accounts of a rank.
+    /// Shares over all tiers of accounts of a rank.
     OverTiers,
 }
 
 impl AccountShares {
-    /// Takes them from the instance's settings.
+    /// Reads them from the instance's settings.
     #[must_use]
     pub fn new(limits: &Limits) -> Self {
         match (limits.account_shares, limits.shares_over_tiers) {
@@ -97,66 +97,66 @@
         }
     }
 
-    /// Tells whether accounts have any.
+    /// Returns whether shares are on.
     #[must_use]
     pub fn is_on(self) -> bool {
         self != Self::Off
     }
 
-    /// Tells whether they are over all tiers.
+    /// Returns whether shares span all tiers.
     #[must_use]
     pub fn is_over_tiers(self) -> bool {
         self == Self::OverTiers
     }
 }
 
-/// Bounds of the policy, taken from the instance's settings.
+/// Settings of the policy, taken from the instance's settings.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PolicySettings {
-    /// Name of this instance and this start of it.
+    /// Name and start of this instance.
     pub member: Member,
     /// Availability zone of this instance.
     pub zone: ZoneId,
-    /// Requests held at once.
+    /// Maximum number of requests held.
     pub max_held: usize,
-    /// Bytes of requests held or running at once.
+    /// Maximum bytes of requests held or running.
     pub held_bytes: usize,
-    /// Second tries allowed, as a part of the first.
+    /// Retries allowed, as a fraction of first attempts.
     pub retry_ratio: f64,
-    /// Second tries allowed on top, over all instances; `None` for a bound of this one alone.
+    /// Additional retries allowed over all instances; `None` for a limit per instance.
     pub retry_slack: Option<f64>,
-    /// Most endpoints of a service ejected at once, as a part of all.
+    /// Maximum fraction of a service's endpoints that may be ejected at once.
     pub eject_ratio: f64,
-    /// Account limits wait until it is known how many other instances there are.
+    /// Whether account limits wait until the number of other instances is known.
     pub await_peers: bool,
-    /// Broken dispatches in a row after which an endpoint is ejected.
+    /// Consecutive broken dispatches after which an endpoint is ejected.
     pub eject_after: u32,
-    /// Age of the configuration beyond which requests with a key are refused.
+    /// Age of the configuration above which requests with a key are refused.
     pub max_config_age: Option<Duration>,
-    /// Age at which a peer's news is stale.
+    /// Age at which a peer's heartbeat is stale.
     pub peer_stale_after: Duration,
-    /// Grace after a key changed owner (G in `docs/design/keys.md`).
+    /// Grace period after a key's owner changes (G in `docs/design/keys.md`).
     pub key_grace: Duration,
-    /// Time for which a key is remembered.
+    /// Time for which a key is kept.
     pub key_retention: Duration,
-    /// Keys remembered at once.
+    /// Maximum number of keys.
     pub max_keys: usize,
-    /// How much a version may be tried before it is known to be good.
+    /// Limits on a version's traffic before it is known to be good.
     pub rollouts: Rollouts,
     /// Switches for measurements.
     pub mechanisms: Mechanisms,
-    /// Whether these tables place requests of other instances on engines (`docs/design/placement.md`):
-    /// limits and second tries are charged where a request came in.
+    /// Whether these tables place requests of other instances on engines
+    /// (`docs/design/placement.md`); limits and retries are then charged where a request arrived.
     pub coordinates: bool,
-    /// Unix time at which this process's clock stood at zero, by which the starts that endpoints tell
-    /// are dated; `None` where it is not known.
+    /// Unix time at zero of this process's clock, by which the start times that endpoints report
+    /// are dated; `None` if not known.
     pub unix_zero: Option<Duration>,
-    /// Which shares accounts have of what endpoints do.
+    /// Kind of account shares.
     pub account_shares: AccountShares,
 }
 
 impl PolicySettings {
-    /// Takes the policy's part of the instance's settings.
+    /// Creates the policy's settings from those of the instance.
     #[must_use]
     pub fn new(settings: &Settings, incarnation: Uuid) -> Self {
         Self {
@@ -185,37 +185,37 @@
         }
     }
 
-    /// Makes the settings of a coordinator's tables from those of its instance.
+    /// Creates the settings of a coordinator's tables from those of its instance.
     #[must_use]
     pub fn with_coordination(mut self) -> Self {
         self.coordinates = true;
-        // Freshness is looked at where a request is sent.
+        // The configuration's age is checked where a request is sent.
         self.max_config_age = None;
         self
     }
 
-    /// Lets account limits wait until it is known how many other instances there are.
+    /// Makes account limits wait until the number of other instances is known.
     #[must_use]
     pub fn with_await_peers(mut self) -> Self {
         self.await_peers = true;
         self
     }
 
-    /// Sets the Unix time at which this process's clock stood at zero.
+    /// Sets the Unix time at zero of this process's clock.
     #[must_use]
     pub fn with_unix_zero(mut self, zero: Duration) -> Self {
         self.unix_zero = Some(zero);
         self
     }
 
-    /// Sets how many dispatches in a row have to break before an endpoint is ejected.
+    /// Sets the number of consecutive broken dispatches after which an endpoint is ejected.
     #[must_use]
     pub fn with_eject_after(mut self, dispatches: u32) -> Self {
         self.eject_after = dispatches;
         self
     }
 
-    /// Switches mechanisms on or off.
+    /// Sets the mechanisms.
     #[must_use]
     pub fn with_mechanisms(mut self, mechanisms: Mechanisms) -> Self {
         self.mechanisms = mechanisms;
--- a/crates/firdock-policy/src/stats.rs
+++ b/crates/firdock-policy/src/stats.rs
@@ -1,4 +1,4 @@
-//! Counters that the policy keeps while it decides.
+//! Counters of the policy.
 
 use std::collections::BTreeMap;
 
@@ -6,17 +6,17 @@
 
 use crate::event::{BreakCause, Liveness};
 
-/// Why prefill work was lost.
+/// Why prefill work was wasted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum WasteCause {
-    /// The endpoint was lost before the answer was whole.
+    /// The endpoint was lost before the answer was complete.
     EndpointLost,
-    /// The caller went away while the request ran.
+    /// The caller disconnected while the request ran.
     CallerLeft,
 }
 
 impl WasteCause {
-    /// Gives the label used in metrics.
+    /// Returns the label used in metrics.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -26,21 +26,21 @@
     }
 }
 
-/// How a try of a request ended, as its caller sees it from the first try on.
+/// How an attempt of a request ended, seen by its caller since the first attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum AttemptOutcome {
-    /// Answered, and begun within the target since the first try.
+    /// Answered; the answer began within the target, counted from the first attempt.
     InTime,
     /// Answered later.
     Late,
-    /// Refused, and ran nowhere.
+    /// Refused; it ran nowhere.
     NotRun,
-    /// Ended without a whole answer, and may have run.
+    /// Ended without a complete answer; it may have run.
     Unknown,
 }
 
 impl AttemptOutcome {
-    /// Gives the label used in metrics.
+    /// Returns the label used in metrics.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -52,12 +52,12 @@
     }
 }
 
-/// What tries are counted by.
+/// Key by which attempts are counted.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptKey {
     /// Tier.
     pub tier: String,
-    /// Whether the caller came back with it.
+    /// Whether it is a retry by the caller.
     pub returned: bool,
     /// How it ended.
     pub end: AttemptOutcome,
@@ -68,18 +68,18 @@
 pub struct TierStats {
     /// Requests that arrived from callers.
     pub arrived: u64,
-    /// Whole answers whose first token or byte met the tier's target.
+    /// Complete answers whose first token or byte met the tier's target.
     pub good: u64,
-    /// Whole answers.
+    /// Complete answers.
     pub answered: u64,
-    /// Requests given up for load.
+    /// Requests shed because of load.
     pub shed: u64,
 }
 
-/// What refusals for load are counted by.
+/// Key by which refusals because of load are counted.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RefusalKey {
-    /// Account; [`RefusalKey::OTHERS`] beyond those that are told apart.
+    /// Account; [`RefusalKey::OTHERS`] once the maximum of rows is reached.
     pub account: AccountId,
     /// Declared rank of the request.
     pub rank: TierRank,
@@ -88,16 +88,16 @@
 }
 
 impl RefusalKey {
-    /// Name under which accounts count beyond those that are told apart.
+    /// Account name for all refusals beyond the maximum of rows.
     pub const OTHERS: &'static str = "(others)";
-    /// Rows that are kept, so that names of accounts do not fill the metrics.
-    pub const MOST: usize = 512;
+    /// Maximum number of rows, so that account names do not fill the metrics.
+    pub const MAX_ROWS: usize = 512;
 }
 
 /// Notices of the endpoints of one pool.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct NoticeStats {
-    /// Starts of endpoints that said that they leave.
+    /// Starts of endpoints that announced that they are leaving.
     pub leaving: u64,
     /// Answers that asked for a back-off.
     pub backoffs: u64,
@@ -110,44 +110,44 @@
     pub tiers: BTreeMap<String, TierStats>,
     /// Prompt tokens computed in vain, by cause.
     pub wasted: BTreeMap<WasteCause, u64>,
-    /// Ends by outcome.
+    /// Finished requests by outcome.
     pub outcomes: BTreeMap<Outcome, u64>,
-    /// Final answers of firdock's own, by reason.
+    /// Final answers of firdock itself, by reason.
     pub reasons: BTreeMap<Reason, u64>,
-    /// Ended tries: by these, times to come back are judged by what callers get of them.
+    /// Finished attempts. They show what callers gain from the retry times that they are given.
     pub attempts: BTreeMap<AttemptKey, u64>,
-    /// Refusals for load by account, where accounts have shares.
+    /// Refusals because of load by account, where accounts have shares.
     pub refusals: BTreeMap<RefusalKey, u64>,
     /// Dispatches.
     pub dispatches: u64,
-    /// Figures of their pace that endpoints told, by pool.
+    /// Pace reports of endpoints, by pool.
     pub pace_reports: BTreeMap<PoolId, u64>,
-    /// What endpoints said of themselves with answers, by pool.
+    /// Notices of endpoints, by pool.
     pub notices: BTreeMap<PoolId, NoticeStats>,
-    /// Broken dispatches, by how they came to break.
+    /// Broken dispatches by cause.
     pub broken: BTreeMap<BreakCause, u64>,
-    /// Looks at endpoints whose connections ended early, by what was found.
+    /// Liveness checks of endpoints whose connections ended early, by result.
     pub liveness_checks: BTreeMap<Liveness, u64>,
-    /// Ends of endpoints that were held against a request.
+    /// Exits of endpoints attributed to a request.
     pub blamed: u64,
-    /// Second tries after a broken dispatch.
+    /// Retries after a broken dispatch.
     pub retries: u64,
-    /// Late or crossed news that was dropped.
+    /// Late or outdated updates that were dropped.
     pub stale_news: u64,
     /// Requests handed over to peers.
     pub handed_over: u64,
-    /// Times that an endpoint was ejected.
+    /// Ejections of endpoints.
     pub ejections: u64,
-    /// Times that an endpoint started again under its name.
+    /// Restarts of endpoints under the same name.
     pub restarts: u64,
-    /// Dispatches that ended with a start of their endpoint.
+    /// Dispatches that were lost when their endpoint restarted.
     pub lost_by_restart: u64,
 }
 
 impl Stats {
-    /// Counts a refusal for load.
+    /// Counts a refusal because of load.
     pub fn count_refusal(&mut self, mut key: RefusalKey) {
-        let full = self.refusals.len() >= RefusalKey::MOST;
+        let full = self.refusals.len() >= RefusalKey::MAX_ROWS;
         if full && !self.refusals.contains_key(&key) {
             RefusalKey::OTHERS.clone_into(&mut key.account);
         }
--- a/crates/firdock-policy/src/suspect.rs
+++ b/crates/firdock-policy/src/suspect.rs
@@ -1,5 +1,5 @@
-//! Requests under which endpoints end: the runs that broke, and what instances tell each other of them
-//! (`docs/design/suspects.md`).
+//! Requests during which endpoints exit: broken runs, and the reports that instances exchange about
+//! them (`docs/design/suspects.md`).
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,41 +9,41 @@
 
 use crate::time::Time;
 
-/// One end of an endpoint with a request on board, as one instance tells another.
+/// An endpoint's exit while it ran a request, as reported between instances.
 ///
-/// Times are told as ages, since each instance has a clock of its own.
+/// Times are sent as ages, since each instance has its own clock.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportedExit {
-    /// Start of the endpoint that ended.
+    /// Start of the endpoint.
     pub start: StartId,
-    /// How long ago the request was sent there.
+    /// Time since the request was sent there.
     pub sent_ago: Duration,
-    /// How long ago the endpoint ended.
+    /// Time since the endpoint exited.
     pub ended_ago: Duration,
-    /// Whether it counts no more: the request was answered since, or an operator let it go.
+    /// Whether it no longer counts: the request was answered since, or an operator released it.
     pub void: bool,
 }
 
-/// A request under which endpoints ended, as one instance tells another.
+/// A request during which endpoints exited, as reported between instances.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectReport {
-    /// What it asks for.
+    /// Content of the request.
     pub content: Arc<Content>,
     /// Account that sends it.
     pub account: AccountId,
-    /// Service that it matched when an endpoint first ended under it.
+    /// Service that it matched when an endpoint first exited during it.
     pub service: ServiceId,
-    /// The ends that are known.
+    /// The known exits.
     #[serde(rename = "ends")]
     pub exits: Vec<ReportedExit>,
 }
 
-/// A run whose connection ended early: its endpoint may have ended, and under it.
+/// A run whose connection ended early: its endpoint may have exited because of it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BrokenRun {
     /// Start of the endpoint.
     pub start: StartId,
-    /// What was asked for.
+    /// Content of the request.
     pub content: Arc<Content>,
     /// Account that sent it.
     pub account: AccountId,
--- a/crates/firdock-policy/src/time.rs
+++ b/crates/firdock-policy/src/time.rs
@@ -1,8 +1,8 @@
-//! The two clocks that decisions see, both given from outside.
+//! The two clocks that decisions use; both are passed in.
 
 use std::time::Duration;
 
-/// Time since some fixed point in this process, from a clock that never steps back.
+/// Time since a fixed point in this process, from a monotonic clock.
 pub type Time = Duration;
 /// Time by the clock of the platform's log, since the Unix epoch.
 pub type LogTime = Duration;
