--- a/crates/firdock-policy/benches/decision.rs
+++ b/crates/firdock-policy/benches/decision.rs
@@ -1,4 +1,4 @@
-//! Cost of one decision as the tables grow: endpoints, accounts, requests held.
+//! Cost of a decision by table size: endpoints, accounts, held requests.
 
 #![expect(
     missing_docs,
@@ -78,7 +78,7 @@
 }
 
 /// A request arrives, is dispatched, begins and ends.
-fn whole_course(s: &mut Scheduler, n: u64, accounts: usize) {
+fn full_request(s: &mut Scheduler, n: u64, accounts: usize) {
     let mut out = Vec::new();
     let new = request(n, accounts);
     let id = new.id;
@@ -113,7 +113,7 @@
         group.bench_with_input(BenchmarkId::from_parameter(endpoints), &(), |b, ()| {
             b.iter(|| {
                 n += 1;
-                whole_course(&mut s, n, 10);
+                full_request(&mut s, n, 10);
             });
         });
     }
@@ -128,15 +128,15 @@
         group.bench_with_input(BenchmarkId::from_parameter(accounts), &(), |b, ()| {
             b.iter(|| {
                 n += 1;
-                whole_course(&mut s, n, accounts);
+                full_request(&mut s, n, accounts);
             });
         });
     }
     group.finish();
 }
 
-/// A scheduler whose endpoints are full and that holds requests of many accounts.
-fn full(held: usize) -> Scheduler {
+/// Creates a scheduler whose endpoints are full and that holds requests of many accounts.
+fn full_scheduler(held: usize) -> Scheduler {
     let mut s = scheduler(64, 500, 1);
     for n in 0..(held + 64) as u64 {
         s.step(now(n), Event::Arrived(request(n, 500)), &mut Vec::new());
@@ -147,7 +147,7 @@
 fn held(c: &mut Criterion) {
     let mut group = c.benchmark_group("timer_by_held");
     for held in [10, 100, 1_000, 10_000] {
-        let mut s = full(held);
+        let mut s = full_scheduler(held);
         group.bench_with_input(BenchmarkId::from_parameter(held), &(), |b, ()| {
             b.iter(|| s.step(now(1_000_000), Event::Timer, &mut Vec::new()));
         });
@@ -155,11 +155,11 @@
     group.finish();
 }
 
-/// An answer ends and the next held request takes its place.
+/// An answer ends and the next held request takes its slot.
 fn turnover(c: &mut Criterion) {
     let mut group = c.benchmark_group("turnover_by_held");
     for held in [10, 100, 1_000, 10_000] {
-        let mut s = full(held);
+        let mut s = full_scheduler(held);
         let mut n = 1_000_000;
         group.bench_with_input(BenchmarkId::from_parameter(held), &(), |b, ()| {
             b.iter(|| {
--- a/crates/firdock-policy/src/table/account.rs
+++ b/crates/firdock-policy/src/table/account.rs
@@ -1,4 +1,4 @@
-//! Client accounts and what they hold.
+//! Client accounts with their limits, shares and counts.
 
 use firdock_core::resource::Account;
 
@@ -11,7 +11,7 @@
 pub type Accounts = Rows<AccountRow>;
 
 impl Accounts {
-    /// Makes an empty table.
+    /// Creates an empty table.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
@@ -23,28 +23,28 @@
 pub struct AccountRow {
     /// Name.
     pub name: String,
-    /// Weight against others.
+    /// Weight in the queues of services.
     pub share: f64,
-    /// Weight in the shares of what endpoints do.
+    /// Weight in the shares of endpoint work.
     pub weight: f64,
-    /// What endpoints did for it lately.
+    /// Recent work of endpoints for it.
     pub work: Work,
-    /// Importance against other accounts.
+    /// Rank relative to other accounts.
     pub rank: u8,
     /// Bucket of its limit, if it has one.
     pub bucket: Option<Bucket>,
-    /// Requests that it may have waiting.
+    /// Maximum number of its requests that may be held.
     pub max_held: u32,
     /// Whether the configuration in force still has it.
     pub present: bool,
-    /// Requests that wait.
+    /// Requests held.
     pub held: u32,
     /// Requests that have not ended.
     pub live: u32,
 }
 
 impl AccountRow {
-    /// Makes a row from what operators declared.
+    /// Creates a row from a declaration.
     #[must_use]
     pub fn new(declared: &Account) -> Self {
         Self {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Takes over what operators declared.
+    /// Applies a changed declaration.
     pub fn update(&mut self, now: Time, declared: &Account) {
         self.present = true;
         self.share = declared.share;
--- a/crates/firdock-policy/src/table/endpoint.rs
+++ b/crates/firdock-policy/src/table/endpoint.rs
@@ -28,12 +28,13 @@
     /// A start that has ended, or is not known here yet, has no row. A name without a start denotes
     /// the present start: instances that know of none use that form.
     #[must_use]
-    pub fn find_start(&self, told: &str) -> Option<usize> {
-        if let Some(at) = self.find(told) {
+    pub fn find_start(&self, reported_name: &str) -> Option<usize> {
+        if let Some(at) = self.find(reported_name) {
             return Some(at);
         }
-        let (name, _start) = told.rsplit_once('@')?;
-        self.find(name).filter(|at| self.get(*at).start_id == told)
+        let (name, _start) = reported_name.rsplit_once('@')?;
+        self.find(name)
+            .filter(|at| self.get(*at).start_id == reported_name)
     }
 }
 
--- a/crates/firdock-policy/src/table/group.rs
+++ b/crates/firdock-policy/src/table/group.rs
@@ -1,4 +1,4 @@
-//! Demand of other groups of instances, as their leads tell at each heartbeat.
+//! Demand of other groups of instances, which their leads report with each heartbeat.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,30 +8,34 @@
 use crate::event::GroupDemand;
 use crate::time::Time;
 
-/// Availability zones that are kept.
+/// Maximum number of availability zones with reports.
 const MAX_ZONES: usize = 64;
 
 /// Demand by pool.
 pub type Demand = BTreeMap<PoolId, f64>;
 
-/// Demand of other groups by availability zone, and when it was told.
+/// Demand of other groups by availability zone, and when it was reported.
 #[derive(Debug, Default)]
 pub struct Groups {
     rows: BTreeMap<ZoneId, (Time, Demand)>,
 }
 
 impl Groups {
-    /// Takes a lead's word over.
-    pub fn update(&mut self, now: Time, told: GroupDemand) {
-        if self.rows.len() >= MAX_ZONES && !self.rows.contains_key(&told.zone) {
-            // Those that are still there tell at the next heartbeat.
+    /// Replaces a lead's previous report.
+    pub fn update(&mut self, now: Time, report: GroupDemand) {
+        if self.rows.len() >= MAX_ZONES && !self.rows.contains_key(&report.zone) {
+            // Active leads report again at their next heartbeat.
             self.rows.clear();
         }
-        let demand = told.demand.into_iter().map(|d| (d.pool, d.rate)).collect();
-        self.rows.insert(told.zone, (now, demand));
+        let demand = report
+            .demand
+            .into_iter()
+            .map(|d| (d.pool, d.rate))
+            .collect();
+        self.rows.insert(report.zone, (now, demand));
     }
 
-    /// Goes over what was told within `age`.
+    /// Iterates over reports younger than `age`.
     pub fn fresh(&self, now: Time, age: Duration) -> impl Iterator<Item = (&ZoneId, &Demand)> {
         let fresh = self.rows.iter().filter(move |(_, (at, _))| *at + age > now);
         fresh.map(|(zone, (_, demand))| (zone, demand))
--- a/crates/firdock-policy/src/table/key.rs
+++ b/crates/firdock-policy/src/table/key.rs
@@ -1,4 +1,4 @@
-//! Idempotency keys that this instance has seen as their owner.
+//! Idempotency keys of which this instance is or was the owner.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -12,7 +12,7 @@
 pub enum KeyState {
     /// The request has not ended.
     Live,
-    /// The request ended so.
+    /// The request ended with this outcome.
     Ended(Outcome),
 }
 
@@ -27,7 +27,7 @@
     pub state: KeyState,
 }
 
-/// Table of keys, bounded by refusing new keys rather than forgetting old ones.
+/// Table of keys. Its size is bounded by refusing new keys, not by dropping old ones.
 #[derive(Debug, Default)]
 pub struct Keys {
     rows: BTreeMap<u64, KeyRow>,
@@ -35,7 +35,7 @@
 }
 
 impl Keys {
-    /// Makes an empty table.
+    /// Creates an empty table.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
@@ -47,24 +47,24 @@
         self.rows.get(&hash)
     }
 
-    /// Counts the keys.
+    /// Returns the number of keys.
     #[must_use]
     pub fn len(&self) -> usize {
         self.rows.len()
     }
 
-    /// Tells whether there are none.
+    /// Returns whether the table is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
 
-    /// Goes over the keys that are known.
+    /// Iterates over the known keys.
     pub fn hashes(&self) -> impl Iterator<Item = u64> {
         self.rows.keys().copied()
     }
 
-    /// Notes that a request holds a key.
+    /// Records that a request holds a key.
     pub fn claim(&mut self, claim: &KeyClaim, id: RequestId) {
         let row = KeyRow {
             id,
@@ -74,7 +74,7 @@
         self.rows.insert(claim.hash, row);
     }
 
-    /// Notes how the request of a key ended; one that did not run frees the key.
+    /// Records the outcome of a key's request; a request that did not run frees the key.
     pub fn record_outcome(&mut self, now: Time, hash: u64, id: RequestId, outcome: Outcome) {
         let Some(row) = self.rows.get_mut(&hash).filter(|r| r.id == id) else {
             return;
@@ -87,7 +87,7 @@
         self.ended.push_back((now, hash, id));
     }
 
-    /// Forgets keys that ended before `limit`; gives their requests.
+    /// Removes keys whose requests ended before `limit`; returns those requests.
     pub fn expire(&mut self, limit: Time) -> Vec<RequestId> {
         let mut gone = Vec::new();
         while let Some(&(at, hash, id)) = self.ended.front() {
--- a/crates/firdock-policy/src/table/peer.rs
+++ b/crates/firdock-policy/src/table/peer.rs
@@ -1,4 +1,4 @@
-//! Peers and the news that they told.
+//! Peers and the contents of their heartbeats.
 
 use std::collections::BTreeMap;
 
@@ -12,18 +12,18 @@
 /// Table of peers.
 pub type Peers = Rows<PeerRow>;
 
-/// Most peers that are kept; news of others is dropped. Far more than any site was reckoned with, since a
-/// member of a large one keeps its own group alone.
+/// Maximum number of peers; heartbeats of others are dropped. It is far above the size planned for
+/// any site, since a member of a large site tracks only its own group.
 pub const MAX_PEERS: usize = 4_096;
 
 impl Peers {
-    /// Makes an empty table.
+    /// Creates an empty table.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Tells whether a peer is known or may be added.
+    /// Returns whether a peer is known or may be added.
     #[must_use]
     pub fn has_capacity(&self, name: &str) -> bool {
         self.len() < MAX_PEERS || self.find(name).is_some()
@@ -37,7 +37,7 @@
     pub name: InstanceId,
     /// Availability zone.
     pub zone: ZoneId,
-    /// When its last news came.
+    /// When its latest heartbeat arrived.
     pub last_seen: Time,
     /// Requests that it holds, by rank.
     pub held: Vec<u32>,
@@ -47,16 +47,16 @@
     pub draining: bool,
     /// Start of its process.
     pub incarnation: Uuid,
-    /// What it has let pass of limited accounts since that start, where instances are few.
+    /// What it has admitted for accounts with limits since that start, in a small site.
     pub used: BTreeMap<AccountId, UseTotals>,
-    /// Whether that holds all accounts that it told of since that start.
+    /// Whether `used` covers all accounts that it has reported since that start.
     pub has_full_use: bool,
-    /// Requests of this instance that are with it.
+    /// Requests of this instance that are handed over to it.
     pub handed_over: u32,
 }
 
 impl PeerRow {
-    /// Makes a row for a peer that was just heard of.
+    /// Creates a row for a new peer.
     #[must_use]
     pub fn new(name: &str) -> Self {
         Self {
@@ -73,29 +73,37 @@
         }
     }
 
-    /// Takes the news over; what it let pass is kept where `follows` says so: where instances are many,
-    /// leads tell the sums of all, and a row for each instance and account would grow with both.
-    pub fn update(&mut self, now: Time, news: PeerUpdate, follows: bool) {
-        self.zone = news.zone;
+    /// Applies a heartbeat. What the peer admitted is kept if `follows` is set: in a large site,
+    /// leads report the sums of all instances, as a row per instance and account would grow with
+    /// both.
+    pub fn update(&mut self, now: Time, heartbeat: PeerUpdate, follows: bool) {
+        self.zone = heartbeat.zone;
         self.last_seen = now;
-        self.held = news.held;
-        self.draining = news.draining;
-        if self.incarnation != news.incarnation {
+        self.held = heartbeat.held;
+        self.draining = heartbeat.draining;
+        if self.incarnation != heartbeat.incarnation {
             self.used.clear();
             self.has_full_use = true;
         }
-        self.incarnation = news.incarnation;
+        self.incarnation = heartbeat.incarnation;
         self.has_full_use &= follows;
         if follows {
-            let used = news.used.iter().map(|u| (u.account.clone(), u.totals()));
+            let used = heartbeat
+                .used
+                .iter()
+                .map(|u| (u.account.clone(), u.totals()));
             self.used.extend(used);
         } else {
             self.used.clear();
         }
-        self.demand = news.demand.into_iter().map(|d| (d.pool, d.rate)).collect();
+        self.demand = heartbeat
+            .demand
+            .into_iter()
+            .map(|d| (d.pool, d.rate))
+            .collect();
     }
 
-    /// Tells whether it holds requests of a lower tier than `rank`.
+    /// Returns whether it holds requests of a lower tier than `rank`.
     #[must_use]
     pub fn holds_below(&self, rank: TierRank) -> bool {
         self.held.iter().skip(usize::from(rank) + 1).any(|n| *n > 0)
--- a/crates/firdock-policy/src/table/queue.rs
+++ b/crates/firdock-policy/src/table/queue.rs
@@ -1,9 +1,9 @@
-//! A queue that accounts share by their weights.
+//! A queue shared by accounts according to their weights.
 //!
-//! Each account has a lane and a virtual time that grows by cost over share; the lane with the
-//! least virtual time goes next. This is start-time fair queueing; deficit round robin was weighed
-//! against it in `docs/design/limits.md`. Requests that can no longer be answered in time go after
-//! all that still can, so that a queue that grew too long does not make every answer late.
+//! Each account has a lane with a virtual time that grows by cost over share; the lane with the
+//! least virtual time is served next. This is start-time fair queueing; `docs/design/limits.md`
+//! compares it with deficit round robin. Requests that can no longer be answered in time are served
+//! after all that still can, so that a long queue does not make every answer late.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -16,10 +16,10 @@
 
 #[derive(Debug, Default)]
 struct Lane {
-    /// Requests that can still be answered in time, by the time at which each arrived: a coordinator
-    /// hears of some later than of others that came after them.
+    /// Requests that can still be answered in time, by time of arrival: a coordinator learns of
+    /// some requests later than of others that arrived after them.
     ids: VecDeque<(Time, RequestId)>,
-    /// Requests that cannot, oldest first.
+    /// Requests that cannot be answered in time, oldest first.
     late: VecDeque<RequestId>,
     time: VirtualTime,
 }
@@ -29,7 +29,7 @@
         self.ids.len() + self.late.len()
     }
 
-    /// Puts a request behind all that arrived no later.
+    /// Inserts a request behind all that arrived at the same time or earlier.
     fn insert(&mut self, arrived: Time, id: RequestId) {
         let at = self.ids.partition_point(|(a, _)| *a <= arrived);
         self.ids.insert(at, (arrived, id));
@@ -43,7 +43,7 @@
         at.and_then(|at| self.late.remove(at)).is_some()
     }
 
-    /// Moves the requests for which `is_late` says so behind all others.
+    /// Moves the requests for which `is_late` holds behind all others.
     fn put_late_last(&mut self, is_late: impl Fn(RequestId) -> bool) {
         let late = &mut self.late;
         self.ids.retain(|(_, id)| {
@@ -56,7 +56,7 @@
     }
 }
 
-/// Requests of one service that wait, in lanes by account row.
+/// Held requests of one service, in lanes by account row.
 #[derive(Debug, Default)]
 pub struct FairQueue {
     lanes: BTreeMap<usize, Lane>,
@@ -66,31 +66,31 @@
 }
 
 impl FairQueue {
-    /// Counts the requests that wait.
+    /// Returns the number of held requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Tells whether nothing waits.
+    /// Returns whether the queue is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Adds a request to its account's lane, behind those that arrived no later.
+    /// Adds a request to its account's lane, behind those that arrived at the same time or earlier.
     pub fn push(&mut self, account: usize, arrived: Time, id: RequestId) {
         self.lane(account).insert(arrived, id);
         self.len += 1;
     }
 
-    /// Puts a request that was refused elsewhere back to the front of its lane.
+    /// Returns a request that was refused elsewhere to the front of its lane.
     pub fn push_front(&mut self, account: usize, id: RequestId) {
         self.lane(account).ids.push_front((Time::ZERO, id));
         self.len += 1;
     }
 
-    /// Gives the first request of each lane, in the order in which lanes are due; late ones last.
+    /// Returns the first request of each lane in the order of service, followed by the late ones.
     pub fn heads(&self) -> impl Iterator<Item = (usize, RequestId)> {
         let lanes = || self.order.iter().map(|(_, a)| (*a, &self.lanes[a]));
         let in_time = lanes().filter_map(|(a, lane)| Some((a, lane.ids.front()?.1)));
@@ -98,7 +98,7 @@
         in_time.chain(late)
     }
 
-    /// Gives the requests of an account in the order in which they are due.
+    /// Returns the requests of an account in the order of service.
     pub fn lane_ids(&self, account: usize) -> impl Iterator<Item = RequestId> {
         let lane = self.lanes.get(&account).into_iter();
         lane.flat_map(|lane| {
@@ -107,14 +107,14 @@
         })
     }
 
-    /// Puts the requests for which `is_late` says so behind all others of their lane.
+    /// Moves the requests for which `is_late` holds behind all others of their lane.
     pub fn put_late_last(&mut self, is_late: impl Fn(RequestId) -> bool) {
         for lane in self.lanes.values_mut() {
             lane.put_late_last(&is_late);
         }
     }
 
-    /// Goes over the lanes in which something waits: account and how many of its requests.
+    /// Iterates over the lanes that are not empty: account and number of requests.
     ///
     /// An empty lane may outlive its account, so it must not be looked up.
     pub fn lanes(&self) -> impl Iterator<Item = (usize, usize)> {
@@ -122,7 +122,8 @@
         lanes.filter(|(_, waiting)| *waiting > 0)
     }
 
-    /// Gives the request of an account whose loss costs least: the oldest late, else the last to arrive.
+    /// Returns the request of an account whose loss costs least: the oldest late one, otherwise the
+    /// last to arrive.
     #[must_use]
     pub fn most_expendable(&self, account: usize) -> Option<RequestId> {
         let lane = self.lanes.get(&account)?;
@@ -130,7 +131,7 @@
         lane.late.front().copied().or_else(last)
     }
 
-    /// Removes a request; tells whether it was there.
+    /// Removes a request; returns whether it was there.
     pub fn remove(&mut self, account: usize, id: RequestId) -> bool {
         let Some(lane) = self.lanes.get_mut(&account) else {
             return false;
@@ -143,7 +144,7 @@
         true
     }
 
-    /// Charges an account for work taken out of the queue.
+    /// Charges an account for work taken from the queue.
     pub fn charge(&mut self, account: usize, cost: u64) {
         let Some(lane) = self.lanes.get_mut(&account) else {
             return;
@@ -166,7 +167,7 @@
         })
     }
 
-    /// Drops an empty lane whose virtual time is past, so that idle accounts cost nothing.
+    /// Drops an empty lane whose virtual time has passed, so that idle accounts take up no memory.
     fn drop_if_empty(&mut self, account: usize) {
         let lane = &self.lanes[&account];
         if lane.len() == 0 && (lane.time <= self.clock || self.len == 0) {
--- a/crates/firdock-policy/src/table/request.rs
+++ b/crates/firdock-policy/src/table/request.rs
@@ -7,7 +7,7 @@
 
 use crate::request::{Phase, RequestRow};
 
-/// Ranks that counts are kept for.
+/// Number of ranks that are counted.
 const RANKS: usize = Tier::MAX_RANK as usize + 1;
 
 /// Table of requests.
@@ -19,7 +19,7 @@
 }
 
 impl Requests {
-    /// Makes an empty table.
+    /// Creates an empty table.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
@@ -31,16 +31,16 @@
         self.rows.get(&id)
     }
 
-    /// Finds a request, to change anything but its phase.
+    /// Finds a request for changes to anything but its phase.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut RequestRow> {
         self.rows.get_mut(&id)
     }
 
-    /// Adds a request that is held.
+    /// Adds a held request.
     ///
     /// # Panics
     ///
-    /// Panics if a request with this id has not ended: ids are minted once.
+    /// Panics if a request with this id has not ended: ids are unique.
     pub fn insert(&mut self, row: RequestRow) {
         assert_eq!(row.phase, Phase::Held, "a new request is held");
         self.held[usize::from(row.rank)] += 1;
@@ -60,7 +60,7 @@
         row.phase = phase;
     }
 
-    /// Takes a request out for good.
+    /// Removes a request.
     pub fn remove(&mut self, id: RequestId) -> Option<RequestRow> {
         let row = self.rows.remove(&id)?;
         self.held[usize::from(row.rank)] -= u32::from(row.phase == Phase::Held);
@@ -68,48 +68,48 @@
         Some(row)
     }
 
-    /// Goes over all requests, in the order of their ids.
+    /// Iterates over all requests in the order of their ids.
     pub fn iter(&self) -> impl Iterator<Item = &RequestRow> {
         self.rows.values()
     }
 
-    /// Counts all requests.
+    /// Returns the number of requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.rows.len()
     }
 
-    /// Tells whether there are none.
+    /// Returns whether the table is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
 
-    /// Sums the bytes of all requests.
+    /// Returns the total bytes of all requests.
     #[must_use]
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Counts the requests held.
+    /// Returns the number of requests held.
     #[must_use]
     pub fn held(&self) -> usize {
         self.held.iter().map(|n| *n as usize).sum()
     }
 
-    /// Gives the requests held by rank.
+    /// Returns the number of requests held, by rank.
     #[must_use]
     pub fn held_by_rank(&self) -> &[u32] {
         &self.held
     }
 
-    /// Tells whether a request of a lower tier than `rank` is held.
+    /// Returns whether a request of a lower tier than `rank` is held.
     #[must_use]
     pub fn holds_below(&self, rank: TierRank) -> bool {
         self.held[usize::from(rank) + 1..].iter().any(|n| *n > 0)
     }
 
-    /// Gives the lowest tier of which a request is held.
+    /// Returns the lowest tier with a held request.
     #[must_use]
     pub fn lowest_held(&self) -> Option<TierRank> {
         let at = self.held.iter().rposition(|n| *n > 0)?;
--- a/crates/firdock-policy/src/table/rollout.rs
+++ b/crates/firdock-policy/src/table/rollout.rs
@@ -1,4 +1,4 @@
-//! Roll-outs of pools, with what this instance and others saw of them.
+//! Roll-outs of pools, with the evidence of this instance and others.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -15,42 +15,42 @@
 /// One roll-out.
 #[derive(Debug)]
 pub struct RolloutRow {
-    /// What the operator ordered.
+    /// The operator's order.
     pub declared: Rollout,
-    /// The earliest time at which the order may have come.
+    /// Earliest time at which the order may have been issued.
     pub began: Time,
-    /// How much later it may have come.
+    /// How much later it may have been issued.
     pub uncertainty: Duration,
-    /// How far it is.
+    /// Stage of the roll-out.
     pub stage: Stage,
-    /// Part of the pool's requests that the new version gets while it is watched.
+    /// Fraction of the pool's requests that the new version gets while it is observed.
     pub ratio: f64,
-    /// What this instance saw.
+    /// This instance's evidence.
     pub own: Evidence,
-    /// Requests of each service that this instance sent.
+    /// Requests that this instance sent, by service.
     pub sent: BTreeMap<ServiceId, u64>,
-    /// Rows of the endpoints of the new version that are tried while it is watched.
+    /// Rows of the endpoints of the new version that are used while it is observed.
     pub canaries: BTreeSet<usize>,
-    /// What the peers of this instance's group saw, by their present starts.
+    /// Evidence of the peers in this instance's group, by their present starts.
     peers: BTreeMap<InstanceId, (Uuid, Evidence)>,
-    /// What earlier starts of them saw.
-    ended: Evidence,
-    /// What other groups saw, as their leads tell.
+    /// Evidence of their earlier starts.
+    earlier_starts: Evidence,
+    /// Evidence of other groups, as reported by their leads.
     groups: BTreeMap<ZoneId, Evidence>,
-    /// Last record that was asked for.
+    /// Last record that was requested.
     pub requested_record: Option<Stage>,
-    /// When it was last looked at.
+    /// When it was last evaluated.
     pub evaluated_at: Time,
 }
 
 impl RolloutRow {
-    /// Makes the row of an order that was just read.
+    /// Creates the row of a new order.
     #[must_use]
     pub fn new(declared: Rollout, now: Time, unsure: Duration, ratio: f64) -> Self {
         let evidence = || Evidence::new(declared.pool.clone(), declared.order);
         Self {
             own: evidence(),
-            ended: evidence(),
+            earlier_starts: evidence(),
             declared,
             began: now.saturating_sub(unsure),
             uncertainty: unsure,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Goes on to a later stage; tells whether it was one.
+    /// Advances to a later stage; returns whether it was later.
     pub fn advance(&mut self, stage: Stage) -> bool {
         let later = stage > self.stage && !self.stage.is_recorded();
         if later {
@@ -74,7 +74,7 @@
         later
     }
 
-    /// Takes what a peer of the own group saw, since the start of its process.
+    /// Merges the evidence of a peer of the own group since the start of its process.
     pub fn merge_peer_evidence(&mut self, name: &str, incarnation: Uuid, evidence: Evidence) {
         if self.peers.len() >= MAX_PEERS && !self.peers.contains_key(name) {
             return;
@@ -83,12 +83,12 @@
             .peers
             .insert(name.to_owned(), (incarnation, evidence))
             .filter(|(known, _)| *known != incarnation);
-        if let Some((_, ended)) = before {
-            self.ended.add(&ended);
+        if let Some((_, earlier_starts)) = before {
+            self.earlier_starts.add(&earlier_starts);
         }
     }
 
-    /// Takes what another group saw; a word that was overtaken tells of less.
+    /// Merges the evidence of another group; an outdated report has lower counts.
     pub fn merge_group_evidence(&mut self, zone: ZoneId, evidence: Evidence) {
         let known = self.groups.entry(zone).or_default();
         if evidence.sent >= known.sent {
@@ -96,18 +96,18 @@
         }
     }
 
-    /// Gives what the instances of the own group saw.
+    /// Returns the evidence of the own group.
     #[must_use]
     pub fn group_evidence(&self) -> Evidence {
         let mut all = self.own.clone();
-        all.add(&self.ended);
+        all.add(&self.earlier_starts);
         for (_, evidence) in self.peers.values() {
             all.add(evidence);
         }
         all
     }
 
-    /// Gives what all instances saw, as far as they told.
+    /// Returns the evidence of all instances, as far as it was reported.
     #[must_use]
     pub fn site_evidence(&self) -> Evidence {
         let mut all = self.group_evidence();
@@ -117,7 +117,7 @@
         all
     }
 
-    /// Gives how far the roll-out has come.
+    /// Returns the progress of the roll-out.
     #[must_use]
     pub fn progress(&self, now: Time, seen: &Evidence) -> Progress {
         Progress {
@@ -129,13 +129,13 @@
         }
     }
 
-    /// Gives the longest time that may have passed since the order.
+    /// Returns the longest time that may have passed since the order.
     #[must_use]
     pub fn age(&self, now: Time) -> Duration {
         now.saturating_sub(self.began)
     }
 
-    /// Gives what peers are told.
+    /// Returns the status reported to peers.
     #[must_use]
     pub fn status(&self, now: Time) -> RolloutStatus {
         RolloutStatus {
@@ -153,9 +153,9 @@
 pub struct Rollouts {
     /// The newest order of each pool.
     pub rows: BTreeMap<PoolId, RolloutRow>,
-    /// Versions that were given up, until an order names them again.
+    /// Versions that were rolled back, until an order names them again.
     pub given_up: BTreeSet<(PoolId, SoftwareVersion)>,
-    /// Whether this instance decides for all: it leads the site.
+    /// Whether this instance leads the site and decides on roll-outs.
     pub decides: bool,
 }
 
--- a/crates/firdock-policy/src/table/rows.rs
+++ b/crates/firdock-policy/src/table/rows.rs
@@ -1,8 +1,8 @@
-//! A table whose rows have a name and a number that stays the same while the row lives.
+//! A table whose rows have a name and a number that is stable during the row's lifetime.
 
 use std::collections::HashMap;
 
-/// Rows with names; numbers of removed rows are used again.
+/// Named rows; the numbers of removed rows are reused.
 #[derive(Debug)]
 pub struct Rows<R> {
     slots: Vec<Option<R>>,
@@ -27,11 +27,11 @@
         self.by_name.get(name).copied()
     }
 
-    /// Gives a row that is known to live.
+    /// Returns an existing row.
     ///
     /// # Panics
     ///
-    /// Panics if the row was removed, which only happens to rows that nothing refers to.
+    /// Panics if the row was removed; rows that are referred to never are.
     #[must_use]
     pub fn get(&self, row: usize) -> &R {
         self.slots[row]
@@ -39,18 +39,18 @@
             .expect("a row that is referred to is never removed")
     }
 
-    /// Gives a row that is known to live, to change it.
+    /// Returns an existing row for changes.
     ///
     /// # Panics
     ///
-    /// Panics if the row was removed, which only happens to rows that nothing refers to.
+    /// Panics if the row was removed; rows that are referred to never are.
     pub fn get_mut(&mut self, row: usize) -> &mut R {
         self.slots[row]
             .as_mut()
             .expect("a row that is referred to is never removed")
     }
 
-    /// Finds a row by name, or adds the one that `make` gives.
+    /// Finds a row by name, or adds the one that `make` returns.
     pub fn find_or_add(&mut self, name: &str, make: impl FnOnce() -> R) -> usize {
         if let Some(row) = self.find(name) {
             return row;
@@ -64,12 +64,12 @@
         row
     }
 
-    /// Takes a row's name away, so that another row may have it; the row lives on under its number.
+    /// Releases a row's name for use by another row; the row remains under its number.
     pub fn detach(&mut self, name: &str) -> Option<usize> {
         self.by_name.remove(name)
     }
 
-    /// Removes the rows for which `drop` says so.
+    /// Removes the rows for which `drop` returns true.
     pub fn remove_if(&mut self, mut drop: impl FnMut(&R) -> bool) {
         let before = self.free.len();
         for (row, slot) in self.slots.iter_mut().enumerate() {
@@ -85,7 +85,7 @@
         self.by_name.retain(|_, row| slots[*row].is_some());
     }
 
-    /// Goes over the living rows with their numbers, in the order of the numbers.
+    /// Iterates over the rows with their numbers, in the order of the numbers.
     pub fn iter(&self) -> impl Iterator<Item = (usize, &R)> {
         self.slots
             .iter()
@@ -93,7 +93,7 @@
             .filter_map(|(i, r)| Some((i, r.as_ref()?)))
     }
 
-    /// Goes over the living rows, to change them.
+    /// Iterates over the rows for changes.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (usize, &mut R)> {
         self.slots
             .iter_mut()
@@ -101,13 +101,13 @@
             .filter_map(|(i, r)| Some((i, r.as_mut()?)))
     }
 
-    /// Counts the living rows.
+    /// Returns the number of rows.
     #[must_use]
     pub fn len(&self) -> usize {
         self.slots.len() - self.free.len()
     }
 
-    /// Tells whether there are no rows.
+    /// Returns whether there are no rows.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
--- a/crates/firdock-policy/src/table/service.rs
+++ b/crates/firdock-policy/src/table/service.rs
@@ -11,22 +11,22 @@
 pub type Services = Rows<ServiceRow>;
 
 impl Services {
-    /// Makes an empty table.
+    /// Creates an empty table.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 }
 
-/// Weight of a new sample in the learned length of answers.
-const LEARN: f64 = 0.05;
-/// Length of an answer before any was seen, in tokens.
-const FIRST_GUESS: f64 = 128.0;
+/// Weight of a new sample in the learned answer length.
+const LEARN_WEIGHT: f64 = 0.05;
+/// Assumed answer length before any was observed, in tokens.
+const DEFAULT_OUTPUT: f64 = 128.0;
 
 /// One service.
 #[derive(Debug)]
 pub struct ServiceRow {
-    /// What operators declared.
+    /// Declaration by the operators.
     pub declared: Service,
     /// Its tier.
     pub tier: Tier,
@@ -34,25 +34,25 @@
     pub present: bool,
     /// Rows of its endpoints.
     pub endpoints: Vec<usize>,
-    /// Requests that wait.
+    /// Held requests.
     pub queue: FairQueue,
     /// Requests that have not ended, held or not.
     pub live: u32,
-    /// Mean length of its answers in tokens, learned.
+    /// Learned mean answer length in tokens.
     pub output: f64,
-    /// Mean natural logarithm of that length, learned: of lengths that differ a hundredfold, half are
-    /// far shorter than the mean.
+    /// Learned mean of the natural logarithm of that length: lengths differ a hundredfold, and half
+    /// of them are far below the mean.
     pub output_log: f64,
-    /// Longest time that a caller left a request of it, which is that of a first try.
+    /// Longest timeout that a caller set, which is taken as that of a first attempt.
     pub longest_timeout: Duration,
-    /// Arrivals since the demand was last told.
+    /// Arrivals since the rate was last updated.
     pub arrivals: u32,
-    /// Arrivals a second, smoothed.
+    /// Arrivals per second, smoothed.
     pub rate: f64,
 }
 
 impl ServiceRow {
-    /// Makes a row from what operators declared.
+    /// Creates a row from a declaration.
     #[must_use]
     pub fn new(declared: Service, tier: Tier) -> Self {
         Self {
@@ -62,34 +62,34 @@
             endpoints: Vec::new(),
             queue: FairQueue::default(),
             live: 0,
-            output: FIRST_GUESS,
-            output_log: FIRST_GUESS.ln(),
+            output: DEFAULT_OUTPUT,
+            output_log: DEFAULT_OUTPUT.ln(),
             longest_timeout: Duration::ZERO,
             arrivals: 0,
             rate: 0.0,
         }
     }
 
-    /// Gives how long ago a caller first tried a request, by the time that it leaves this try.
+    /// Estimates the time since the caller's first attempt from the timeout of this one.
     ///
-    /// Callers do not say that they come back. They leave each try what is left of their time, so that
-    /// the longest that is seen is that of a first try.
-    pub fn since_first_attempt(&mut self, left: Option<Duration>) -> Duration {
-        let Some(left) = left else {
+    /// Callers do not mark retries. They set each attempt's timeout to the rest of their time, so
+    /// the longest timeout seen is that of a first attempt.
+    pub fn since_first_attempt(&mut self, timeout: Option<Duration>) -> Duration {
+        let Some(timeout) = timeout else {
             return Duration::ZERO;
         };
-        self.longest_timeout = self.longest_timeout.max(left);
-        self.longest_timeout.saturating_sub(left)
+        self.longest_timeout = self.longest_timeout.max(timeout);
+        self.longest_timeout.saturating_sub(timeout)
     }
 
     /// Learns the length of an answer.
     pub fn learn_output(&mut self, tokens: u32) {
-        self.output += LEARN * (f64::from(tokens) - self.output);
+        self.output += LEARN_WEIGHT * (f64::from(tokens) - self.output);
         let log = f64::from(tokens.max(1)).ln();
-        self.output_log += LEARN * (log - self.output_log);
+        self.output_log += LEARN_WEIGHT * (log - self.output_log);
     }
 
-    /// Gives the demand that peers are told: requests a second with those that wait.
+    /// Returns the demand reported to peers: arrivals per second plus held requests.
     #[must_use]
     pub fn demand(&self) -> f64 {
         self.rate + self.queue.len() as f64
--- a/crates/firdock-policy/src/table/transfer.rs
+++ b/crates/firdock-policy/src/table/transfer.rs
@@ -1,7 +1,7 @@
-//! Transfers of keys from members that owned them before to this one, which owns them now.
+//! Transfers of keys from their previous owners to this member.
 //!
-//! A member that has folded a view in which it does not own a key never runs it again, so the list
-//! of keys that it transfers is complete (see `docs/design/keys.md`).
+//! A member that has applied a view in which it does not own a key never runs that key again, so
+//! the list of keys that it transfers is complete (see `docs/design/keys.md`).
 
 use std::collections::{HashMap, VecDeque};
 
@@ -11,7 +11,7 @@
 use crate::event::{KeyTransfer, KnownTransfer};
 use crate::time::Time;
 
-/// Transfers that are known at once; the oldest goes first.
+/// Maximum number of known transfers; the oldest is dropped first.
 const MAX_TRANSFERS: usize = 4_096;
 
 /// Transfers between members, and the keys that were transferred to this one.
@@ -21,17 +21,18 @@
     newest: HashMap<(Uuid, Uuid), u64>,
     order: VecDeque<(Uuid, Uuid)>,
     keys: HashMap<u64, Time>,
-    noted: VecDeque<(Time, u64)>,
+    received: VecDeque<(Time, u64)>,
 }
 
 impl Transfers {
-    /// Makes an empty table.
+    /// Creates an empty table.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes a transfer to `me`, unless its keys do not fit: it would count as complete without them.
+    /// Merges a transfer to `me`, unless its keys exceed the limit: without them it must not count
+    /// as complete.
     pub fn merge(&mut self, now: Time, me: Uuid, transfer: &KeyTransfer, max_keys: usize) {
         if self.keys.len() + transfer.keys.len() > max_keys || transfer.known.len() > MAX_TRANSFERS
         {
@@ -39,15 +40,15 @@
         }
         for key in &transfer.keys {
             self.keys.insert(*key, now);
-            self.noted.push_back((now, *key));
+            self.received.push_back((now, *key));
         }
         for known in &transfer.known {
-            self.note(known.from, known.to, known.view);
+            self.record_transfer(known.from, known.to, known.view);
         }
-        self.note(transfer.incarnation, me, transfer.view);
+        self.record_transfer(transfer.incarnation, me, transfer.view);
     }
 
-    fn note(&mut self, from: Uuid, to: Uuid, view: u64) {
+    fn record_transfer(&mut self, from: Uuid, to: Uuid, view: u64) {
         let view_known = self.newest.entry((from, to)).or_insert_with(|| {
             self.order.push_back((from, to));
             0
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Gives the transfers that are known, to be passed on.
+    /// Returns the known transfers, to be forwarded.
     #[must_use]
     pub fn known(&self) -> Vec<KnownTransfer> {
         let known = |pair: &(Uuid, Uuid)| {
@@ -74,45 +75,48 @@
         self.order.iter().filter_map(known).collect()
     }
 
-    /// Goes over the keys that were transferred.
+    /// Iterates over the transferred keys.
     pub fn hashes(&self) -> impl Iterator<Item = u64> {
         self.keys.keys().copied()
     }
 
-    /// Tells whether the key was transferred as run, or running.
+    /// Returns whether the key was transferred as run or running.
     #[must_use]
     pub fn contains(&self, key: u64) -> bool {
         self.keys.contains_key(&key)
     }
 
-    /// Tells whether all that earlier owners of a key ran has been transferred to `me`.
+    /// Returns whether everything that earlier owners of a key ran has been transferred to `me`.
     ///
-    /// `tenures` is in order. What an owner ran came here if it transferred its keys, after its
-    /// tenure, to a later owner during that one's tenure, and so on up to this member: each passes
-    /// on the keys that were transferred to it.
+    /// `periods` is in order. An owner's keys arrived here if it transferred them, after its own
+    /// period, to a later owner during that owner's period, and so on up to this member: each
+    /// member forwards the keys that were transferred to it.
     #[must_use]
-    pub fn is_complete(&self, me: Uuid, ownership_periods: &[OwnershipPeriod]) -> bool {
-        let mut reached = vec![false; ownership_periods.len()];
-        for (i, tenure) in ownership_periods.iter().enumerate().rev() {
-            let later = ownership_periods.iter().zip(&reached).skip(i + 1);
-            let mut passed = later.filter(|(_, reached)| **reached).map(|(next, _)| next);
-            reached[i] =
-                tenure.member.incarnation == me || passed.any(|n| self.transferred(tenure, n));
+    pub fn is_complete(&self, me: Uuid, periods: &[OwnershipPeriod]) -> bool {
+        let mut complete = vec![false; periods.len()];
+        for (i, period) in periods.iter().enumerate().rev() {
+            let later = periods.iter().zip(&complete).skip(i + 1);
+            let mut passed = later
+                .filter(|(_, complete)| **complete)
+                .map(|(next, _)| next);
+            complete[i] =
+                period.member.incarnation == me || passed.any(|n| self.transferred(period, n));
         }
-        reached.iter().all(|r| *r)
+        complete.iter().all(|r| *r)
     }
 
-    /// Tells whether an owner transferred its keys to a later owner during that one's tenure.
-    fn transferred(&self, tenure: &OwnershipPeriod, next: &OwnershipPeriod) -> bool {
-        let pair = (tenure.member.incarnation, next.member.incarnation);
+    /// Returns whether an owner transferred its keys to a later owner during the later owner's
+    /// period.
+    fn transferred(&self, period: &OwnershipPeriod, next: &OwnershipPeriod) -> bool {
+        let pair = (period.member.incarnation, next.member.incarnation);
         self.newest
             .get(&pair)
             .is_some_and(|view| next.covers(*view))
     }
 
-    /// Forgets keys that were transferred before `limit`.
+    /// Removes keys that were transferred before `limit`.
     pub fn expire(&mut self, limit: Time) {
-        while let Some((at, key)) = self.noted.pop_front_if(|(at, _)| *at < limit) {
+        while let Some((at, key)) = self.received.pop_front_if(|(at, _)| *at < limit) {
             if self.keys.get(&key) == Some(&at) {
                 self.keys.remove(&key);
             }
--- a/crates/firdock-policy/src/table/unavailable.rs
+++ b/crates/firdock-policy/src/table/unavailable.rs
@@ -1,39 +1,39 @@
-//! Why an endpoint gets no work, and who says so.
+//! Why an endpoint gets no work, and which source reported it.
 
 use crate::time::Time;
 
-/// Why an endpoint may not get work of an instance now.
+/// Why an endpoint currently may not get work of an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UnavailableReason {
-    /// The configuration in force has it no more.
+    /// The configuration in force no longer has it.
     Absent,
-    /// It leaves.
+    /// It is leaving.
     Leaving,
-    /// It wants no request from the instance until the time given.
+    /// It wants no requests from the instance until the given time.
     BackingOff(Time),
-    /// It failed, and is out for a while.
+    /// It failed and is ejected for a time.
     Ejected,
-    /// It failed, and a request is on its way by which that is tried.
+    /// It failed, and a probe request is in flight.
     Probing,
 }
 
 impl UnavailableReason {
-    /// Tells whether the endpoint's health alone closes it, of which a coordinator knows more than the
-    /// instances that send.
+    /// Returns whether only the endpoint's health makes it unavailable; a coordinator knows more
+    /// about that than the sending instances.
     #[must_use]
     pub fn is_health(self) -> bool {
         matches!(self, Self::Ejected | Self::Probing)
     }
 }
 
-/// Who said that an endpoint leaves.
+/// Source of the report that an endpoint is leaving.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeavingSource {
-    /// The endpoint itself, with an answer.
+    /// The endpoint itself, in an answer.
     Answer,
-    /// The endpoint itself, with its report.
+    /// The endpoint itself, in its load report.
     Report,
-    /// Its declaration: its own entry, or the operators.
+    /// Its declaration: its own entry, or one by the operators.
     Declared,
     /// The platform's instance list.
     List,
@@ -42,7 +42,7 @@
 }
 
 impl LeavingSource {
-    /// Gives the word that logs have.
+    /// Returns its name in logs.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
--- a/crates/firdock-policy/src/table/view.rs
+++ b/crates/firdock-policy/src/table/view.rs
@@ -1,6 +1,6 @@
-//! Member views by the log, and who owns a key under them.
+//! Membership views from the log, and the owners of keys under them.
 //!
-//! The rules that keep an old and a new owner apart are set out in `docs/design/keys.md`.
+//! `docs/design/keys.md` describes the rules that keep an old and a new owner of a key apart.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -10,10 +10,10 @@
 use crate::event::{LogReading, Member, MemberView};
 use crate::time::{LogTime, Time};
 
-/// Views that are remembered; a key owned through all of them is owned since the oldest.
+/// Maximum number of views kept; a key owned through all of them counts as owned since the oldest.
 const MAX_VIEWS: usize = 64;
 
-/// A time through which one member owned a key, by the numbers of its first and last view.
+/// A period in which one member owned a key, by the numbers of its first and last view.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OwnershipPeriod {
     /// Member.
@@ -25,7 +25,7 @@
 }
 
 impl OwnershipPeriod {
-    /// Tells whether a view falls into it.
+    /// Returns whether the period includes a view.
     #[must_use]
     pub fn covers(&self, view: u64) -> bool {
         (self.first..=self.last).contains(&view)
@@ -35,7 +35,7 @@
 /// Who may run a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Ownership {
-    /// This instance, since the time given (`None`: since before any other could).
+    /// This instance, since the given time (`None`: since before any other could).
     Own(Option<LogTime>),
     /// Another member.
     Other(Member),
@@ -52,7 +52,7 @@
 }
 
 impl Views {
-    /// Makes an empty history for the member `me`.
+    /// Creates an empty history for the member `me`.
     #[must_use]
     pub fn new(me: Member) -> Self {
         Self {
@@ -62,13 +62,13 @@
         }
     }
 
-    /// Gives the members in force.
+    /// Returns the members in force.
     #[must_use]
     pub fn members(&self) -> &[Member] {
         self.history.back().map_or(&[], |v| v.members.as_slice())
     }
 
-    /// Takes a view over unless it is older than the one in force.
+    /// Adds a view unless it is older than the one in force.
     pub fn push(&mut self, view: MemberView) {
         if self.history.back().is_some_and(|v| v.number >= view.number) {
             return;
@@ -79,14 +79,14 @@
         }
     }
 
-    /// Notes that the log was read up to its end.
+    /// Records that the log was read to its end.
     pub fn record_read(&mut self, reading: LogReading) {
         if self.reading.is_none_or(|r| r.sent <= reading.sent) {
             self.reading = Some(reading);
         }
     }
 
-    /// Gives the log's time of the last read (R).
+    /// Returns the log's time at the last read (R).
     #[must_use]
     pub fn last_read(&self) -> Option<LogTime> {
         self.reading.map(|r| r.log_time)
@@ -99,13 +99,13 @@
             .map(|r| r.log_time + now.saturating_sub(r.sent))
     }
 
-    /// Gives the time by this process's clock until which own keys are confirmed.
+    /// Returns until when, by this process's clock, the keys of this instance are confirmed.
     #[must_use]
     pub fn confirmed_until(&self, grace: Duration) -> Option<Time> {
         self.reading.map(|r| r.sent + grace)
     }
 
-    /// Tells who owns a key and, if it is this instance, since when.
+    /// Returns who owns a key and, if it is this instance, since when.
     #[must_use]
     pub fn ownership(&self, key: u64) -> Ownership {
         let Some(newest) = self.history.back() else {
@@ -118,45 +118,45 @@
         }
     }
 
-    /// Gives who owned a key since `horizon`, in order; `None` if views that old are not remembered,
-    /// so that an owner may be forgotten.
+    /// Returns the owners of a key since `horizon`, in order; `None` if the history does not reach
+    /// back that far, so that an owner may be missing.
     #[must_use]
     pub fn ownership_periods(&self, key: u64, horizon: LogTime) -> Option<Vec<OwnershipPeriod>> {
-        let reaches = self
+        let is_covered = self
             .history
             .front()
             .is_some_and(|v| v.first || v.since <= horizon);
-        if !reaches {
+        if !is_covered {
             return None;
         }
-        let mut ownership_periods: Vec<OwnershipPeriod> = Vec::new();
+        let mut periods: Vec<OwnershipPeriod> = Vec::new();
         for (i, view) in self.history.iter().enumerate() {
-            let over = self
+            let ended_before = self
                 .history
                 .get(i + 1)
                 .is_some_and(|next| next.since < horizon);
-            let Some(member) = owner(view, key).filter(|_| !over) else {
+            let Some(member) = owner(view, key).filter(|_| !ended_before) else {
                 continue;
             };
-            match ownership_periods.last_mut().filter(|t| t.member == *member) {
-                Some(tenure) => tenure.last = view.number,
-                None => ownership_periods.push(OwnershipPeriod {
+            match periods.last_mut().filter(|t| t.member == *member) {
+                Some(period) => period.last = view.number,
+                None => periods.push(OwnershipPeriod {
                     member: member.clone(),
                     first: view.number,
                     last: view.number,
                 }),
             }
         }
-        Some(ownership_periods)
+        Some(periods)
     }
 
-    /// Gives the number of the view in force.
+    /// Returns the number of the view in force.
     #[must_use]
     pub fn number(&self) -> u64 {
         self.history.back().map_or(0, |v| v.number)
     }
 
-    /// Gives the member that owns a key in the view in force.
+    /// Returns the member that owns a key in the view in force.
     #[must_use]
     pub fn owner_now(&self, key: u64) -> Option<&Member> {
         owner(self.history.back()?, key)
