--- a/crates/firdock-policy/src/cost/reported_pace.rs
+++ b/crates/firdock-policy/src/cost/reported_pace.rs
@@ -1,7 +1,8 @@
 //! Estimates for servers that report how long work currently takes.
 
 use super::{
-    Estimate, OVERRUN_WEIGHT, RISK_WEIGHT, contention, expected_output, lateness_risk, load, overrun,
+    Estimate, OVERRUN_WEIGHT, RISK_WEIGHT, contention, expected_output, lateness_risk, load,
+    overrun,
 };
 use crate::request::RequestRow;
 use crate::table::endpoint::EndpointRow;
