--- a/crates/firdock-policy/benches/decision.rs
+++ b/crates/firdock-policy/benches/decision.rs
@@ -83,7 +83,7 @@
     let new = request(n, accounts);
     let id = new.id;
     s.step(now(n), Event::Arrived(new), &mut out);
-    for news in [
+    for update in [
         DispatchUpdate::Started { head_sent: true },
         DispatchUpdate::Tokens {
             delivered: 1,
@@ -98,7 +98,7 @@
         let event = EndpointEvent {
             id,
             dispatch: 1,
-            update: news,
+            update,
         };
         s.step(now(n), Event::Endpoint(event), &mut out);
     }
@@ -168,7 +168,7 @@
                 s.step(now(n), Event::Arrived(request(n, 500)), &mut out);
                 let running = s.tables().requests.iter().find(|r| r.dispatch > 0);
                 let id = running.map(|r| r.new.id).unwrap_or_default();
-                let news = DispatchUpdate::Ended {
+                let update = DispatchUpdate::Ended {
                     prompt: 1_000,
                     cached: 0,
                     output: 100,
@@ -176,7 +176,7 @@
                 let event = EndpointEvent {
                     id,
                     dispatch: 1,
-                    update: news,
+                    update,
                 };
                 s.step(now(n), Event::Endpoint(event), &mut out);
                 black_box(out);
--- a/crates/firdock-policy/src/cost.rs
+++ b/crates/firdock-policy/src/cost.rs
@@ -200,8 +200,8 @@
 /// (`docs/design/overload.md`).
 #[must_use]
 pub fn expected_output(row: &RequestRow, service: &ServiceRow) -> f64 {
-    let most = f64::from(row.new.output_tokens.saturating_sub(row.delivered));
-    service.output.min(most).max(1.0)
+    let max_output = f64::from(row.new.output_tokens.saturating_sub(row.delivered));
+    service.output.min(max_output).max(1.0)
 }
 
 fn uncached(now: Time, mechanisms: Mechanisms, row: &RequestRow, e: &EndpointRow) -> u32 {
--- a/crates/firdock-policy/src/cost/reported_pace.rs
+++ b/crates/firdock-policy/src/cost/reported_pace.rs
@@ -45,8 +45,8 @@
     let usual = e
         .reported_pace
         .baseline()
-        .map_or(pool.slowest_pace(), |own| {
-            own * pool.slow_phases.mean_factor()
+        .map_or(pool.slowest_pace(), |baseline| {
+            baseline * pool.slow_phases.mean_factor()
         });
     let first_secs = pool.first_token_secs(work, pace(pool.first_token_secs(work, usual)));
     let output = expected_output(row, service);
@@ -55,10 +55,10 @@
     let total_secs = first_secs + stream_secs;
     let risk = lateness_risk(service, first_secs);
     let over = overrun(now, row, total_secs);
-    let middle = service.output_log.exp().min(output) * token * usual;
+    let median_secs = service.output_log.exp().min(output) * token * usual;
     let chance = pool
         .slow_phases
-        .slow_probability_within(e.reported_pace.slow_probability(now, pool), middle);
+        .slow_probability_within(e.reported_pace.slow_probability(now, pool), median_secs);
     let late = chance * long_gap_probability(service, e, pool, token);
     let speed = usual.recip().clamp(SPEED_BOUNDS.0, SPEED_BOUNDS.1);
     let lateness_cost = RISK_WEIGHT * risk + LONG_GAP_SECS * late + OVERRUN_WEIGHT * over;
@@ -87,10 +87,10 @@
     let Some(gap) = service.declared.gap() else {
         return 0.0;
     };
-    let own = e.reported_pace.baseline().unwrap_or(pool.slowest_pace());
-    let event = f64::from(e.declared.event_tokens) * token * own;
-    let part = event * pool.slow_phases.slow_factor() / gap.as_secs_f64();
-    ((part - GAP_FRACTIONS.0) / (GAP_FRACTIONS.1 - GAP_FRACTIONS.0)).clamp(0.0, 1.0)
+    let baseline = e.reported_pace.baseline().unwrap_or(pool.slowest_pace());
+    let event = f64::from(e.declared.event_tokens) * token * baseline;
+    let ratio = event * pool.slow_phases.slow_factor() / gap.as_secs_f64();
+    ((ratio - GAP_FRACTIONS.0) / (GAP_FRACTIONS.1 - GAP_FRACTIONS.0)).clamp(0.0, 1.0)
 }
 
 /// Estimates a plain call to a server of a pool whose servers report their pace.
--- a/crates/firdock-policy/src/load.rs
+++ b/crates/firdock-policy/src/load.rs
@@ -18,8 +18,8 @@
     /// Creates a pace from hundredths of the usual duration; `None` if it is out of bounds.
     #[must_use]
     pub fn from_hundredths(hundredths: u32) -> Option<Self> {
-        let (least, most) = Self::BOUNDS;
-        (least..=most)
+        let (min, max) = Self::BOUNDS;
+        (min..=max)
             .contains(&hundredths)
             .then_some(Self(hundredths))
     }
@@ -41,7 +41,7 @@
     type Error = &'static str;
 
     fn try_from(hundredths: u32) -> Result<Self, Self::Error> {
-        Self::from_hundredths(hundredths).ok_or("a pace beyond its bounds")
+        Self::from_hundredths(hundredths).ok_or("pace is out of bounds")
     }
 }
 
--- a/crates/firdock-policy/src/rollout/allowance.rs
+++ b/crates/firdock-policy/src/rollout/allowance.rs
@@ -84,19 +84,19 @@
     let whole = allowance(all, bounds) / all;
     let end = (MOVE_TIME + progress.uncertainty).as_secs_f64()
         / progress.time.as_secs_f64().max(MIN_RATE_SECS);
-    let least = MIN_OBSERVED_FRACTION * whole;
-    let before_end = (whole - end).max(least);
+    let min_ratio = MIN_OBSERVED_FRACTION * whole;
+    let before_end = (whole - end).max(min_ratio);
     let ratio = (OBSERVED_FRACTION * whole)
         .min(before_end)
         .min(MAX_OBSERVED);
-    (ratio - progress.surplus(ratio)).max(least)
+    (ratio - progress.surplus(ratio)).max(min_ratio)
 }
 
 /// Returns whether all traffic may move now: a bad version that has not been detected would still
 /// stay within its allowance.
 #[must_use]
 pub fn may_move_all(progress: Progress, bounds: Rollouts) -> bool {
-    let watched = progress.elapsed >= progress.time.mul_f64(OBSERVED_TIME_FRACTION);
-    let room = allowance(progress.all(), bounds) - progress.exposed as f64;
-    watched && progress.expected_requests() <= room.max(0.0)
+    let observed = progress.elapsed >= progress.time.mul_f64(OBSERVED_TIME_FRACTION);
+    let remaining = allowance(progress.all(), bounds) - progress.exposed as f64;
+    observed && progress.expected_requests() <= remaining.max(0.0)
 }
--- a/crates/firdock-policy/src/rollout/verdict.rs
+++ b/crates/firdock-policy/src/rollout/verdict.rs
@@ -114,14 +114,14 @@
         all
     }
 
-    /// Returns whether most endpoints of the new version, and at least `least`, give more bad
+    /// Returns whether most endpoints of the new version, and at least `min_endpoints`, give more bad
     /// answers than the old version.
     fn is_spread(&self, old: f64, min_endpoints: usize) -> bool {
         let has_enough = |c: &&Counts| c.answers >= f64::from(MIN_ENDPOINT_ANSWERS);
         let compared: Vec<&Counts> = self.new.values().filter(has_enough).collect();
-        let worse =
+        let is_worse =
             |c: &&&Counts| c.bad >= MIN_WORSE_ANSWERS && c.bad > WORSE_FACTOR * old * c.answers;
-        let worse = compared.iter().filter(worse).count();
+        let worse = compared.iter().filter(is_worse).count();
         2 * worse > compared.len() && worse >= min_endpoints
     }
 
@@ -149,9 +149,9 @@
         counts.bad * (part / old).ln() + good * ((1.0 - part) / (1.0 - old)).ln()
     };
     let log_ratios = SPOILED_FRACTIONS.map(|s| log_ratio(&s));
-    let most = log_ratios.iter().copied().fold(f64::NEG_INFINITY, f64::max);
-    let sum: f64 = log_ratios.iter().map(|l| (l - most).exp()).sum();
-    most + (sum / SPOILED_FRACTIONS.len() as f64).ln()
+    let highest = log_ratios.iter().copied().fold(f64::NEG_INFINITY, f64::max);
+    let sum: f64 = log_ratios.iter().map(|l| (l - highest).exp()).sum();
+    highest + (sum / SPOILED_FRACTIONS.len() as f64).ln()
 }
 
 /// Returns the first bin in which answers to a service's requests are slow.
@@ -159,8 +159,8 @@
     let Some(old) = old.filter(|t| t.whole() >= MIN_SLOW_ANSWERS) else {
         return BINS;
     };
-    let most = SLOW_FRACTION * f64::from(old.whole());
-    let slow = |bin: &usize| f64::from(old.count_from_bin(*bin)) <= most;
+    let max_slow = SLOW_FRACTION * f64::from(old.whole());
+    let slow = |bin: &usize| f64::from(old.count_from_bin(*bin)) <= max_slow;
     (0..=BINS).find(slow).unwrap_or(BINS)
 }
 
--- a/crates/firdock-policy/src/table/endpoint.rs
+++ b/crates/firdock-policy/src/table/endpoint.rs
@@ -98,7 +98,7 @@
 #[derive(Debug)]
 #[expect(
     clippy::struct_excessive_bools,
-    reason = "each is told by another source"
+    reason = "each flag has a different source"
 )]
 pub struct EndpointRow {
     /// Declaration by the operators.
--- a/crates/firdock-policy/src/table/limit.rs
+++ b/crates/firdock-policy/src/table/limit.rs
@@ -129,12 +129,12 @@
     pub fn own_part_allows(&mut self, now: Time, phase: f64) -> bool {
         let (own_demand, peer_demand) = (self.own_demand.at(now), self.peer_demand.at(now));
         let share = own_demand / (own_demand + peer_demand).max(f64::MIN_POSITIVE);
-        let most = self.limit.burst * share;
+        let max_level = self.limit.burst * share;
         let since = std::mem::replace(&mut self.share_refilled, now);
         if (own_demand + peer_demand) / DEMAND_TIME_CONSTANT
             <= self.limit.per_second * LOW_DEMAND_FRACTION
         {
-            self.share_level = most * (2.0 * phase - 1.0);
+            self.share_level = max_level * (2.0 * phase - 1.0);
             return true;
         }
         // While the common level is overdrawn, no share fills; otherwise all would be full when it
@@ -142,25 +142,24 @@
         if self.level >= 0.0 {
             let secs = now.saturating_sub(since).as_secs_f64();
             let rate = self.limit.per_second * SHARE_RATE * share;
-            self.share_level = (self.share_level + rate * secs).min(most);
+            self.share_level = (self.share_level + rate * secs).min(max_level);
         }
         self.share_level >= 0.0
     }
 
-    /// Adds, once, the units that an instance may admit at its start; `part` is its fraction of
-    /// them.
-    pub fn add_start_units(&mut self, part: f64) {
+    /// Adds, once, the units that an instance may admit at its start; `fraction` is its part of them.
+    pub fn add_start_units(&mut self, fraction: f64) {
         if !std::mem::replace(&mut self.start_added, true) {
-            self.level += self.limit.per_second * START_ALLOWANCE_SECS * part;
+            self.level += self.limit.per_second * START_ALLOWANCE_SECS * fraction;
         }
     }
 
-    /// Refills the bucket up to `now`; `part` is the fraction of the limit that this instance may
+    /// Refills the bucket up to `now`; `fraction` is the fraction of the limit that this instance may
     /// use.
-    pub fn refill(&mut self, now: Time, part: f64) {
+    pub fn refill(&mut self, now: Time, fraction: f64) {
         let secs = now.saturating_sub(self.refilled).as_secs_f64();
-        let most = (self.limit.burst * part).max(self.level.min(0.0));
-        self.level = (self.level + self.limit.per_second * part * secs).min(most);
+        let max_level = (self.limit.burst * fraction).max(self.level.min(0.0));
+        self.level = (self.level + self.limit.per_second * fraction * secs).min(max_level);
         self.refilled = now;
     }
 
--- a/crates/firdock-policy/src/table/request.rs
+++ b/crates/firdock-policy/src/table/request.rs
@@ -42,11 +42,15 @@
     ///
     /// Panics if a request with this id has not ended: ids are unique.
     pub fn insert(&mut self, row: RequestRow) {
-        assert_eq!(row.phase, Phase::Held, "a new request is held");
+        assert_eq!(
+            row.phase,
+            Phase::Held,
+            "a new request must be in the held phase"
+        );
         self.held[usize::from(row.rank)] += 1;
         self.bytes += row.new.bytes;
         let earlier = self.rows.insert(row.new.id, row);
-        assert!(earlier.is_none(), "a request id is minted once");
+        assert!(earlier.is_none(), "request ids must be unique");
     }
 
     /// Changes a request's phase.
--- a/crates/firdock-policy/src/table/rows.rs
+++ b/crates/firdock-policy/src/table/rows.rs
@@ -36,7 +36,7 @@
     pub fn get(&self, row: usize) -> &R {
         self.slots[row]
             .as_ref()
-            .expect("a row that is referred to is never removed")
+            .expect("a referenced row must not be removed")
     }
 
     /// Returns an existing row for changes.
@@ -47,7 +47,7 @@
     pub fn get_mut(&mut self, row: usize) -> &mut R {
         self.slots[row]
             .as_mut()
-            .expect("a row that is referred to is never removed")
+            .expect("a referenced row must not be removed")
     }
 
     /// Finds a row by name, or adds the one that `make` returns.
--- a/crates/firdock-policy/src/table/suspects.rs
+++ b/crates/firdock-policy/src/table/suspects.rs
@@ -127,11 +127,11 @@
             let counted: Vec<StartId> = self.counted().iter().map(|e| e.start.clone()).collect();
             self.exits.retain(|e| counted.contains(&e.start));
         }
-        let room = self.exits.len() < MAX_EXITS;
-        if room {
+        let has_capacity = self.exits.len() < MAX_EXITS;
+        if has_capacity {
             self.exits.push(exit);
         }
-        room
+        has_capacity
     }
 
     /// Marks all exits up to a time as no longer counting; returns whether any changed.
@@ -337,10 +337,13 @@
     /// Returns the reports for a newly met instance: all suspects that are not cleared, those in
     /// quarantine first.
     #[must_use]
-    pub fn all_reports(&self, now: Time, most: usize) -> Vec<SuspectReport> {
+    pub fn all_reports(&self, now: Time, limit: usize) -> Vec<SuspectReport> {
         let mut rows: Vec<&Suspect> = self.rows.values().filter(|s| !s.is_cleared()).collect();
         rows.sort_by_key(|s| s.quarantined_since().is_none());
-        rows.into_iter().take(most).map(|s| s.report(now)).collect()
+        rows.into_iter()
+            .take(limit)
+            .map(|s| s.report(now))
+            .collect()
     }
 
     /// Makes room for one more suspect of an account.
@@ -354,8 +357,8 @@
         let rows = rows.filter(|(_, s)| !own || s.account == *account);
         // The suspect with the fewest exits, and of those the least recently changed, is the least
         // loss.
-        let least = rows.min_by_key(|(_, s)| (s.counted().len(), s.changed));
-        if let Some(id) = least.map(|(id, _)| *id) {
+        let least_important = rows.min_by_key(|(_, s)| (s.counted().len(), s.changed));
+        if let Some(id) = least_important.map(|(id, _)| *id) {
             self.rows.remove(&id);
         }
     }
