--- a/crates/firdock-policy/src/buffers.rs
+++ b/crates/firdock-policy/src/buffers.rs
@@ -42,7 +42,7 @@
 
 impl Buffer {
     /// Returns the buffered bytes times the time that the caller has lagged, in byte-milliseconds.
-    fn weight(&self, now: Time) -> u128 {
+    fn byte_millis(&self, now: Time) -> u128 {
         self.bytes as u128 * now.saturating_sub(self.behind_since).as_millis()
     }
 }
@@ -83,73 +83,73 @@
     ///
     /// Their bytes are no longer counted; the budget holds afterwards in any case.
     pub fn hold(&mut self, now: Time, id: BufferId, bytes: usize) -> Vec<BufferId> {
-        let Some(row) = self.buffers.get_mut(&id) else {
+        let Some(buffer) = self.buffers.get_mut(&id) else {
             return Vec::new();
         };
-        if row.bytes == 0 {
-            row.behind_since = now;
-            row.last_read = now;
+        if buffer.bytes == 0 {
+            buffer.behind_since = now;
+            buffer.last_read = now;
         }
-        row.bytes += bytes;
+        buffer.bytes += bytes;
         self.bytes += bytes;
-        let mut cut = Vec::new();
+        let mut aborted = Vec::new();
         while self.bytes > self.budget {
             let Some(next) = self.select_aborted(now) else {
                 break;
             };
             self.close(next);
-            cut.push(next);
+            aborted.push(next);
         }
-        cut
+        aborted
     }
 
     /// Records that a caller read bytes buffered for it.
     pub fn consume(&mut self, now: Time, id: BufferId, bytes: usize) {
-        let Some(row) = self.buffers.get_mut(&id) else {
+        let Some(buffer) = self.buffers.get_mut(&id) else {
             return;
         };
-        let bytes = bytes.min(row.bytes);
-        row.bytes -= bytes;
-        row.last_read = now;
+        let bytes = bytes.min(buffer.bytes);
+        buffer.bytes -= bytes;
+        buffer.last_read = now;
         self.bytes -= bytes;
     }
 
     /// Records that the endpoint's answer is complete.
     pub fn mark_complete(&mut self, id: BufferId) {
-        if let Some(row) = self.buffers.get_mut(&id) {
-            row.complete = true;
+        if let Some(buffer) = self.buffers.get_mut(&id) {
+            buffer.complete = true;
         }
     }
 
     /// Closes the buffer of an answer.
     pub fn close(&mut self, id: BufferId) {
-        if let Some(row) = self.buffers.remove(&id) {
-            self.bytes -= row.bytes;
+        if let Some(buffer) = self.buffers.remove(&id) {
+            self.bytes -= buffer.bytes;
         }
     }
 
     /// Returns the answers of which nothing was read for `limit`; their buffers are closed.
     pub fn cut_stalled(&mut self, now: Time, limit: Duration) -> Vec<BufferId> {
-        let stalled = |row: &Buffer| row.bytes > 0 && row.last_read + limit <= now;
-        let found = self.buffers.iter().filter(|(_, row)| stalled(row));
-        let found: Vec<BufferId> = found.map(|(id, _)| *id).collect();
-        for id in &found {
+        let stalled = |buffer: &Buffer| buffer.bytes > 0 && buffer.last_read + limit <= now;
+        let ids = self.buffers.iter().filter(|(_, buffer)| stalled(buffer));
+        let ids: Vec<BufferId> = ids.map(|(id, _)| *id).collect();
+        for id in &ids {
             self.close(*id);
         }
-        found
+        ids
     }
 
     /// Returns the answers that became late: complete, with their callers lagging for some time.
     pub fn became_late(&mut self, now: Time) -> Vec<BufferId> {
-        let mut found = Vec::new();
-        for (id, row) in &mut self.buffers {
-            let behind = row.bytes > 0 && row.behind_since + LATE_AFTER <= now;
-            if behind && row.complete && !row.late {
-                row.late = true;
-                found.push(*id);
+        let mut ids = Vec::new();
+        for (id, buffer) in &mut self.buffers {
+            let behind = buffer.bytes > 0 && buffer.behind_since + LATE_AFTER <= now;
+            if behind && buffer.complete && !buffer.late {
+                buffer.late = true;
+                ids.push(*id);
             }
         }
-        found
+        ids
     }
 
     /// Returns the bytes buffered for all callers.
@@ -164,14 +164,23 @@
     /// others, those of the account with the most bytes come first, so that no account's slow
     /// callers affect another's; of these, the one with the most byte-milliseconds.
     fn select_aborted(&self, now: Time) -> Option<BufferId> {
-        let holds = |row: &Buffer| row.bytes > 0;
-        let unfinished = self.buffers.values().any(|row| holds(row) && !row.complete);
+        let holds = |buffer: &Buffer| buffer.bytes > 0;
+        let unfinished = self
+            .buffers
+            .values()
+            .any(|buffer| holds(buffer) && !buffer.complete);
         let accounts = self.by_account();
         let buffers = self.buffers.iter();
-        let buffers = buffers.filter(|(_, row)| holds(row) && !(unfinished && row.complete));
-        let order = |(id, row): &(&BufferId, &Buffer)| {
-            let account = accounts.get(row.account.as_str()).copied();
-            (account, row.weight(now), row.bytes, Reverse(**id))
+        let buffers =
+            buffers.filter(|(_, buffer)| holds(buffer) && !(unfinished && buffer.complete));
+        let order = |(id, buffer): &(&BufferId, &Buffer)| {
+            let account = accounts.get(buffer.account.as_str()).copied();
+            (
+                account,
+                buffer.byte_millis(now),
+                buffer.bytes,
+                Reverse(**id),
+            )
         };
         buffers.max_by_key(order).map(|(id, _)| *id)
     }
@@ -179,8 +188,8 @@
     /// Returns the buffered bytes by account.
     fn by_account(&self) -> HashMap<&str, usize> {
         let mut accounts = HashMap::new();
-        for row in self.buffers.values() {
-            *accounts.entry(row.account.as_str()).or_default() += row.bytes;
+        for buffer in self.buffers.values() {
+            *accounts.entry(buffer.account.as_str()).or_default() += buffer.bytes;
         }
         accounts
     }
--- a/crates/firdock-policy/src/cost/reported_pace.rs
+++ b/crates/firdock-policy/src/cost/reported_pace.rs
@@ -42,26 +42,27 @@
             .mean_over(now, secs, pool)
             .unwrap_or(pool.slowest_pace())
     };
-    let usual = e
+    let usual_pace = e
         .reported_pace
         .baseline()
         .map_or(pool.slowest_pace(), |baseline| {
             baseline * pool.slow_phases.mean_factor()
         });
-    let first_secs = pool.first_token_secs(work, pace(pool.first_token_secs(work, usual)));
+    let first_secs = pool.first_token_secs(work, pace(pool.first_token_secs(work, usual_pace)));
     let output = expected_output(row, service);
     let token = pool.token_secs() * contention(e);
-    let stream_secs = output * token * pace(first_secs + output * token * usual);
+    let stream_secs = output * token * pace(first_secs + output * token * usual_pace);
     let total_secs = first_secs + stream_secs;
     let risk = lateness_risk(service, first_secs);
-    let over = overrun(now, row, total_secs);
-    let median_secs = service.output_log.exp().min(output) * token * usual;
-    let chance = pool
+    let overrun_secs = overrun(now, row, total_secs);
+    let median_secs = service.output_log.exp().min(output) * token * usual_pace;
+    let slow_phase_probability = pool
         .slow_phases
         .slow_probability_within(e.reported_pace.slow_probability(now, pool), median_secs);
-    let late = chance * long_gap_probability(service, e, pool, token);
-    let speed = usual.recip().clamp(SPEED_BOUNDS.0, SPEED_BOUNDS.1);
-    let lateness_cost = RISK_WEIGHT * risk + LONG_GAP_SECS * late + OVERRUN_WEIGHT * over;
+    let gap_probability = slow_phase_probability * long_gap_probability(service, e, pool, token);
+    let speed = usual_pace.recip().clamp(SPEED_BOUNDS.0, SPEED_BOUNDS.1);
+    let lateness_cost =
+        RISK_WEIGHT * risk + LONG_GAP_SECS * gap_probability + OVERRUN_WEIGHT * overrun_secs;
     Estimate {
         uncached,
         work,
--- a/crates/firdock-policy/src/rollout/allowance.rs
+++ b/crates/firdock-policy/src/rollout/allowance.rs
@@ -10,7 +10,8 @@
 use firdock_core::settings::Rollouts;
 
 /// Largest fraction of the allowance for the observed version; the rest is kept for the final move.
-/// Of 200 simulated bad versions of each kind, a fraction of 0.4 detected up to 12 in 100 fewer, and 0.5 in 100 more for two of the ten kinds (`docs/design/rollouts.md`).
+/// Of 200 simulated bad versions of each kind, a fraction of 0.4 detected up to 12 in 100 fewer,
+/// and 0.5 in 100 more for two of the ten kinds (`docs/design/rollouts.md`).
 const OBSERVED_FRACTION: f64 = 0.6;
 /// Fraction of the ratio that is used: instances work with counts that are a few heartbeats old.
 const RATIO_FRACTION: f64 = 0.95;
@@ -57,8 +58,9 @@
 
     /// Returns what the version got beyond a ratio, as a fraction of the requests still to come.
     ///
-    /// The ratio follows the estimate of all requests. What the version got under a lower estimate, for example while callers were only starting, would be missing from the allowance
-    /// at the end.
+    /// The ratio follows the estimate of all requests. What the version got under a lower estimate,
+    /// for example while callers were only starting, would be missing from the allowance at the
+    /// end.
     fn surplus(self, ratio: f64) -> f64 {
         let beyond = self.exposed as f64 - ratio * self.sent as f64;
         beyond.max(0.0) / self.expected_requests().max(1.0)
@@ -81,13 +83,13 @@
     if all < 1.0 {
         return OBSERVED_FRACTION * bounds.exposure_ratio;
     }
-    let whole = allowance(all, bounds) / all;
-    let end = (MOVE_TIME + progress.uncertainty).as_secs_f64()
+    let allowed_ratio = allowance(all, bounds) / all;
+    let move_ratio = (MOVE_TIME + progress.uncertainty).as_secs_f64()
         / progress.time.as_secs_f64().max(MIN_RATE_SECS);
-    let min_ratio = MIN_OBSERVED_FRACTION * whole;
-    let before_end = (whole - end).max(min_ratio);
-    let ratio = (OBSERVED_FRACTION * whole)
-        .min(before_end)
+    let min_ratio = MIN_OBSERVED_FRACTION * allowed_ratio;
+    let max_before_move = (allowed_ratio - move_ratio).max(min_ratio);
+    let ratio = (OBSERVED_FRACTION * allowed_ratio)
+        .min(max_before_move)
         .min(MAX_OBSERVED);
     (ratio - progress.surplus(ratio)).max(min_ratio)
 }
--- a/crates/firdock-policy/src/rollout/verdict.rs
+++ b/crates/firdock-policy/src/rollout/verdict.rs
@@ -97,12 +97,12 @@
 impl Compared<'_> {
     /// Returns the fraction of bad answers assumed for the old version.
     fn old_part(&self) -> f64 {
-        let part = (self.old.bad + 1.0) / (self.old.answers + 2.0) + MARGIN;
+        let fraction = (self.old.bad + 1.0) / (self.old.answers + 2.0) + MARGIN;
         let known = self.old.answers >= f64::from(MIN_OLD_ANSWERS);
         if known {
-            part
+            fraction
         } else {
-            part.max(DEFAULT_BAD_FRACTION)
+            fraction.max(DEFAULT_BAD_FRACTION)
         }
     }
 
@@ -114,8 +114,8 @@
         all
     }
 
-    /// Returns whether most endpoints of the new version, and at least `min_endpoints`, give more bad
-    /// answers than the old version.
+    /// Returns whether most endpoints of the new version, and at least `min_endpoints`, give more
+    /// bad answers than the old version.
     fn is_spread(&self, old: f64, min_endpoints: usize) -> bool {
         let has_enough = |c: &&Counts| c.answers >= f64::from(MIN_ENDPOINT_ANSWERS);
         let compared: Vec<&Counts> = self.new.values().filter(has_enough).collect();
@@ -145,8 +145,8 @@
     let good = counts.answers - counts.bad;
     let old = old.min(0.99);
     let log_ratio = |spoiled: &f64| {
-        let part = old + (1.0 - old) * spoiled;
-        counts.bad * (part / old).ln() + good * ((1.0 - part) / (1.0 - old)).ln()
+        let fraction = old + (1.0 - old) * spoiled;
+        counts.bad * (fraction / old).ln() + good * ((1.0 - fraction) / (1.0 - old)).ln()
     };
     let log_ratios = SPOILED_FRACTIONS.map(|s| log_ratio(&s));
     let highest = log_ratios.iter().copied().fold(f64::NEG_INFINITY, f64::max);
--- a/crates/firdock-policy/src/table/limit.rs
+++ b/crates/firdock-policy/src/table/limit.rs
@@ -23,9 +23,9 @@
 /// Seconds' worth of a limit that all instances together may admit at once when they start. Callers
 /// that found all instances down return in one moment, within their limits, and would be refused
 /// because the bucket's level is unknown and assumed to be empty. After an outage of all instances
-/// for 1.3 s, 155 of some 1,200 units that callers asked for in four seconds were refused for that
-/// reason. A larger value brings nothing (0.7 s measured the same), and a limit holds within a
-/// tenth of nine seconds' worth of it.
+/// for 1.3 s, requests worth 155 of the 1,200 or so that callers sent in four seconds were refused
+/// for that reason. A larger value brings nothing (0.7 s measured the same), and a limit holds
+/// within a tenth of nine seconds' worth of it.
 const START_ALLOWANCE_SECS: f64 = 0.4;
 /// Fraction of a limit below which demand counts as low; close to the limit, the shares already
 /// apply.
@@ -147,15 +147,16 @@
         self.share_level >= 0.0
     }
 
-    /// Adds, once, the units that an instance may admit at its start; `fraction` is its part of them.
+    /// Adds, once, the units that an instance may admit at its start; `fraction` is its part of
+    /// them.
     pub fn add_start_units(&mut self, fraction: f64) {
         if !std::mem::replace(&mut self.start_added, true) {
             self.level += self.limit.per_second * START_ALLOWANCE_SECS * fraction;
         }
     }
 
-    /// Refills the bucket up to `now`; `fraction` is the fraction of the limit that this instance may
-    /// use.
+    /// Refills the bucket up to `now`; `fraction` is the fraction of the limit that this instance
+    /// may use.
     pub fn refill(&mut self, now: Time, fraction: f64) {
         let secs = now.saturating_sub(self.refilled).as_secs_f64();
         let max_level = (self.limit.burst * fraction).max(self.level.min(0.0));
--- a/crates/firdock-policy/src/table/reported_pace.rs
+++ b/crates/firdock-policy/src/table/reported_pace.rs
@@ -34,7 +34,7 @@
 }
 
 impl ReportedPace {
-    /// Takes a report read at the given time; a report older than the latest is ignored.
+    /// Adds a report read at the given time; a report older than the latest is ignored.
     ///
     /// Returns the report before it and its time; `None` also if this one is ignored.
     pub fn update(&mut self, pace: Pace, read: Time) -> Option<(f64, Time)> {
--- a/crates/firdock-policy/src/table/rollout.rs
+++ b/crates/firdock-policy/src/table/rollout.rs
@@ -46,14 +46,14 @@
 impl RolloutRow {
     /// Creates the row of a new order.
     #[must_use]
-    pub fn new(declared: Rollout, now: Time, unsure: Duration, ratio: f64) -> Self {
+    pub fn new(declared: Rollout, now: Time, uncertainty: Duration, ratio: f64) -> Self {
         let evidence = || Evidence::new(declared.pool.clone(), declared.order);
         Self {
             own: evidence(),
             earlier_starts: evidence(),
             declared,
-            began: now.saturating_sub(unsure),
-            uncertainty: unsure,
+            began: now.saturating_sub(uncertainty),
+            uncertainty,
             stage: Stage::Watching,
             ratio,
             sent: BTreeMap::new(),
@@ -83,8 +83,8 @@
             .peers
             .insert(name.to_owned(), (incarnation, evidence))
             .filter(|(known, _)| *known != incarnation);
-        if let Some((_, earlier_starts)) = before {
-            self.earlier_starts.add(&earlier_starts);
+        if let Some((_, previous)) = before {
+            self.earlier_starts.add(&previous);
         }
     }
 
@@ -119,13 +119,13 @@
 
     /// Returns the progress of the roll-out.
     #[must_use]
-    pub fn progress(&self, now: Time, seen: &Evidence) -> Progress {
+    pub fn progress(&self, now: Time, evidence: &Evidence) -> Progress {
         Progress {
             elapsed: self.age(now),
             uncertainty: self.uncertainty,
             time: self.declared.time(),
-            sent: seen.sent,
-            exposed: seen.exposed,
+            sent: evidence.sent,
+            exposed: evidence.exposed,
         }
     }
 
--- a/crates/firdock-policy/src/table/slow_phases.rs
+++ b/crates/firdock-policy/src/table/slow_phases.rs
@@ -96,7 +96,7 @@
     }
 
     /// Returns the probability of a slow phase within `secs` seconds, given the probability
-    /// `begins` of one at their start.
+    /// `initial` of one at their start.
     #[must_use]
     pub fn slow_probability_within(&self, initial: f64, secs: f64) -> f64 {
         let none = (1.0 - initial) * (-self.onset.per_sec() * secs).exp();
--- a/crates/firdock-policy/src/table/suspects.rs
+++ b/crates/firdock-policy/src/table/suspects.rs
@@ -206,18 +206,18 @@
     }
 
     /// Records that an endpoint exited while it ran a request; returns whether that is new.
-    pub fn record_exit(&mut self, now: Time, of: &BrokenRun, at: Time) -> bool {
+    pub fn record_exit(&mut self, now: Time, run: &BrokenRun, at: Time) -> bool {
         let exit = Exit {
-            start: of.start.clone(),
-            sent: of.sent,
+            start: run.start.clone(),
+            sent: run.sent,
             at,
             void: false,
         };
         let new = Suspect::new(
             now,
-            Arc::clone(&of.content),
-            of.account.clone(),
-            of.service.clone(),
+            Arc::clone(&run.content),
+            run.account.clone(),
+            run.service.clone(),
         );
         let id = new.content.id;
         let changed = self.change(now, new, vec![exit]);
@@ -334,8 +334,8 @@
         received.into_iter().map(|s| s.report(now)).collect()
     }
 
-    /// Returns the reports for a newly met instance: all suspects that are not cleared, those in
-    /// quarantine first.
+    /// Returns the reports for a newly discovered instance: all suspects that are not cleared,
+    /// those in quarantine first.
     #[must_use]
     pub fn all_reports(&self, now: Time, limit: usize) -> Vec<SuspectReport> {
         let mut rows: Vec<&Suspect> = self.rows.values().filter(|s| !s.is_cleared()).collect();
--- a/crates/firdock-policy/src/usage.rs
+++ b/crates/firdock-policy/src/usage.rs
@@ -100,13 +100,13 @@
             .entry(report.name.clone())
             .or_insert_with(|| MemberUse::new(now, report.incarnation));
         member.mark_seen(now, report.incarnation);
-        let rises = report.used.iter().map(|reported| {
-            let rise = member.rise(reported, known);
-            rise.named(reported.account.clone())
+        let increases = report.used.iter().map(|reported| {
+            let increase = member.increase(reported, known);
+            increase.named(reported.account.clone())
         });
-        for rise in rises.filter(|rise| !rise.totals().is_zero()) {
-            self.to_leads.add(&rise);
-            self.to_group.add(&rise);
+        for increase in increases.filter(|increase| !increase.totals().is_zero()) {
+            self.to_leads.add(&increase);
+            self.to_group.add(&increase);
         }
     }
 
@@ -116,8 +116,8 @@
             return;
         }
         let counts = self.groups.entry(zone.to_owned()).or_default();
-        for rise in counts.merge(now, report) {
-            self.to_group.add(&rise);
+        for increase in counts.merge(now, report) {
+            self.to_group.add(&increase);
         }
     }
 
@@ -176,17 +176,17 @@
         }
     }
 
-    /// Returns the increase over what was reported before. `followed` says whether the member was
+    /// Returns the increase over what was reported before. `is_known` says whether the member was
     /// known: a known member reports every account that callers use.
-    fn rise(&mut self, reported: &AccountUse, followed: bool) -> UseTotals {
-        let first = if followed {
+    fn increase(&mut self, reported: &AccountUse, is_known: bool) -> UseTotals {
+        let first = if is_known {
             reported.before
         } else {
             reported.totals()
         };
         let peak = self.peak.entry(reported.account.clone()).or_insert(first);
-        let rise = reported.totals().above(*peak);
-        *peak = peak.plus(rise);
-        rise
+        let increase = reported.totals().above(*peak);
+        *peak = peak.plus(increase);
+        increase
     }
 }
--- a/crates/firdock-policy/src/usage/merged_counts.rs
+++ b/crates/firdock-policy/src/usage/merged_counts.rs
@@ -48,7 +48,7 @@
             *reporter = Reporter::new(now, report, &self.known_totals);
         }
         let from_start = reporter.from_start;
-        let mut rises = Vec::new();
+        let mut increases = Vec::new();
         for reported in &report.counts {
             let known = self
                 .known_totals
@@ -65,13 +65,13 @@
                 .offsets
                 .entry(reported.account.clone())
                 .or_insert_with(first);
-            let rise = reported.totals().plus(offset).above(*known);
-            if !rise.is_zero() {
-                *known = known.plus(rise);
-                rises.push(rise.named(reported.account.clone()));
+            let increase = reported.totals().plus(offset).above(*known);
+            if !increase.is_zero() {
+                *known = known.plus(increase);
+                increases.push(increase.named(reported.account.clone()));
             }
         }
-        rises
+        increases
     }
 
     /// Removes accounts that are not `wanted`; later reports of them start from a new baseline.
--- a/crates/firdock-policy/src/usage/outbox.rs
+++ b/crates/firdock-policy/src/usage/outbox.rs
@@ -30,16 +30,16 @@
 }
 
 impl Outbox {
-    pub(super) fn add(&mut self, rise: &AccountUse) {
-        let count = self.counts.entry(rise.account.clone()).or_default();
-        *count = count.plus(rise.totals());
+    pub(super) fn add(&mut self, increase: &AccountUse) {
+        let count = self.counts.entry(increase.account.clone()).or_default();
+        *count = count.plus(increase.totals());
         self.changes += 1;
         let new = Waiting {
             since: self.changes,
             remaining: REPORTS_PER_CHANGE,
         };
         self.waiting
-            .entry(rise.account.clone())
+            .entry(increase.account.clone())
             .and_modify(|w| w.remaining = REPORTS_PER_CHANGE)
             .or_insert(new);
     }
