--- a/crates/firdock-policy/src/table/pool_latency.rs
+++ b/crates/firdock-policy/src/table/pool_latency.rs
@@ -65,11 +65,11 @@
     /// Variation of the pace.
     pub slow_phases: SlowPhases,
     first_token_fit: LinearFit,
-    firsts: u32,
+    fit_samples: u32,
     token_secs: f64,
-    streams: u32,
+    token_samples: u32,
     plain_secs: f64,
-    plains: u32,
+    plain_samples: u32,
     slowest: f64,
 }
 
@@ -83,11 +83,11 @@
         Self {
             slow_phases: SlowPhases::default(),
             first_token_fit: first_token_fit.with_keep(FIT_KEEP),
-            firsts: 0,
+            fit_samples: 0,
             token_secs: DEFAULT_TOKEN_SECS,
-            streams: 0,
+            token_samples: 0,
             plain_secs: DEFAULT_PLAIN_SECS,
-            plains: 0,
+            plain_samples: 0,
             slowest: 0.0,
         }
     }
@@ -134,7 +134,7 @@
     /// Learns from a first token; `pace` is the pace reported with it, so that a slow phase or a
     /// slow server is not mistaken for the cost of a long prompt.
     pub fn learn_first(&mut self, work: f64, pace: f64, observed: Duration) {
-        self.firsts = self.firsts.saturating_add(1);
+        self.fit_samples = self.fit_samples.saturating_add(1);
         let secs = observed.as_secs_f64();
         self.first_token_fit
             .learn_weighted((pace * pace).max(1.0).recip(), work * pace, secs);
@@ -143,7 +143,7 @@
     /// Returns whether enough was learned to judge a server's reports.
     #[must_use]
     pub fn can_judge(&self) -> bool {
-        self.firsts >= MIN_FIT_SAMPLES
+        self.fit_samples >= MIN_FIT_SAMPLES
     }
 
     /// Returns the seconds per token at the usual pace.
@@ -154,7 +154,7 @@
 
     /// Learns from the time of a token, at the pace that the server had at the time.
     pub fn learn_token(&mut self, secs: f64, pace: f64) {
-        learn(&mut self.token_secs, &mut self.streams, secs / pace);
+        learn(&mut self.token_secs, &mut self.token_samples, secs / pace);
     }
 
     /// Returns the seconds of a plain call at the usual pace.
@@ -165,6 +165,6 @@
 
     /// Learns from the time of a plain call, at the pace reported with it.
     pub fn learn_plain(&mut self, secs: f64, pace: f64) {
-        learn(&mut self.plain_secs, &mut self.plains, secs / pace);
+        learn(&mut self.plain_secs, &mut self.plain_samples, secs / pace);
     }
 }
--- a/crates/firdock-policy/src/usage.rs
+++ b/crates/firdock-policy/src/usage.rs
@@ -77,7 +77,7 @@
 pub struct UseAggregator {
     /// Id of this instance's count for its group, by which receivers distinguish successive counts;
     /// `None` while others count.
-    began: Option<Uuid>,
+    count_id: Option<Uuid>,
     members: BTreeMap<InstanceId, MemberUse>,
     groups: BTreeMap<ZoneId, MergedCounts>,
     to_leads: Outbox,
@@ -91,7 +91,7 @@
     /// What it admitted before its first report is not known to be recent. For an account that it
     /// reports for the first time later, the increase since callers last began to use it is.
     pub fn add_member_report(&mut self, now: Time, report: &PeerUse) {
-        if self.began.is_none() {
+        if self.count_id.is_none() {
             return;
         }
         let known = self.members.contains_key(&report.name);
@@ -112,7 +112,7 @@
 
     /// Adds the counts of another group as its lead reports them.
     pub fn add_group_report(&mut self, now: Time, zone: &str, report: &UseCounts) {
-        if self.began.is_none() {
+        if self.count_id.is_none() {
             return;
         }
         let counts = self.groups.entry(zone.to_owned()).or_default();
@@ -124,12 +124,12 @@
     /// Returns the report to the leads of other groups: the counts of the own group; `None` while
     /// others count.
     pub fn report_for_leads(&mut self, lead: &str) -> Option<UseCounts> {
-        Some(self.to_leads.report(lead, self.began?))
+        Some(self.to_leads.report(lead, self.count_id?))
     }
 
     /// Returns the report to the own group: the counts of all groups; `None` while others count.
     pub fn report_for_group(&mut self, lead: &str) -> Option<UseCounts> {
-        Some(self.to_group.report(lead, self.began?))
+        Some(self.to_group.report(lead, self.count_id?))
     }
 
     /// Removes members that fell silent; their rows would accumulate as instances come and go.
@@ -140,14 +140,14 @@
     /// Starts counting for the group unless this instance already does; `new_id` gives the id of
     /// the count.
     pub fn start(&mut self, new_id: impl FnOnce() -> Uuid) {
-        if self.began.is_none() {
-            self.began = Some(new_id());
+        if self.count_id.is_none() {
+            self.count_id = Some(new_id());
         }
     }
 
     /// Discards everything, since other instances count for the group.
     pub fn reset(&mut self) {
-        if self.began.is_some() {
+        if self.count_id.is_some() {
             *self = Self::default();
         }
     }
--- a/crates/firdock-policy/src/usage/merged_counts.rs
+++ b/crates/firdock-policy/src/usage/merged_counts.rs
@@ -12,7 +12,7 @@
 /// A reporter of the counts.
 #[derive(Debug)]
 struct Reporter {
-    began: Uuid,
+    count_id: Uuid,
     last_seen: Time,
     /// Whether it was received from its start, when nothing was counted yet.
     from_start: bool,
@@ -42,7 +42,7 @@
             .reporters
             .entry(report.lead.clone())
             .or_insert_with(|| Reporter::new(now, report, &self.known_totals));
-        if reporter.began == report.began {
+        if reporter.count_id == report.began {
             reporter.last_seen = now;
         } else {
             *reporter = Reporter::new(now, report, &self.known_totals);
@@ -91,7 +91,7 @@
             Counts::new()
         };
         Self {
-            began: report.began,
+            count_id: report.began,
             last_seen: now,
             from_start: report.fresh,
             offsets,
