--- a/crates/firdock-policy/src/request.rs
+++ b/crates/firdock-policy/src/request.rs
@@ -166,7 +166,7 @@
     pub refused_by: Vec<String>,
     /// Why it was handed over, if it is with a peer.
     pub hand_over_cause: Option<HandOverCause>,
-    /// Creation time of the key, by the log's clock; `None` without a binding key.
+    /// When the key counts as created, by the log's clock; `None` without a binding key.
     pub minted: Option<LogTime>,
     /// Until when, by this process's clock, a request with an opaque key may be dispatched.
     pub confirm_by: Option<Time>,
--- a/crates/firdock-policy/src/table/key.rs
+++ b/crates/firdock-policy/src/table/key.rs
@@ -1,4 +1,4 @@
-//! Idempotency keys of which this instance is or was the owner.
+//! Idempotency keys that this instance has seen as their owner.
 
 use std::collections::{BTreeMap, VecDeque};
 
--- a/crates/firdock-policy/src/table/share.rs
+++ b/crates/firdock-policy/src/table/share.rs
@@ -40,14 +40,14 @@
     }
 }
 
-/// Recent work of one pool for one account, by the declared rank of its requests.
+/// Work recently requested of one pool and done for one account, at one declared rank.
 #[derive(Debug, Clone, Copy, Default)]
 struct PoolUse {
     asked: DecayingWork,
     done: DecayingWork,
 }
 
-/// Recent work for one account, by pool and rank.
+/// Work recently requested by and done for one account, by pool and rank.
 #[derive(Debug, Default)]
 pub struct Work {
     pools: BTreeMap<PoolId, BTreeMap<TierRank, PoolUse>>,
