--- a/crates/firdock-policy/src/scheduler.rs
+++ b/crates/firdock-policy/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! The scheduler: takes one event at a time and gives the actions that follow from it.
+//! The scheduler: takes one event at a time and returns the resulting actions.
 
 use crate::action::Action;
 use crate::event::Event;
@@ -11,9 +11,9 @@
 use crate::table::{ReachableInstances, Tables};
 use crate::time::Time;
 
-/// Something that decides; the scheduler here, and simpler baselines in measurements.
+/// A decision procedure: this scheduler, or a simpler baseline in measurements.
 pub trait Policy {
-    /// Takes an event at the time `now` and appends the actions that follow.
+    /// Handles an event at the time `now` and appends the resulting actions.
     fn step(&mut self, now: Time, event: Event, out: &mut Vec<Action>);
 }
 
@@ -24,7 +24,7 @@
 }
 
 impl Scheduler {
-    /// Makes a scheduler with empty tables.
+    /// Creates a scheduler with empty tables.
     #[must_use]
     pub fn new(settings: PolicySettings) -> Self {
         Self {
@@ -32,17 +32,17 @@
         }
     }
 
-    /// Gives the tables, to read.
+    /// Returns the tables for reading.
     #[must_use]
     pub fn tables(&self) -> &Tables {
         &self.tables
     }
 
-    /// Checks everything that must hold between tables.
+    /// Checks all invariants between tables.
     ///
     /// # Panics
     ///
-    /// Panics where an invariant is broken: going on would break a promise to a caller.
+    /// Panics if an invariant is violated; continuing would break a guarantee to a caller.
     pub fn check_invariants(&self, now: Time) {
         invariants::check_all(&self.tables, now);
     }
@@ -54,8 +54,8 @@
             Event::CallerLeft(id) => dispatch_updates::caller_left(t, now, id, out),
             Event::Endpoint(e) => dispatch_updates::handle_update(t, now, &e, out),
             Event::LivenessChecked(result) => liveness::handle_result(t, now, &result, out),
-            Event::PaceReported(told) => pace_reports::record(t, &told),
-            Event::NoticeReported(told) => notice::record(t, &told, out),
+            Event::PaceReported(report) => pace_reports::record(t, &report),
+            Event::NoticeReported(report) => notice::record(t, &report, out),
             Event::Report(report) => health::record_report(t, now, &report),
             Event::ReportMissed(name) => health::record_missed_report(t, now, &name),
             Event::Config(catalog) => config::apply(t, now, &catalog, out),
@@ -63,10 +63,10 @@
             Event::KeyTransfer(transfer) => key::apply_transfer(t, now, &transfer),
             Event::LogRead(reading) => t.views.record_read(reading),
             Event::Listed(rows) => health::apply_instance_list(t, &rows),
-            Event::SuspectsReported(told) => suspect::merge_reports(t, now, told, out),
+            Event::SuspectsReported(report) => suspect::merge_reports(t, now, report, out),
             Event::Released(content, until) => suspect::release(t, now, content, until),
             Event::Peer(peer) => handover::apply_heartbeat(t, now, peer, out),
-            Event::SiteUseReported(word) => limit::apply_site_use(t, now, &word),
+            Event::SiteUseReported(report) => limit::apply_site_use(t, now, &report),
             Event::PeerLost(name) => handover::mark_peer_lost(t, &name),
             Event::PeersKnown(count) => t.known_peers = Some(count),
             Event::GroupDemand(group) => t.groups.update(now, group),
@@ -80,8 +80,8 @@
             Event::NotGranted(id, verdict) => coordinate::apply_refusal(t, now, id, verdict, out),
             Event::Adopted(new, endpoint) => coordinate::adopt(t, now, new, &endpoint),
             Event::HandOver(e) => handover::handle_event(t, now, &e, out),
-            Event::Rollout(word) => rollout::apply_status(t, now, &word),
-            Event::GroupEvidence(word) => rollout::merge_group_evidence(t, word),
+            Event::Rollout(report) => rollout::apply_status(t, now, &report),
+            Event::GroupEvidence(report) => rollout::merge_group_evidence(t, report),
             Event::Recorded(record) => rollout::apply_record(t, now, &record),
             Event::Decides(decides) => rollout::set_decides(t, decides),
             Event::Drain => t.draining = true,
