--- a/crates/firdock-node/src/telemetry.rs
+++ b/crates/firdock-node/src/telemetry.rs
@@ -1,4 +1,4 @@
-//! What operators see of a running instance: logs, traces and metrics.
+//! Logs, traces and metrics of a running instance.
 
 pub mod answer_metrics;
 pub mod change_tracker;
--- a/crates/firdock-node/src/telemetry/answer_metrics.rs
+++ b/crates/firdock-node/src/telemetry/answer_metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of the answers that wait for their callers.
+//! Metrics of answers that are buffered for slow callers.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
@@ -11,7 +11,7 @@
     cause: &'static str,
 }
 
-/// Bytes held for callers, and answers cut.
+/// Buffered bytes, and answers that were cut.
 #[derive(Debug, Clone, Default)]
 pub struct AnswerMetrics {
     bytes: Gauge,
@@ -33,7 +33,7 @@
         );
     }
 
-    /// Notes the bytes held now.
+    /// Sets the number of bytes that are buffered now.
     pub fn set_bytes(&self, bytes: usize) {
         self.bytes.set(i64::try_from(bytes).unwrap_or(i64::MAX));
     }
--- a/crates/firdock-node/src/telemetry/change_tracker.rs
+++ b/crates/firdock-node/src/telemetry/change_tracker.rs
@@ -1,33 +1,33 @@
-//! What was last seen of the rows of a table, so that a look costs what changed since the one before.
+//! Detection of changed rows in a table, at a cost that depends on the number of changes.
 //!
-//! An instance knows thousands of endpoints, of which few change between two looks: to build their list
-//! anew at each look costs more than all else that it does when calm.
+//! An instance has thousands of endpoints, of which few change between two scans. Rebuilding their list
+//! on each scan costs more than everything else that an idle instance does.
 
 use std::collections::BTreeMap;
 
-/// What was last seen of each row, by the row's number.
+/// Last seen values of rows, indexed by row number.
 #[derive(Debug)]
 pub struct ChangeTracker<W> {
     rows: Vec<Option<Row<W>>>,
-    /// Number of the present look.
-    look: u64,
-    /// What changed at this look, by the row's name.
+    /// Number of the current scan.
+    scan: u64,
+    /// Changes found by this scan, by row name.
     changes: BTreeMap<String, Change<W>>,
 }
 
 #[derive(Debug)]
 struct Row<W> {
     name: String,
-    word: W,
-    look: u64,
+    value: W,
+    scan: u64,
 }
 
-/// How what is seen of a row differs from the look before.
+/// Difference of a row's value from the scan before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Change<W> {
-    /// What was seen before; `None` for a new row.
+    /// Value before; `None` for a new row.
     pub before: Option<W>,
-    /// What is seen now; `None` for a row that is gone.
+    /// Value now; `None` for a removed row.
     pub is: Option<W>,
 }
 
@@ -35,67 +35,66 @@
     fn default() -> Self {
         Self {
             rows: Vec::new(),
-            look: 0,
+            scan: 0,
             changes: BTreeMap::new(),
         }
     }
 }
 
 impl<W: Copy + PartialEq> ChangeTracker<W> {
-    /// Looks at all rows, which are given with their numbers, names and what is to be seen of each;
-    /// gives what changed, by name.
-    pub fn look<'a>(
+    /// Scans all rows, given as number, name and value, and returns the changes by name.
+    pub fn update<'a>(
         &mut self,
         rows: impl Iterator<Item = (usize, &'a str, W)>,
     ) -> BTreeMap<String, Change<W>> {
-        self.look += 1;
-        for (at, name, word) in rows {
-            self.see(at, name, word);
+        self.scan += 1;
+        for (at, name, value) in rows {
+            self.update_row(at, name, value);
         }
-        self.drop_unseen();
+        self.remove_unseen();
         let changes = std::mem::take(&mut self.changes);
         let differs = |c: &Change<W>| c.before != c.is;
         changes.into_iter().filter(|(_, c)| differs(c)).collect()
     }
 
-    fn see(&mut self, at: usize, name: &str, word: W) {
+    fn update_row(&mut self, at: usize, name: &str, value: W) {
         if self.rows.len() <= at {
             self.rows.resize_with(at + 1, || None);
         }
-        let look = self.look;
+        let scan = self.scan;
         if let Some(row) = &mut self.rows[at]
             && row.name == name
         {
-            let before = std::mem::replace(&mut row.word, word);
-            row.look = look;
-            if before != word {
-                self.note(name, Some(before), Some(word));
+            let before = std::mem::replace(&mut row.value, value);
+            row.scan = scan;
+            if before != value {
+                self.record(name, Some(before), Some(value));
             }
             return;
         }
         let name = name.to_owned();
-        self.note(&name, None, Some(word));
-        // A number is used again by another row once its own is gone.
-        if let Some(gone) = self.rows[at].replace(Row { name, word, look }) {
-            self.note(&gone.name, Some(gone.word), None);
+        self.record(&name, None, Some(value));
+        // The table reuses the number of a removed row for another row.
+        if let Some(gone) = self.rows[at].replace(Row { name, value, scan }) {
+            self.record(&gone.name, Some(gone.value), None);
         }
     }
 
-    fn drop_unseen(&mut self) {
-        let look = self.look;
+    fn remove_unseen(&mut self) {
+        let scan = self.scan;
         let mut gone = Vec::new();
         for slot in &mut self.rows {
-            if slot.as_ref().is_some_and(|row| row.look != look) {
+            if slot.as_ref().is_some_and(|row| row.scan != scan) {
                 gone.extend(slot.take());
             }
         }
         for row in gone {
-            self.note(&row.name, Some(row.word), None);
+            self.record(&row.name, Some(row.value), None);
         }
     }
 
-    /// Notes a change; a name that goes with one row and comes with another changes once.
-    fn note(&mut self, name: &str, before: Option<W>, is: Option<W>) {
+    /// Records a change. A name that moves from one row to another counts as one change.
+    fn record(&mut self, name: &str, before: Option<W>, is: Option<W>) {
         let change = self.changes.entry(name.to_owned()).or_insert(Change {
             before: None,
             is: None,
--- a/crates/firdock-node/src/telemetry/decisions.rs
+++ b/crates/firdock-node/src/telemetry/decisions.rs
@@ -1,7 +1,7 @@
-//! One line for each decision that touches a request.
+//! Log lines for each decision on a request.
 //!
-//! Each has the request's id, the inputs that decided it with their age or version, and the
-//! outcome, so that a complaint can be traced from logs alone (`docs/OPERATIONS.md`).
+//! Each line has the request id, the inputs of the decision with their age or version, and the
+//! outcome, so that a complaint can be traced from the logs alone (`docs/OPERATIONS.md`).
 
 use std::sync::Arc;
 
@@ -16,13 +16,13 @@
 use hyper::StatusCode;
 use slog::{KV, Logger, Record, Serializer, info, warn};
 
-use super::endpoints::passed_over;
+use super::endpoints::unavailable_endpoints;
 use super::log_limiter::{LogKind, LogLimiter};
 use crate::clock::millis;
 use crate::endpoint::{AnswerEnd, Ending, Framing};
 use crate::exchange::Exchange;
 
-/// Where and when a request was last sent to an endpoint.
+/// The last dispatch of a request: endpoint, number and time.
 #[derive(Debug, Clone)]
 pub struct LastDispatch {
     endpoint: EndpointId,
@@ -31,7 +31,7 @@
 }
 
 impl LastDispatch {
-    /// Notes a dispatch.
+    /// Records a dispatch made at `now`.
     #[must_use]
     pub fn new(now: Time, dispatch: &Dispatch) -> Self {
         Self {
@@ -41,25 +41,26 @@
         }
     }
 
-    /// Tells whether it was this dispatch.
+    /// Returns whether this is the dispatch of that number.
     #[must_use]
     pub fn is(&self, dispatch: u32) -> bool {
         self.dispatch == dispatch
     }
 }
 
-/// What the lines on a request's end tell of it, though the line on its dispatch was left out.
+/// What the lines on the end of a request log about it. The line on its dispatch may have been
+/// suppressed, so these lines repeat where it was sent.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestContext<'a> {
     /// The request.
     pub exchange: &'a Exchange,
     /// When it arrived.
     pub arrived: Time,
-    /// Where it was last sent, if it was.
+    /// Its last dispatch, if there was one.
     pub last_dispatch: Option<&'a LastDispatch>,
 }
 
-/// Writes the lines of one scheduler's decisions.
+/// Logs the decisions of one scheduler.
 #[derive(Debug)]
 pub struct DecisionLog {
     log: Logger,
@@ -67,13 +68,13 @@
 }
 
 impl DecisionLog {
-    /// Makes a writer whose lines count against `budget`.
+    /// Creates a writer whose lines are limited by `limiter`.
     #[must_use]
     pub fn new(log: Logger, limiter: Arc<LogLimiter>) -> Self {
         Self { log, limiter }
     }
 
-    /// Writes that a request is sent to an endpoint.
+    /// Logs the dispatch of a request to an endpoint.
     pub fn dispatched(&self, now: Time, t: &Tables, dispatch: &Dispatch, exchange: &Exchange) {
         if !self.limiter.allow(&self.log, now, LogKind::Dispatched) {
             return;
@@ -102,20 +103,20 @@
             "running" => endpoint.map_or(0, |e| e.running),
             "budget" => endpoint.map_or(0, |e| e.budget),
             "left_millis" => row.deadline.map(|by| millis(by.saturating_sub(now))),
-            "passed_over" => passed_over(now, t, &exchange.payload.service),
+            "passed_over" => unavailable_endpoints(now, t, &exchange.payload.service),
             "version" => t.version,
             "config_age_millis" => config_age(t, now),
         );
     }
 
-    /// Writes that what an endpoint says can't be read, and is passed over.
+    /// Logs that a report of an endpoint could not be parsed and is ignored.
     pub fn malformed_report(&self, now: Time, kind: LogKind, endpoint: &EndpointId, told: &str) {
         if self.limiter.allow(&self.log, now, kind) {
             warn!(self.log, "{}", kind.as_str(); "endpoint" => endpoint, "told" => told);
         }
     }
 
-    /// Writes what an endpoint said of itself with an answer to this instance.
+    /// Logs a notice that an endpoint sent about itself with an answer to this instance.
     pub fn endpoint_notice(&self, now: Time, told: &NoticeReport) {
         if self.limiter.allow(&self.log, now, LogKind::Notice) {
             info!(self.log, "endpoint notice";
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Writes what was found of an endpoint whose connection ended early.
+    /// Logs the result of the liveness check of an endpoint whose connection ended early.
     pub fn liveness_checked(&self, now: Time, look: &LivenessResult) {
         if self.limiter.allow(&self.log, now, LogKind::LivenessCheck) {
             info!(self.log, "endpoint looked at";
@@ -136,9 +137,9 @@
         }
     }
 
-    /// Writes that a whole answer was passed on; `row` is the request's before it ended.
+    /// Logs that a whole answer was passed on; `row` is the request's row before it ended.
     pub fn answered(&self, now: Time, t: &Tables, row: &RequestRow, exchange: &Exchange) {
-        let (output, end) = course(exchange);
+        let (output, end) = answer_end(exchange);
         let unframed = end.is_some_and(|e| e.framing == Framing::Connection);
         let kind = if unframed {
             LogKind::Unframed
@@ -169,7 +170,7 @@
         );
     }
 
-    /// Writes firdock's own final answer to a request, with what decided it.
+    /// Logs a verdict, firdock's own final answer to a request, with the inputs that decided it.
     pub fn verdict(&self, now: Time, t: &Tables, context: RequestContext<'_>, verdict: Verdict) {
         if !self.limiter.allow(&self.log, now, LogKind::Failed) {
             return;
@@ -188,14 +189,14 @@
             "endpoint" => context.last_dispatch.map(|s| &s.endpoint),
             "dispatches" => context.last_dispatch.map_or(0, |s| s.dispatch),
             "placed_by" => placed_by(t),
-            "passed_over" => passed_over(now, t, &x.payload.service),
+            "passed_over" => unavailable_endpoints(now, t, &x.payload.service),
             "held" => t.requests.held(),
             "version" => t.version,
             "config_age_millis" => config_age(t, now),
         );
     }
 
-    /// Writes that the caller gets the answer with which the last endpoint failed.
+    /// Logs that the error response of the last endpoint is passed on to the caller.
     pub fn failure_forwarded(&self, now: Time, context: RequestContext<'_>, status: StatusCode) {
         if !self.limiter.allow(&self.log, now, LogKind::Failed) {
             return;
@@ -214,14 +215,14 @@
         );
     }
 
-    /// Writes that an answer that had begun could not be completed.
+    /// Logs that an answer that had begun could not be completed.
     pub fn cut(&self, now: Time, context: RequestContext<'_>, reason: Reason) {
         if self.limiter.allow(&self.log, now, LogKind::Failed) {
             self.broken_off(now, "answer cut", context, reason);
         }
     }
 
-    /// Writes that a caller left before its answer was whole; its work is cancelled.
+    /// Logs that a caller disconnected before its answer was complete, so that its work is cancelled.
     pub fn caller_left(&self, now: Time, context: RequestContext<'_>) {
         if self.limiter.allow(&self.log, now, LogKind::CallerLeft) {
             self.broken_off(now, "caller left", context, Reason::CallerLeft);
@@ -239,7 +240,7 @@
         let after = context
             .last_dispatch
             .map(|s| millis(now.saturating_sub(s.at)));
-        let (delivered, end) = course(x);
+        let (delivered, end) = answer_end(x);
         let caller_end = match reason {
             Reason::CallerLeft => "left",
             _ => "broken",
@@ -261,7 +262,7 @@
         );
     }
 
-    /// Writes that a dispatch ended without an answer: refused, lapsed or broken.
+    /// Logs that a dispatch ended without an answer: refused, lapsed or broken.
     pub fn dispatch_failed(
         &self,
         now: Time,
@@ -273,7 +274,7 @@
         if !self.limiter.allow(&self.log, now, LogKind::Failed) {
             return;
         }
-        let (_, end) = course(x);
+        let (_, end) = answer_end(x);
         warn!(self.log, "dispatch failed";
             "request_id" => row.new.id.to_string(),
             "call" => call(x),
@@ -289,13 +290,13 @@
     }
 }
 
-/// Gives the tokens that have been passed on, and what came of the last dispatch's answer.
-fn course(exchange: &Exchange) -> (u32, Option<AnswerEnd>) {
+/// Returns the tokens that have been passed on, and how the answer of the last dispatch ended.
+fn answer_end(exchange: &Exchange) -> (u32, Option<AnswerEnd>) {
     let delivered = exchange.delivered();
     (delivered.tokens, delivered.end)
 }
 
-/// Fields on how an endpoint's answer was framed and ended, on the lines of a dispatch whose answer began.
+/// Log fields on the framing and the end of an endpoint's answer; empty if no answer began.
 struct EndFields(Option<AnswerEnd>);
 
 impl KV for EndFields {
@@ -311,7 +312,7 @@
     }
 }
 
-/// Gives the endpoint that a request is at.
+/// Returns the endpoint to which a request is dispatched.
 fn endpoint_of<'a>(t: &'a Tables, row: &RequestRow) -> Option<&'a EndpointId> {
     let (Phase::Dispatching(at) | Phase::Running(at)) = row.phase else {
         return None;
@@ -319,12 +320,12 @@
     Some(&t.endpoints.get(at).declared.name)
 }
 
-/// Gives the id that the caller gave, or nothing.
+/// Returns the request id that the caller gave, if any.
 fn call(exchange: &Exchange) -> Option<&String> {
     exchange.payload.terms.caller_id.as_ref()
 }
 
-/// Tells who places requests on engines at the time.
+/// Returns who currently places requests on engines.
 fn placed_by(t: &Tables) -> &'static str {
     if t.coordinated {
         "coordinator"
@@ -333,20 +334,21 @@
     }
 }
 
-/// Gives the age of the configuration in milliseconds; `None` if it was never known to be the newest.
+/// Returns the time in milliseconds since the configuration was last confirmed to be the newest; `None` if
+/// it never was.
 pub(super) fn config_age(t: &Tables, now: Time) -> Option<u64> {
     t.config_confirmed_at
         .map(|at| millis(now.saturating_sub(at)))
 }
 
-/// Gives the pace that an endpoint told last, in hundredths of the usual time.
+/// Returns the pace that an endpoint reported last, as a percentage of its usual time.
 fn pace_told(e: &EndpointRow) -> Option<u64> {
     e.reported_pace
         .latest()
         .map(|(pace, _)| (100.0 * pace).round() as u64)
 }
 
-/// Gives how long ago an endpoint told its pace, in milliseconds.
+/// Returns the age of an endpoint's pace report in milliseconds.
 fn pace_age(now: Time, e: &EndpointRow) -> Option<u64> {
     let (_, read) = e.reported_pace.latest()?;
     Some(millis(now.saturating_sub(read)))
--- a/crates/firdock-node/src/telemetry/endpoints.rs
+++ b/crates/firdock-node/src/telemetry/endpoints.rs
@@ -1,4 +1,4 @@
-//! What an instance believes of its endpoints now, as operators see it.
+//! Current status of the endpoints, as shown to operators.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -12,34 +12,34 @@
 use super::change_tracker::Change;
 use crate::clock::millis;
 
-/// Endpoints that a line on a decision names, of those that were passed over for what they said.
-const MOST_NAMED: usize = 4;
+/// Number of unavailable endpoints that the log line of a decision names.
+const MAX_NAMED: usize = 4;
 
-/// What is believed of one endpoint.
+/// Status of one endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct EndpointStatus {
     /// `usable`, `leaving`, `backing off` or `ejected`.
     pub state: &'static str,
-    /// Who said that it leaves.
+    /// Source of the report that the endpoint is leaving or backing off.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub source: Option<&'static str>,
-    /// How long ago the endpoint itself said so.
+    /// Age of the endpoint's own report of that state.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub age_millis: Option<u64>,
-    /// How much longer it wants no request from this instance.
+    /// Remaining time for which the endpoint asked this instance to send no requests.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub left_millis: Option<u64>,
-    /// Hash of its pool's name, by which a look sees that it moved to another one.
+    /// Hash of the pool name, so that a move to another pool counts as a change.
     #[serde(skip)]
     pool_hash: u64,
 }
 
 impl EndpointStatus {
-    /// Takes what is believed from an endpoint's row.
+    /// Derives the status from the endpoint's row.
     #[must_use]
     pub fn new(now: Time, e: &EndpointRow) -> Self {
         let since = |at: Time| millis(now.saturating_sub(at));
-        let mut word = Self {
+        let mut status = Self {
             state: "usable",
             source: None,
             age_millis: None,
@@ -48,61 +48,61 @@
         };
         match e.check_available("", now) {
             Err(UnavailableReason::Leaving | UnavailableReason::Absent) => {
-                word.state = "leaving";
-                word.source = e.leaving_source(now).map(LeavingSource::as_str);
-                word.age_millis = e.notices.leaving_since().map(since);
+                status.state = "leaving";
+                status.source = e.leaving_source(now).map(LeavingSource::as_str);
+                status.age_millis = e.notices.leaving_since().map(since);
             }
             Err(UnavailableReason::BackingOff(until)) => {
-                word.state = "backing off";
-                word.source = Some("answer");
-                word.age_millis = e.notices.backoff("", now).map(|b| since(b.since));
-                word.left_millis = Some(millis(until.saturating_sub(now)));
+                status.state = "backing off";
+                status.source = Some("answer");
+                status.age_millis = e.notices.backoff("", now).map(|b| since(b.since));
+                status.left_millis = Some(millis(until.saturating_sub(now)));
             }
-            _ if !e.is_healthy() => word.state = "ejected",
+            _ if !e.is_healthy() => status.state = "ejected",
             _ => {}
         }
-        word
+        status
     }
 }
 
-/// An endpoint and what is believed of it, as operators see it.
+/// An endpoint's pool and status, as shown to operators.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct EndpointState {
     /// Pool that it belongs to.
     pub pool: PoolId,
-    /// What is believed of it.
+    /// Status.
     #[serde(flatten)]
-    pub word: EndpointStatus,
+    pub status: EndpointStatus,
 }
 
-/// States of the endpoints in force, by name.
+/// States of the endpoints of the configuration in force, by name.
 pub type EndpointStates = BTreeMap<EndpointId, EndpointState>;
 
-/// The states that were last looked at, for whoever asks.
+/// Shared list of endpoint states, updated by the scheduler's thread.
 #[derive(Debug, Clone, Default)]
 pub struct EndpointList(Arc<Mutex<EndpointStates>>);
 
 impl EndpointList {
-    /// Takes over what changed, of the endpoints of a scheduler.
+    /// Applies changes; `t` are the scheduler's tables that they come from.
     pub fn update(&self, t: &Tables, changes: &BTreeMap<EndpointId, Change<EndpointStatus>>) {
         if changes.is_empty() {
             return;
         }
-        let mut states = self.lock();
+        let mut list = self.lock();
         for (name, change) in changes {
             match (change.is, t.endpoints.find(name)) {
-                (Some(word), Some(at)) => {
+                (Some(status), Some(at)) => {
                     let pool = t.endpoints.get(at).declared.pool.clone();
-                    states.insert(name.clone(), EndpointState { pool, word });
+                    list.insert(name.clone(), EndpointState { pool, status });
                 }
                 _ => {
-                    states.remove(name);
+                    list.remove(name);
                 }
             }
         }
     }
 
-    /// Gives the states.
+    /// Returns the states.
     #[must_use]
     pub fn get(&self) -> EndpointStates {
         self.lock().clone()
@@ -113,10 +113,10 @@
     }
 }
 
-/// Names the endpoints of a service that get nothing from this instance for what was said of them, with
-/// why; `None` where there are none.
+/// Lists the endpoints of a service that this instance skips because they leave or asked for a back-off,
+/// with the cause; returns `None` if there are none.
 #[must_use]
-pub fn passed_over(now: Time, t: &Tables, service: &ServiceId) -> Option<String> {
+pub fn unavailable_endpoints(now: Time, t: &Tables, service: &ServiceId) -> Option<String> {
     let at = t.services.find(service)?;
     let rows = t.services.get(at).endpoints.iter();
     let why = rows.filter_map(|at| {
@@ -131,8 +131,8 @@
         Some(format!("{}: {why}", e.declared.name))
     });
     let mut all: Vec<String> = why.collect();
-    let more = all.len().saturating_sub(MOST_NAMED);
-    all.truncate(MOST_NAMED);
+    let more = all.len().saturating_sub(MAX_NAMED);
+    all.truncate(MAX_NAMED);
     if more > 0 {
         all.push(format!("{more} more"));
     }
--- a/crates/firdock-node/src/telemetry/log.rs
+++ b/crates/firdock-node/src/telemetry/log.rs
@@ -1,18 +1,19 @@
-//! JSON-line logs by `slog`, with the instance's name on each line.
+//! Logging in JSON lines with `slog`; each line carries the name of the instance.
 //!
-//! No key, prompt or body is ever logged; request and trace ids are.
+//! Keys, prompts and bodies are never logged; request and trace ids are.
 
 use std::io::Write;
 use std::sync::Mutex;
 
 use slog::{Drain as _, Logger, o};
 
-/// Least severe level that is logged.
+/// Minimum severity of lines that are logged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Level(slog::Level);
 
 impl Level {
-    /// Reads a level's name; unknown names count as `info`, which settings checks never let by.
+    /// Parses the name of a level. Unknown names count as `info`; the validation of settings rejects
+    /// them before.
     #[must_use]
     pub fn new(name: &str) -> Self {
         Self(match name {
@@ -24,17 +25,18 @@
     }
 }
 
-/// Tag of the lines that are spans of a trace.
+/// Tag of the log records that are trace spans.
 pub const SPAN_TAG: &str = "span";
-/// Lines that may wait for a slow reader of the log; further ones are dropped and counted.
-const LINES_WAITING: usize = 8_192;
+/// Capacity of the queue of lines not yet written; further lines are dropped and counted.
+const LINE_QUEUE_CAPACITY: usize = 8_192;
 
-/// Writes what waits when it is dropped, so it has to live as long as the process logs.
+/// Flushes the queue of lines when it is dropped, so it has to live as long as the process logs.
 pub type LogGuard = slog_async::AsyncGuard;
 
-/// Makes a logger that writes JSON lines to `out` from a thread of its own.
+/// Creates a logger that writes JSON lines to `out` from a background thread.
 ///
-/// A reader that stalls must not hold up the scheduler, so lines beyond a bound are dropped.
+/// A stalled reader of the log must not block the scheduler, so lines are dropped when the queue is full.
+/// Trace spans are written only if `spans` is set.
 pub fn logger<W>(out: W, level: Level, spans: bool, instance: &str) -> (Logger, LogGuard)
 where
     W: Write + Send + 'static,
@@ -44,7 +46,7 @@
         .add_default_keys()
         .build();
     let (lines, guard) = slog_async::Async::new(Mutex::new(json).map(slog::Fuse))
-        .chan_size(LINES_WAITING)
+        .chan_size(LINE_QUEUE_CAPACITY)
         .overflow_strategy(slog_async::OverflowStrategy::DropAndReport)
         .build_with_guard();
     let wanted = lines.filter(move |record| spans || record.tag() != SPAN_TAG);
@@ -55,7 +57,7 @@
     )
 }
 
-/// Makes a logger that drops everything, for tests and measurements.
+/// Creates a logger that discards everything, for tests and measurements.
 pub fn discard_logger() -> Logger {
     Logger::root(slog::Discard, o!())
 }
--- a/crates/firdock-node/src/telemetry/log_limiter.rs
+++ b/crates/firdock-node/src/telemetry/log_limiter.rs
@@ -1,4 +1,4 @@
-//! Bounds on the lines of a log: so many of each kind a second, and a count of what was left out.
+//! Rate limits for log lines: a number of each kind per second, and a count of suppressed lines.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -7,42 +7,42 @@
 use firdock_policy::Time;
 use slog::{Logger, warn};
 
-/// Time after which each kind gets its lines anew.
+/// Length of the window after which the counts start again.
 const PERIOD: Duration = Duration::from_secs(1);
 
-/// Kind of a line, by which lines are counted.
+/// Kinds of log lines that have separate limits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LogKind {
     /// A request was sent to an endpoint.
     Dispatched,
     /// A whole answer was passed on.
     Answered,
-    /// The same, of an answer that had neither a length nor chunks.
+    /// A whole answer was passed on that had neither a length nor chunks.
     Unframed,
-    /// A caller left before its answer was whole.
+    /// A caller disconnected before its answer was complete.
     CallerLeft,
     /// A request ended without a whole answer.
     Failed,
-    /// What the process believes changed.
+    /// The assumed state of the configuration, an endpoint or a peer changed.
     StateChange,
-    /// What an endpoint said of its load could not be read.
+    /// An endpoint's load report could not be parsed.
     BadLoad,
-    /// What was found of an endpoint whose connection ended early.
+    /// Result of the liveness check of an endpoint whose connection ended early.
     LivenessCheck,
-    /// A request came into quarantine, or out of it.
+    /// A request was quarantined or released.
     Quarantine,
-    /// What an endpoint said of itself with an answer.
+    /// An endpoint sent a notice about itself with an answer.
     Notice,
-    /// The same, where it could not be read.
+    /// An endpoint's notice could not be parsed.
     BadNotice,
     /// The platform's store was called.
     StoreCall,
-    /// An entry of an endpoint named none to use.
+    /// An entry of an endpoint described no usable endpoint.
     RefusedEntry,
 }
 
 impl LogKind {
-    /// Gives the name that the line about left-out lines has.
+    /// Returns the name that the line on suppressed lines uses.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -62,12 +62,12 @@
         }
     }
 
-    /// Gives the lines a second.
+    /// Returns the maximum number of lines per second.
     ///
-    /// What went well is sampled: an instance serves some tens of requests a second, and a line
-    /// costs about as much as forwarding an event. A writer that writes nonsense writes it again and
-    /// again. Failures and beliefs are only bounded against storms.
-    fn most(self) -> u32 {
+    /// Successes are sampled: an instance serves some tens of requests a second, and a line costs about
+    /// as much as forwarding an event. So are invalid entries, since their writer repeats them. Failures
+    /// and state changes are limited only against bursts.
+    fn max_per_period(self) -> u32 {
         match self {
             Self::Dispatched
             | Self::Answered
@@ -78,7 +78,7 @@
             | Self::StoreCall
             | Self::RefusedEntry => 20,
             Self::Failed | Self::Unframed | Self::StateChange => 200,
-            // It comes with each answer of a server that says it, and one line tells all.
+            // A server that sends a malformed header sends it with each answer, so one line is enough.
             Self::BadLoad | Self::BadNotice => 1,
         }
     }
@@ -87,7 +87,7 @@
 #[derive(Debug, Default)]
 struct Counts {
     written: u32,
-    left_out: u32,
+    suppressed: u32,
 }
 
 #[derive(Debug, Default)]
@@ -96,16 +96,16 @@
     kinds: BTreeMap<LogKind, Counts>,
 }
 
-/// Counts lines by kind.
+/// Rate limiter for log lines, by kind.
 #[derive(Debug, Default)]
 pub struct LogLimiter {
     inner: Mutex<Inner>,
 }
 
 impl LogLimiter {
-    /// Tells whether a line may be written; one that may not is counted.
+    /// Returns whether a line may be written; counts it as suppressed if not.
     ///
-    /// At the start of each period, a line tells what was left out in the last one.
+    /// The first call of a period logs the counts of lines that were suppressed in the last one.
     pub fn allow(&self, log: &Logger, now: Time, kind: LogKind) -> bool {
         let mut inner = self.lock();
         if inner.since + PERIOD <= now {
@@ -113,16 +113,16 @@
             report(log, std::mem::take(&mut inner.kinds));
         }
         let counts = inner.kinds.entry(kind).or_default();
-        if counts.written < kind.most() {
+        if counts.written < kind.max_per_period() {
             counts.written += 1;
             true
         } else {
-            counts.left_out += 1;
+            counts.suppressed += 1;
             false
         }
     }
 
-    /// Tells what was left out so far, when the process ends.
+    /// Logs the counts of suppressed lines when the process ends.
     pub fn finish(&self, log: &Logger) {
         report(log, std::mem::take(&mut self.lock().kinds));
     }
@@ -134,8 +134,8 @@
 
 fn report(log: &Logger, kinds: BTreeMap<LogKind, Counts>) {
     for (kind, counts) in kinds {
-        if counts.left_out > 0 {
-            warn!(log, "lines left out"; "kind" => kind.as_str(), "count" => counts.left_out);
+        if counts.suppressed > 0 {
+            warn!(log, "lines left out"; "kind" => kind.as_str(), "count" => counts.suppressed);
         }
     }
 }
--- a/crates/firdock-node/src/telemetry/metrics.rs
+++ b/crates/firdock-node/src/telemetry/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics in the Prometheus text format, taken over from the policy's counters.
+//! Metrics in the Prometheus text format, most of them copied from the policy's counters.
 
 mod labels;
 mod register;
@@ -25,21 +25,21 @@
 use crate::endpoint::{AnswerEnd, Ending};
 use crate::source::StoreCall;
 
-/// Least decision time told apart, in seconds.
-const FIRST_BUCKET: f64 = 1e-6;
-/// Buckets of the decision time, each twice as wide as the one before.
-const BUCKETS: u16 = 20;
+/// Upper bound of the first bucket of decision times, in seconds.
+const FIRST_DECISION_BUCKET: f64 = 1e-6;
+/// Number of buckets of decision times, each with twice the upper bound of the one before.
+const DECISION_BUCKETS: u16 = 20;
 
-/// Least latency told apart, in seconds.
+/// Upper bound of the first bucket of latencies, in seconds.
 const FIRST_LATENCY_BUCKET: f64 = 1e-3;
-/// Buckets of latencies, likewise.
+/// Number of buckets of latencies, each with twice the upper bound of the one before.
 const LATENCY_BUCKETS: u16 = 16;
 
-/// Least predicted time that others are told as parts of: below it, the clock's steps would show.
-const LEAST_PREDICTED: Duration = Duration::from_millis(1);
-/// Least part of a predicted time told apart, and buckets of them.
-const FIRST_PART_BUCKET: f64 = 0.125;
-const PART_BUCKETS: u16 = 9;
+/// Minimum predicted time used as a divisor: below it, the resolution of the clock would distort the ratio.
+const MIN_PREDICTED: Duration = Duration::from_millis(1);
+/// Upper bound of the first bucket of ratios of actual to predicted times, and number of buckets.
+const FIRST_RATIO_BUCKET: f64 = 0.125;
+const RATIO_BUCKETS: u16 = 9;
 
 /// All metrics of an instance.
 #[derive(Debug)]
@@ -76,7 +76,7 @@
     log_lag: Gauge,
     decision: Histogram,
     first: Family<ByTier, Histogram, fn() -> Histogram>,
-    first_parts: Family<ByPool, Histogram, fn() -> Histogram>,
+    first_over_predicted: Family<ByPool, Histogram, fn() -> Histogram>,
     paces: Family<ByPool, Counter>,
     leaving_told: Family<ByPool, Counter>,
     backoffs_told: Family<ByPool, Counter>,
@@ -95,7 +95,7 @@
 }
 
 impl Metrics {
-    /// Makes and registers all metrics.
+    /// Creates all metrics and registers them.
     #[must_use]
     pub fn new() -> Self {
         let metrics = Self {
@@ -129,9 +129,13 @@
             entries_refused: Counter::default(),
             version: Gauge::default(),
             log_lag: Gauge::default(),
-            decision: Histogram::new(exponential_buckets(FIRST_BUCKET, 2.0, BUCKETS)),
+            decision: Histogram::new(exponential_buckets(
+                FIRST_DECISION_BUCKET,
+                2.0,
+                DECISION_BUCKETS,
+            )),
             first: Family::new_with_constructor(latency),
-            first_parts: Family::new_with_constructor(parts),
+            first_over_predicted: Family::new_with_constructor(ratios),
             paces: Family::default(),
             leaving_told: Family::default(),
             backoffs_told: Family::default(),
@@ -146,39 +150,39 @@
         metrics
     }
 
-    /// Gives the metrics of answers that wait for their callers.
+    /// Returns the metrics of answers that are buffered for slow callers.
     #[must_use]
     pub fn answer_metrics(&self) -> AnswerMetrics {
         self.buffered_answers.clone()
     }
 
-    /// Gives the list of what is believed of endpoints.
+    /// Returns the list of endpoint states.
     #[must_use]
     pub fn endpoints(&self) -> EndpointList {
         self.endpoints.clone()
     }
 
-    /// Gives the list of requests under which endpoints ended.
+    /// Returns the list of suspects: requests during which endpoints exited.
     #[must_use]
     pub fn suspects(&self) -> SuspectList {
         self.suspects.clone()
     }
 
-    /// Notes how many requests are suspected, and how many in quarantine.
+    /// Sets the numbers of suspects and of quarantined requests.
     pub fn set_suspects(&self, states: &SuspectStates) {
         let quarantined = states.values().filter(|s| s.quarantined).count();
         self.suspected.set(gauge(states.len()));
         self.quarantined.set(gauge(quarantined));
     }
 
-    /// Forgets how accounts stand, so that one of which nothing is told any more keeps no old figures.
+    /// Removes the shares of all accounts, so that an account that is no longer reported keeps no stale values.
     pub fn clear_shares(&self) {
         self.asked.clear();
         self.done.clear();
         self.share.clear();
     }
 
-    /// Takes over how an account stands with a pool.
+    /// Sets the share of a pool that an account had.
     pub fn set_share(&self, account: &str, pool: &str, fair_share: &FairShare) {
         let label = ByShare {
             account: account.to_owned(),
@@ -189,12 +193,12 @@
         self.share.get_or_create(&label).set(fair_share.share);
     }
 
-    /// Notes how long a decision took.
+    /// Records the duration of a decision.
     pub fn observe_decision(&self, took: Duration) {
         self.decision.observe(took.as_secs_f64());
     }
 
-    /// Notes the times of a request whose whole answer was passed on.
+    /// Records the latencies of a request whose whole answer was passed on.
     pub fn observe_answer(&self, now: Time, row: &RequestRow) {
         let since = |at: Time| at.saturating_sub(row.arrived).as_secs_f64();
         let tier = ByTier {
@@ -207,8 +211,8 @@
             pool: row.pool_key().to_owned(),
         };
         let first = row.first.unwrap_or(now).saturating_sub(row.dispatched);
-        let predicted = row.predicted.max(LEAST_PREDICTED);
-        self.first_parts
+        let predicted = row.predicted.max(MIN_PREDICTED);
+        self.first_over_predicted
             .get_or_create(&pool)
             .observe(first.as_secs_f64() / predicted.as_secs_f64());
         self.held_time.observe(since(row.dispatched));
@@ -235,18 +239,18 @@
         self.store_calls.get_or_create(&labels).inc();
     }
 
-    /// Counts an entry of an endpoint that names none to use.
+    /// Counts an entry of an endpoint that describes no usable endpoint.
     pub fn count_refused_entry(&self) {
         self.entries_refused.inc();
     }
 
-    /// Notes how long ago the log was read up to its end.
+    /// Sets the time since the log was last read to its end.
     pub fn set_log_lag(&self, lag: Duration) {
         self.log_lag
             .set(i64::try_from(lag.as_millis()).unwrap_or(i64::MAX));
     }
 
-    /// Takes the policy's counters over.
+    /// Copies the policy's counters, the version in force and the numbers of held requests by tier.
     pub fn publish(&self, stats: &Stats, version: u64, held: &[(String, u32)]) {
         for (name, tier) in &stats.tiers {
             let label = ByTier { tier: name.clone() };
@@ -326,7 +330,7 @@
         self.version.set(i64::try_from(version).unwrap_or(i64::MAX));
     }
 
-    /// Writes all metrics as text.
+    /// Renders all metrics as text.
     #[must_use]
     pub fn render(&self) -> String {
         let mut text = String::new();
@@ -340,7 +344,7 @@
     }
 }
 
-/// Makes a histogram of times from a millisecond to half a minute.
+/// Creates a histogram of times from 1 ms to about 33 s.
 fn latency() -> Histogram {
     Histogram::new(exponential_buckets(
         FIRST_LATENCY_BUCKET,
@@ -349,12 +353,12 @@
     ))
 }
 
-/// Makes a histogram of times over the predicted ones, from an eighth to 32 times.
-fn parts() -> Histogram {
-    Histogram::new(exponential_buckets(FIRST_PART_BUCKET, 2.0, PART_BUCKETS))
+/// Creates a histogram of ratios of actual to predicted times, from 1/8 to 32.
+fn ratios() -> Histogram {
+    Histogram::new(exponential_buckets(FIRST_RATIO_BUCKET, 2.0, RATIO_BUCKETS))
 }
 
-/// Gives a count as gauges take it.
+/// Converts a count to the value of a gauge.
 fn gauge(count: usize) -> i64 {
     i64::try_from(count).unwrap_or(i64::MAX)
 }
--- a/crates/firdock-node/src/telemetry/metrics/labels.rs
+++ b/crates/firdock-node/src/telemetry/metrics/labels.rs
@@ -8,7 +8,7 @@
     pub(super) pool: String,
 }
 
-/// Label by tier of service.
+/// Label by service tier.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(super) struct ByTier {
     pub(super) tier: String,
@@ -20,13 +20,13 @@
     pub(super) cause: String,
 }
 
-/// Label by what a look at an endpoint found.
+/// Label by the result of a liveness check.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(super) struct ByFound {
     pub(super) found: &'static str,
 }
 
-/// Labels of endpoints' answers.
+/// Labels of answers from endpoints, by framing and by how they ended.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(super) struct ByEnd {
     pub(super) framing: &'static str,
@@ -39,25 +39,25 @@
     pub(super) outcome: String,
 }
 
-/// Labels of ended tries.
+/// Labels of ended attempts.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(super) struct ByTry {
     pub(super) tier: String,
-    /// `first`, or `return` where the caller came back.
+    /// `first`, or `return` for a retry by the caller.
     pub(super) attempt: &'static str,
     pub(super) end: &'static str,
 }
 
-/// Labels of refusals for load.
+/// Labels of requests that were refused because of load.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(super) struct ByRefusal {
     pub(super) account: String,
     pub(super) rank: u8,
-    /// `over`, or `within`.
+    /// `over` or `within`: whether the account exceeded its share.
     pub(super) share: &'static str,
 }
 
-/// Labels of how an account stands with a pool.
+/// Labels of an account's share of a pool.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(super) struct ByShare {
     pub(super) account: String,
--- a/crates/firdock-node/src/telemetry/metrics/register.rs
+++ b/crates/firdock-node/src/telemetry/metrics/register.rs
@@ -1,4 +1,4 @@
-//! Registration of metrics, with the help that whoever collects them reads.
+//! Registration of metrics with their help texts.
 
 use prometheus_client::registry::Registry;
 
@@ -60,7 +60,7 @@
         r.register(
             "first_over_predicted",
             "Time from dispatch to the first token or byte over the predicted, by pool",
-            self.first_parts.clone(),
+            self.first_over_predicted.clone(),
         );
         r.register(
             "paces_told",
@@ -90,7 +90,7 @@
         );
     }
 
-    /// Registers what tells of dispatches and of endpoints that fail.
+    /// Registers the metrics of dispatches and of failing endpoints.
     fn register_dispatches(&self, r: &mut Registry) {
         r.register(
             "dispatches",
@@ -155,7 +155,7 @@
         );
     }
 
-    /// Registers what tells of starts of endpoints and of their entries.
+    /// Registers the metrics of endpoint restarts and of endpoint entries.
     fn register_starts(&self, r: &mut Registry) {
         r.register(
             "endpoint_restarts",
@@ -174,7 +174,7 @@
         );
     }
 
-    /// Registers what tells of accounts and their shares.
+    /// Registers the metrics of accounts and their shares.
     fn register_shares(&self, r: &mut Registry) {
         r.register(
             "account_refusals",
--- a/crates/firdock-node/src/telemetry/restarts.rs
+++ b/crates/firdock-node/src/telemetry/restarts.rs
@@ -1,4 +1,4 @@
-//! One line for each endpoint that started again under its name.
+//! Log lines for endpoints that restarted under the same name.
 
 use firdock_core::resource::Catalog;
 use firdock_policy::Time;
@@ -8,8 +8,9 @@
 
 use super::log_limiter::{LogKind, LogLimiter};
 
-/// Writes which endpoints of a configuration are later starts than the tables have, before it is taken.
-pub fn log_restarts(log: &Logger, lines: &LogLimiter, now: Time, t: &Tables, catalog: &Catalog) {
+/// Logs the endpoints that a configuration declares with another start than the tables have. It has to
+/// be called before the configuration is applied to the tables.
+pub fn log_restarts(log: &Logger, limiter: &LogLimiter, now: Time, t: &Tables, catalog: &Catalog) {
     if catalog.version < t.version {
         return;
     }
@@ -19,7 +20,7 @@
         let Some(row) = known.filter(|row| row.is_other_start(declared)) else {
             continue;
         };
-        if lines.allow(log, now, LogKind::StateChange) {
+        if limiter.allow(log, now, LogKind::StateChange) {
             write(log, row, &declared.start_id());
         }
     }
--- a/crates/firdock-node/src/telemetry/rollouts.rs
+++ b/crates/firdock-node/src/telemetry/rollouts.rs
@@ -1,4 +1,4 @@
-//! One line for each step of a roll-out, with what was seen of both versions by then.
+//! Log lines for the steps of roll-outs, with the evidence on both versions so far.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 
 use crate::clock::millis;
 
-/// Writes the lines on roll-outs, and keeps what was last written.
+/// Logs each step of a roll-out once, by comparing with the step that was last logged.
 #[derive(Debug)]
 pub struct RolloutLog {
     log: Logger,
@@ -19,7 +19,7 @@
 }
 
 impl RolloutLog {
-    /// Makes a writer; roll-outs are few, so that their lines need no bound.
+    /// Creates a writer. Roll-outs are few, so their lines are not rate-limited.
     #[must_use]
     pub fn new(log: Logger) -> Self {
         Self {
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Writes the steps since the last look; tells whether there were any.
+    /// Logs the steps since the last call; returns whether there were any.
     pub fn record(&mut self, now: Time, t: &Tables) -> bool {
         let rows = &t.rollouts.rows;
         let mut changed = false;
--- a/crates/firdock-node/src/telemetry/shares.rs
+++ b/crates/firdock-node/src/telemetry/shares.rs
@@ -1,4 +1,5 @@
-//! Shares of accounts where room is short: metrics of all, and a line on each that is over its own.
+//! Shares of accounts where capacity is short: metrics of all accounts, and a log line for each
+//! account that exceeds its share.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,39 +10,40 @@
 
 use super::metrics::Metrics;
 
-/// Pause between two looks: work that counts fades by a second.
-const PAUSE: Duration = Duration::from_secs(1);
-/// Accounts told of for each pool and rank in one look, so that many of them fill neither the log nor the metrics.
+/// Interval between two samples: the weight of past work decays by the second.
+const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
+/// Accounts reported for each pool and rank in one sample. It bounds the size of the log and of the metrics.
 const MAX_ACCOUNTS: usize = 64;
-/// Lines for each pool and rank in one look, on those that are furthest over their shares.
+/// Log lines for each pool and rank in one sample, for the accounts that exceed their shares most.
 const MAX_LINES: usize = 4;
 
-/// Writes what accounts had of what they may have.
+/// Publishes how much work was done for each account, compared with its share.
 #[derive(Debug)]
 pub struct ShareLog {
     log: Logger,
     metrics: Arc<Metrics>,
-    looked: Time,
+    sampled_at: Time,
 }
 
 impl ShareLog {
-    /// Makes a writer.
+    /// Creates a writer that has not sampled yet.
     #[must_use]
     pub fn new(log: Logger, metrics: Arc<Metrics>) -> Self {
         Self {
             log,
             metrics,
-            looked: Time::ZERO,
+            sampled_at: Time::ZERO,
         }
     }
 
-    /// Looks at the tables of the coordinator that runs here, or of the instance where it has none, if
-    /// accounts have shares and a look is due.
+    /// Samples `t` if shares are enabled and a sample is due.
+    ///
+    /// `t` are the tables of the coordinator that runs here, or of the instance if it runs none.
     pub fn record(&mut self, now: Time, t: &Tables) {
-        if !t.settings.account_shares.is_on() || now < self.looked + PAUSE {
+        if !t.settings.account_shares.is_on() || now < self.sampled_at + SAMPLE_INTERVAL {
             return;
         }
-        self.looked = now;
+        self.sampled_at = now;
         self.metrics.clear_shares();
         for pool in fair_shares_by_pool(t, now) {
             let mut rows = pool.rows;
--- a/crates/firdock-node/src/telemetry/state_changes.rs
+++ b/crates/firdock-node/src/telemetry/state_changes.rs
@@ -1,7 +1,6 @@
-//! One line for each change in what the process believes: of its configuration, its endpoints and
-//! the other instances.
+//! Log lines for changes of the state that decisions depend on: configuration, endpoints and peers.
 //!
-//! Decisions follow from beliefs, so that a decision can be explained from the lines before it.
+//! A decision can be explained from the state changes logged before it.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,7 +16,7 @@
 use super::endpoints::{EndpointList, EndpointStatus};
 use super::log_limiter::{LogKind, LogLimiter};
 
-/// Writes the lines of one scheduler's beliefs, and keeps what was last written.
+/// Logs the state changes of one scheduler, by comparing with the state that was last logged.
 #[derive(Debug)]
 pub struct StateChangeLog {
     log: Logger,
@@ -30,7 +29,7 @@
 }
 
 impl StateChangeLog {
-    /// Makes a writer whose lines count against `budget`, and that keeps `list` up to date.
+    /// Creates a writer whose lines are limited by `limiter`, and that keeps `list` up to date.
     #[must_use]
     pub fn new(log: Logger, limiter: Arc<LogLimiter>, list: EndpointList) -> Self {
         Self {
@@ -44,20 +43,20 @@
         }
     }
 
-    /// Writes what changed since the last look.
+    /// Logs what changed since the last call.
     pub fn record(&mut self, now: Time, t: &Tables) {
         self.note_version(now, t.version);
         self.note_freshness(now, t);
         let present = t.endpoints.iter().filter(|(_, e)| e.present);
-        let words = present.map(|(at, e)| (at, &*e.declared.name, EndpointStatus::new(now, e)));
-        let changes = self.endpoints.look(words);
+        let rows = present.map(|(at, e)| (at, &*e.declared.name, EndpointStatus::new(now, e)));
+        let changes = self.endpoints.update(rows);
         self.write_endpoints(now, &changes);
         self.list.update(t, &changes);
-        let words = t
+        let rows = t
             .peers
             .iter()
-            .map(|(at, p)| (at, &*p.name, peer_word(now, t, p)));
-        let changes = self.peers.look(words);
+            .map(|(at, p)| (at, &*p.name, peer_state(now, t, p)));
+        let changes = self.peers.update(rows);
         self.write_peers(now, &changes);
     }
 
@@ -82,11 +81,11 @@
         self.write(now, "configuration", is, &format!("age {age} ms"));
     }
 
-    /// Writes a line for each endpoint of which something else is believed now, with who said so.
+    /// Logs the endpoints whose state changed, with the source of the new state.
     fn write_endpoints(&self, now: Time, changes: &BTreeMap<String, Change<EndpointStatus>>) {
         let unknown = "unknown";
         for (name, change) in changes {
-            let before = change.before.map_or(unknown, |word| word.state);
+            let before = change.before.map_or(unknown, |status| status.state);
             match &change.is {
                 Some(is) if is.state != before => self.write_endpoint(now, name, is, before),
                 Some(_) => {}
@@ -103,7 +102,7 @@
         }
     }
 
-    /// Writes a line for each other instance that is heard now, or no more.
+    /// Logs the peers that became live or silent.
     fn write_peers(&self, now: Time, changes: &BTreeMap<String, Change<&'static str>>) {
         for (name, change) in changes {
             let is = change.is.unwrap_or("gone");
@@ -119,6 +118,6 @@
     }
 }
 
-fn peer_word(now: Time, t: &Tables, p: &PeerRow) -> &'static str {
+fn peer_state(now: Time, t: &Tables, p: &PeerRow) -> &'static str {
     if t.is_live(p, now) { "heard" } else { "silent" }
 }
--- a/crates/firdock-node/src/telemetry/suspects.rs
+++ b/crates/firdock-node/src/telemetry/suspects.rs
@@ -1,4 +1,4 @@
-//! Lines, list and metrics of requests under which endpoints ended.
+//! Log lines, list and metrics of suspects: requests during which endpoints exited.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -15,27 +15,27 @@
 use super::log_limiter::{LogKind, LogLimiter};
 use crate::clock::millis;
 
-/// One end of an endpoint, as operators see it.
+/// One exit of an endpoint, as shown to operators.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndState {
-    /// Start of the endpoint.
+    /// Start id of the endpoint that exited.
     pub endpoint: StartId,
-    /// How long ago it ended.
+    /// Time since the exit.
     pub age_millis: u64,
 }
 
-/// A request under which endpoints ended, as operators see it.
+/// A request during which endpoints exited, as shown to operators.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectState {
-    /// Account that sends it.
+    /// Account that sent it.
     pub account: AccountId,
     /// Service that it matched.
     pub service: ServiceId,
     /// Method and path.
     pub path: Arc<str>,
-    /// Whether nothing of it is sent, until an operator lets it go.
+    /// Whether it is not dispatched until an operator releases it.
     pub quarantined: bool,
-    /// The ends that count.
+    /// The exits that count towards the quarantine.
     pub ends: Vec<EndState>,
 }
 
@@ -55,27 +55,27 @@
     }
 }
 
-/// Requests under which endpoints ended, by the identity of their content.
+/// Requests during which endpoints exited, by content id.
 pub type SuspectStates = BTreeMap<ContentId, SuspectState>;
 
-/// The states that were last looked at, for whoever asks.
+/// Shared list of suspects, updated by the scheduler's thread.
 #[derive(Debug, Clone, Default)]
 pub struct SuspectList(Arc<Mutex<Arc<SuspectStates>>>);
 
 impl SuspectList {
-    /// Takes newer states over.
+    /// Replaces the states.
     fn set(&self, states: SuspectStates) {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner) = Arc::new(states);
     }
 
-    /// Gives the states.
+    /// Returns the states.
     #[must_use]
     pub fn get(&self) -> Arc<SuspectStates> {
         Arc::clone(&self.0.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
 
-/// Writes what changes of suspects.
+/// Logs changes of suspects, and keeps their list and metrics up to date.
 #[derive(Debug)]
 pub struct SuspectLog {
     log: Logger,
@@ -86,7 +86,7 @@
 }
 
 impl SuspectLog {
-    /// Makes a writer whose lines count against `budget`.
+    /// Creates a writer whose lines are limited by `limiter`.
     #[must_use]
     pub fn new(log: Logger, limiter: Arc<LogLimiter>, metrics: Arc<Metrics>) -> Self {
         Self {
@@ -98,8 +98,8 @@
         }
     }
 
-    /// Keeps list and metrics up to date; gives the requests that are out of quarantine since the last
-    /// look, or nothing where nothing changed.
+    /// Updates list and metrics. Returns the requests that were released from quarantine since the last
+    /// call, or `None` if nothing changed.
     pub fn record(&mut self, now: Time, t: &Tables) -> Option<Vec<ContentId>> {
         let revision = t.suspects.revision();
         if std::mem::replace(&mut self.noted, revision) == revision {
@@ -115,7 +115,7 @@
         Some(released)
     }
 
-    /// Writes that a request came into quarantine here, and which ends put it there.
+    /// Logs that this instance quarantined a request, with the exits that caused it.
     pub fn quarantined(&self, now: Time, told: &SuspectReport) {
         if !self.limiter.allow(&self.log, now, LogKind::Quarantine) {
             return;
@@ -129,7 +129,7 @@
             "path" => &*told.content.path, "ends" => ends.join("; "));
     }
 
-    /// Gives the requests that are out of quarantine, and writes that they are.
+    /// Returns the requests that are no longer quarantined, and logs each.
     fn released(&mut self, now: Time, states: &SuspectStates) -> Vec<ContentId> {
         let held = states.iter().filter(|(_, s)| s.quarantined);
         let held: Vec<ContentId> = held.map(|(id, _)| *id).collect();
--- a/crates/firdock-node/src/telemetry/trace.rs
+++ b/crates/firdock-node/src/telemetry/trace.rs
@@ -1,7 +1,7 @@
-//! Traces: one span a hop, with W3C context in and out.
+//! Distributed tracing: one span per hop, with W3C trace context in and out.
 //!
-//! A span is written as a log line when it ends; a collector that reads the lines can put traces
-//! together without a further protocol.
+//! A span is written as a log line when it ends, so that a collector can assemble traces from the
+//! logs without a further protocol.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 /// Length of a `traceparent` of version 00.
 const TRACEPARENT_BYTES: usize = 55;
 
-/// Position in a trace, as `traceparent` carries it.
+/// Trace context, as carried by the `traceparent` header.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TraceContext {
     trace: u128,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Reads a `traceparent` header; `None` for anything that is not valid.
+    /// Parses a `traceparent` header; returns `None` if it is not valid.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         if text.len() != TRACEPARENT_BYTES || !text.is_ascii() || !text.starts_with("00-") {
@@ -51,13 +51,13 @@
         })
     }
 
-    /// Reads a header, or starts a new trace.
+    /// Parses a `traceparent` header, or starts a new trace if it is absent or not valid.
     #[must_use]
     pub fn parse_or_start(text: Option<&str>) -> Self {
         text.and_then(Self::parse).unwrap_or_else(Self::start)
     }
 
-    /// Gives the header's value.
+    /// Returns the value of the `traceparent` header.
     #[must_use]
     pub fn header(&self) -> String {
         format!(
@@ -68,13 +68,13 @@
         )
     }
 
-    /// Gives the trace's id in hexadecimal digits.
+    /// Returns the trace id in hexadecimal.
     #[must_use]
     pub fn trace_id(&self) -> String {
         format!("{:032x}", self.trace)
     }
 
-    /// Makes the context of a child span.
+    /// Creates the context of a child span.
     #[must_use]
     pub fn child(&self) -> Self {
         Self {
@@ -84,10 +84,10 @@
     }
 }
 
-/// A hop that is going on.
+/// A span that has not ended.
 #[derive(Debug)]
 pub struct Span {
-    /// Context of this span, to be passed on.
+    /// Context of this span, to be propagated to the next hop.
     pub context: TraceContext,
     parent: u64,
     name: &'static str,
@@ -95,7 +95,7 @@
 }
 
 impl Span {
-    /// Starts a span below `parent`.
+    /// Starts a child span of `parent`.
     #[must_use]
     pub fn start(name: &'static str, parent: &TraceContext, now: Duration) -> Self {
         Self {
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Writes the span.
+    /// Ends the span and logs it if the trace is sampled.
     pub fn end(self, log: &Logger, now: Duration, request: &str, result: &str) {
         if !self.context.sampled {
             return;
--- a/crates/firdock-node/tests/node/seen.rs
+++ b/crates/firdock-node/tests/node/seen.rs
@@ -14,7 +14,7 @@
 type Changes = BTreeMap<String, Change<&'static str>>;
 
 fn look(seen: &mut ChangeTracker<&'static str>, rows: &[(usize, &str, &'static str)]) -> Changes {
-    seen.look(rows.iter().copied())
+    seen.update(rows.iter().copied())
 }
 
 fn change(before: Option<&'static str>, is: Option<&'static str>) -> Change<&'static str> {
