--- a/crates/firdock-node/src/config.rs
+++ b/crates/firdock-node/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration: following the log, writing to it, and what the other threads read of it.
+//! The configuration: following the log, appending to it, and the state that other threads read.
 
 mod changes;
 mod follow;
--- a/crates/firdock-node/src/config/changes.rs
+++ b/crates/firdock-node/src/config/changes.rs
@@ -1,4 +1,4 @@
-//! The latest changes, for operators who watch.
+//! The latest changes of the configuration, for watches by operators.
 
 use std::collections::VecDeque;
 
@@ -7,17 +7,17 @@
 use firdock_state::State;
 use serde::Serialize;
 
-/// Changes that are kept; a watcher that is further behind reads everything anew.
+/// Number of retained changes; a watcher that is further behind has to read all resources again.
 const MAX_CHANGES: usize = 4_096;
 
-/// One change that came into force.
+/// One change that is in force.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct ChangeNote {
-    /// Version that it made.
+    /// Version that the change created.
     pub version: Version,
-    /// Resource that was changed.
+    /// Key of the changed resource.
     pub key: ResourceKey,
-    /// New content; `None` where the resource was deleted.
+    /// New content; `None` if the resource was deleted.
     pub resource: Option<Resource>,
 }
 
@@ -25,15 +25,15 @@
 #[derive(Debug, Default)]
 pub struct Changes {
     notes: VecDeque<ChangeNote>,
-    /// Version up to which changes are not kept.
+    /// Version up to which changes are no longer retained.
     floor: Version,
-    /// Version with which this instance started: it saw no deletion up to there.
+    /// Version with which this instance started: it did not see the deletions up to this version.
     start: Version,
 }
 
 impl Changes {
-    /// Records what differs between two states that follow each other.
-    pub fn note(&mut self, old: &State, new: &State) {
+    /// Records the differences between two successive states.
+    pub fn record(&mut self, old: &State, new: &State) {
         if old.next == 0 {
             self.start = new.version;
         }
@@ -48,9 +48,10 @@
         }
     }
 
-    /// Returns the changes after a version; `None` where some of them are not kept, or were never seen.
+    /// Returns the changes after a version; `None` if some of them are no longer retained or were never seen.
     ///
-    /// A watcher that starts from nothing misses no deletion, so it gets all that is in force.
+    /// A watcher that starts from version 0 has no resources whose deletion it could miss, so it gets the
+    /// changes also from before the start of this instance.
     #[must_use]
     pub fn after(&self, version: Version) -> Option<Vec<ChangeNote>> {
         let known = version >= self.floor && (version == 0 || version >= self.start);
@@ -76,7 +77,7 @@
         })
 }
 
-/// Returns deletions; their own versions are not kept, so they count as made by the newest one.
+/// Returns the deletions. The state does not have their own versions, so they get the newest version.
 fn deleted<'a>(old: &'a State, new: &'a State) -> impl Iterator<Item = ChangeNote> + 'a {
     let gone = |key: &&ResourceKey| !new.entries.contains_key(*key);
     let version = new.version;
--- a/crates/firdock-node/src/config/follow.rs
+++ b/crates/firdock-node/src/config/follow.rs
@@ -1,4 +1,5 @@
-//! The thread that reads the log, folds it and does this instance's duties towards it.
+//! The thread that reads the log, applies its records and appends the membership records and snapshots that
+//! are due.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,23 +18,23 @@
 use crate::input::Input;
 use crate::platform::LogClient;
 
-/// Records asked for in one read.
+/// Maximum number of records in one read.
 const BATCH_RECORDS: usize = 512;
-/// Pauses after failed reads.
+/// Initial and maximum delay after failed reads.
 const BACKOFF: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(5));
-/// Reads in a row that find a gap before a peer is asked for its state.
+/// Consecutive reads that find a gap before the state is requested from a peer.
 const GAPS_BEFORE_ASKING: u32 = 2;
 
-/// What the thread needs.
+/// Components that the thread uses.
 #[derive(Debug)]
 pub struct FollowParts<L, A> {
-    /// Log.
+    /// Client of the platform's log.
     pub log_client: L,
-    /// Asks peers for their state, when the log cannot give it.
+    /// Requests the state from peers, when the log no longer has the needed records.
     pub ask_peers: A,
-    /// Shared state.
+    /// State of the configuration, shared between threads.
     pub hub: Arc<Hub>,
-    /// Way to the scheduler.
+    /// Channel to the scheduler.
     pub inputs: mpsc::Sender<Input>,
     /// Clock.
     pub clock: Clock,
@@ -41,9 +42,9 @@
     pub log: Logger,
     /// Pause between reads.
     pub pause: Duration,
-    /// This start of this instance.
+    /// Name and incarnation of this instance.
     pub member: Member,
-    /// Settings of the duties towards the log.
+    /// Settings of membership records and snapshots.
     pub duties: DutySettings,
 }
 
@@ -80,7 +81,7 @@
 {
     fn run(&mut self) {
         loop {
-            let pause = self.round();
+            let pause = self.read_once();
             if !self.parts.hub.pause(pause) {
                 return;
             }
@@ -88,7 +89,7 @@
     }
 
     /// Reads once; returns the pause before the next read.
-    fn round(&mut self) -> Duration {
+    fn read_once(&mut self) -> Duration {
         let sent = self.parts.clock.now();
         match self
             .parts
@@ -108,9 +109,9 @@
                 )
             }
             Err(e) => {
-                warn!(self.parts.log, "the log was not read"; "error" => e.to_string());
+                warn!(self.parts.log, "failed to read the log"; "error" => e.to_string());
                 if self.follower.state().next == 0 {
-                    self.adopt();
+                    self.adopt_peer_state();
                 }
                 self.backoff.next_pause()
             }
@@ -123,7 +124,7 @@
                 self.gaps = 0;
                 let read = at_end.then_some(reading.sent);
                 self.parts.hub.update(|h| {
-                    h.note_results(results);
+                    h.record_results(results);
                     h.gap = false;
                     h.log_read = read.or(h.log_read);
                 });
@@ -131,36 +132,36 @@
                     return Duration::ZERO;
                 }
                 self.send(Event::LogRead(reading));
-                self.do_duties(reading);
+                self.append_due_record(reading);
                 self.parts.pause
             }
             Progress::Gap { .. } => {
                 self.gaps += 1;
                 self.parts.hub.update(|h| h.gap = true);
                 if self.gaps >= GAPS_BEFORE_ASKING {
-                    self.adopt();
+                    self.adopt_peer_state();
                 }
                 self.parts.pause
             }
         }
     }
 
-    /// Takes the state of a peer that is ahead.
-    fn adopt(&mut self) {
+    /// Takes over the state of a peer that is ahead of this instance.
+    fn adopt_peer_state(&mut self) {
         let Some(state) = (self.parts.ask_peers)() else {
             return;
         };
         if self.follower.adopt(state) {
-            info!(self.parts.log, "took the state of a peer"; "version" => self.follower.state().version);
+            info!(self.parts.log, "state adopted from a peer"; "version" => self.follower.state().version);
             self.publish();
         }
     }
 
-    /// Creates a new state known to the other threads and the scheduler.
+    /// Publishes a new state to the other threads and the scheduler.
     ///
     /// # Panics
     ///
-    /// Panics if the version in force would go back.
+    /// Panics if the version in force would decrease.
     fn publish(&mut self) {
         let old = Arc::clone(&self.parts.hub.lock().state);
         let new = self.follower.state();
@@ -173,7 +174,7 @@
         }
         let state = Arc::new(new.clone());
         self.parts.hub.update(|h| {
-            h.changes.note(&old, &state);
+            h.changes.record(&old, &state);
             h.state = Arc::clone(&state);
         });
         if state.version != old.version {
@@ -187,7 +188,7 @@
         }
     }
 
-    fn do_duties(&mut self, reading: LogReading) {
+    fn append_due_record(&mut self, reading: LogReading) {
         let record = {
             let hub = self.parts.hub.lock();
             self.duties
@@ -203,7 +204,7 @@
         };
         match self.parts.log_client.append(&text) {
             Ok(_) => self.parts.hub.wake(),
-            Err(e) => warn!(self.parts.log, "a record was not appended"; "error" => e.to_string()),
+            Err(e) => warn!(self.parts.log, "failed to append a record"; "error" => e.to_string()),
         }
     }
 
--- a/crates/firdock-node/src/config/hub.rs
+++ b/crates/firdock-node/src/config/hub.rs
@@ -1,4 +1,4 @@
-//! What the threads of an instance share about configuration, members and peers.
+//! State of configuration, members and peers, shared between the threads of an instance.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
@@ -11,12 +11,12 @@
 use super::changes::Changes;
 use crate::platform::ListedRow;
 
-/// Results of records that are kept for writers that wait.
+/// Number of record results that are retained for waiting writers.
 const MAX_RESULTS: usize = 8_192;
-/// Peers whose status is kept.
+/// Maximum number of peers whose status is retained.
 const MAX_PEERS: usize = 512;
 
-/// What a peer last told, for the status page.
+/// Last reported status of a peer, for the status endpoint of the resource API.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct PeerStatus {
     /// Availability zone.
@@ -25,7 +25,7 @@
     pub version: Version,
     /// Whether it is stopping.
     pub draining: bool,
-    /// When it was heard of, by this process's clock.
+    /// Time of the last heartbeat, on this process's clock.
     #[serde(skip)]
     pub heard: Duration,
 }
@@ -34,14 +34,14 @@
 #[derive(Debug, Default)]
 #[expect(
     clippy::struct_excessive_bools,
-    reason = "each tells of a matter of its own"
+    reason = "the flags are independent of each other"
 )]
 pub struct HubState {
-    /// Folded state in force.
+    /// State in force, built from the log.
     pub state: Arc<State>,
     /// Latest changes.
     pub changes: Changes,
-    /// When the log was last read to its end.
+    /// Time at which the log was last read to its end.
     pub log_read: Option<Duration>,
     /// Whether records are missing and no snapshot was found yet.
     pub gap: bool,
@@ -51,14 +51,14 @@
     pub peers: BTreeMap<InstanceId, PeerStatus>,
     /// Whether this instance is stopping.
     pub stopping: bool,
-    /// Whether the threads are to end.
+    /// Whether the threads have to end.
     pub closed: bool,
     results: VecDeque<(RecordId, FoldOutcome)>,
     wake: bool,
 }
 
 impl HubState {
-    /// Finds what became of a record.
+    /// Returns the result of a record.
     #[must_use]
     pub fn result(&self, id: RecordId) -> Option<FoldOutcome> {
         self.results
@@ -68,28 +68,28 @@
             .map(|(_, outcome)| *outcome)
     }
 
-    /// Records what became of records.
-    pub fn note_results(&mut self, results: Vec<(RecordId, FoldOutcome)>) {
+    /// Stores the results of records.
+    pub fn record_results(&mut self, results: Vec<(RecordId, FoldOutcome)>) {
         self.results.extend(results);
         let extra = self.results.len().saturating_sub(MAX_RESULTS);
         self.results.drain(..extra);
     }
 
-    /// Records what a peer told.
+    /// Stores the reported status of a peer.
     pub fn note_peer(&mut self, name: &str, status: PeerStatus) {
         if self.peers.len() < MAX_PEERS || self.peers.contains_key(name) {
             self.peers.insert(name.to_owned(), status);
         }
     }
 
-    /// Finds a live or leaving instance by name.
+    /// Finds an instance in the instance list by name.
     #[must_use]
     pub fn listed_row(&self, name: &str) -> Option<&ListedRow> {
         self.listed.iter().find(|r| r.name == name)
     }
 }
 
-/// Shared state with its lock and signals.
+/// Shared state with its lock and condition variables.
 #[derive(Debug, Default)]
 pub struct Hub {
     state: Mutex<HubState>,
@@ -103,29 +103,29 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Changes the state and tells those who wait for a change.
+    /// Changes the state and wakes the threads that wait for a change.
     pub fn update<T>(&self, change: impl FnOnce(&mut HubState) -> T) -> T {
         let result = change(&mut self.lock());
         self.changed.notify_all();
         result
     }
 
-    /// Has the log read at once, since a peer or a writer knows of news.
+    /// Triggers a read of the log at once, because a peer or a writer knows of a newer record.
     pub fn wake(&self) {
         self.lock().wake = true;
         self.woken.notify_all();
     }
 
-    /// Waits until woken or for `limit`; returns whether the threads are to go on.
+    /// Waits for [`Self::wake`] or until `limit` has passed; returns whether the threads should go on.
     pub fn pause(&self, limit: Duration) -> bool {
-        let asleep = |s: &mut HubState| !s.wake && !s.closed;
-        let waited = self.woken.wait_timeout_while(self.lock(), limit, asleep);
+        let waiting = |s: &mut HubState| !s.wake && !s.closed;
+        let waited = self.woken.wait_timeout_while(self.lock(), limit, waiting);
         let mut state = waited.unwrap_or_else(PoisonError::into_inner).0;
         state.wake = false;
         !state.closed
     }
 
-    /// Waits until `ready` gives a value or for `limit`.
+    /// Waits until `ready` returns a value or `limit` has passed.
     pub fn wait_for<T>(
         &self,
         limit: Duration,
--- a/crates/firdock-node/src/config/list.rs
+++ b/crates/firdock-node/src/config/list.rs
@@ -13,9 +13,9 @@
 use crate::input::Input;
 use crate::platform::{InstanceList, ListedRow};
 
-/// Longest pause after failed reads.
-const LONGEST_PAUSE: Duration = Duration::from_secs(5);
-/// Rows that are taken; a longer list is cut.
+/// Maximum delay after failed reads.
+const MAX_DELAY: Duration = Duration::from_secs(5);
+/// Maximum number of rows that are used; further ones are dropped.
 const MAX_ROWS: usize = 20_000;
 
 /// Reads the list until the hub is closed.
@@ -26,7 +26,7 @@
     pause: Duration,
     log: &Logger,
 ) {
-    let mut backoff = Backoff::new(pause, LONGEST_PAUSE);
+    let mut backoff = Backoff::new(pause, MAX_DELAY);
     loop {
         let wait = match list.list() {
             Ok(mut rows) => {
@@ -40,7 +40,7 @@
                 pause
             }
             Err(e) => {
-                warn!(log, "the instance list was not read"; "error" => e.to_string());
+                warn!(log, "failed to read the instance list"; "error" => e.to_string());
                 backoff.next_pause()
             }
         };
--- a/crates/firdock-node/src/config/membership.rs
+++ b/crates/firdock-node/src/config/membership.rs
@@ -1,7 +1,7 @@
-//! What an instance owes the log: joining, leaving, removing the dead, and snapshots.
+//! Records that an instance has to append to the log: joins, leaves, removals of dead members, and snapshots.
 //!
-//! Each duty is a record that any instance may write; writing one twice changes nothing, so no
-//! agreement on who writes is needed (see `docs/design/membership.md`).
+//! Any instance may append such a record, and a duplicate changes nothing, so the instances need no agreement
+//! on who appends it (see `docs/design/membership.md`).
 
 use std::time::Duration;
 
@@ -11,25 +11,26 @@
 use super::hub::HubState;
 use crate::backoff::Backoff;
 
-/// Pauses between two joins, so that two sides of a partition do not fill the log.
+/// Initial and maximum delay between two joins, so that two sides of a partition that remove each other do
+/// not fill the log.
 const JOIN_BACKOFF: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(30));
-/// Silence after which a member that the instance list still shows is removed.
+/// Time without heartbeats after which a member is removed that the instance list still shows.
 const LISTED_SILENCE: Duration = Duration::from_secs(10);
-/// Head start of each member over the next one in duties that any of them may do.
+/// Delay between consecutive members in appending a record that any of them may append.
 const TURN: Duration = Duration::from_secs(2);
-/// Part of the retention after which a new snapshot is due.
-const SNAPSHOT_PART: u32 = 4;
+/// Number of snapshots per retention time of the log.
+const SNAPSHOTS_PER_RETENTION: u32 = 4;
 
-/// Settings of the duties.
+/// Settings of membership records and snapshots.
 #[derive(Debug, Clone, Copy)]
 pub struct DutySettings {
-    /// Silence after which a member that the instance list does not show is removed.
+    /// Time without heartbeats after which a member is removed that the instance list does not show.
     pub silence: Duration,
     /// How long the log keeps records.
     pub retention: Duration,
 }
 
-/// Keeps track of what was done when.
+/// Determines which record is due, from the times of earlier ones.
 #[derive(Debug)]
 pub struct Duties {
     settings: DutySettings,
@@ -42,7 +43,7 @@
 }
 
 impl Duties {
-    /// Creates the duties of the member `me`.
+    /// Creates the state for the member `me`.
     #[must_use]
     pub fn new(settings: DutySettings, me: Member) -> Self {
         Self {
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Returns the record that is due, after the log was read to its end.
+    /// Returns the record that is due, if any; to be called after the log was read to its end.
     pub fn next_record(
         &mut self,
         now: Duration,
@@ -101,7 +102,7 @@
         })
     }
 
-    /// Removes one member that is silent, this instance's turn being set by its place in the view.
+    /// Removes one silent member; the delay of this instance depends on its position in the view.
     fn remove_dead(&mut self, now: Duration, hub: &HubState) -> Option<Body> {
         let silence = self.settings.silence + self.turn(&hub.state);
         let dead = hub
@@ -120,7 +121,7 @@
                 heard + limit < now
             })?;
         if self.removed_at == Duration::ZERO {
-            // A new instance has heard nobody yet and gives everyone time to be heard.
+            // A new instance has received no heartbeats yet, so it first gives all members time to send one.
             self.removed_at = now;
             return None;
         }
@@ -133,7 +134,7 @@
     }
 
     fn snapshot(&mut self, now: Duration, log_time: Duration, state: &State) -> Option<Body> {
-        let period = self.settings.retention / SNAPSHOT_PART;
+        let period = self.settings.retention / SNAPSHOTS_PER_RETENTION;
         let newest = state.snapshot_time.max(Duration::ZERO);
         let due = newest + period + self.turn(state) < log_time && state.next > 0;
         let paused = self.snapshot_at + TURN < now;
@@ -146,11 +147,11 @@
     }
 
     fn turn(&self, state: &State) -> Duration {
-        let place = state
+        let position = state
             .members
             .iter()
             .position(|m| self.is_me(m))
             .unwrap_or(0);
-        TURN * u32::try_from(place).unwrap_or(u32::MAX)
+        TURN * u32::try_from(position).unwrap_or(u32::MAX)
     }
 }
--- a/crates/firdock-node/src/config/write.rs
+++ b/crates/firdock-node/src/config/write.rs
@@ -1,6 +1,7 @@
-//! Writing a change: appended once, and accepted when this instance has read it back.
+//! Writing a change: it is appended to the log once, and accepted when this instance has read it back.
 //!
-//! A lost reply is settled by reading, never by a second write.
+//! If the response to the append is lost, reading the log shows whether it took effect; the append is never
+//! repeated.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,32 +14,34 @@
 use super::hub::Hub;
 use crate::platform::{LogClient, PlatformError};
 
-/// Time to read an own record back.
+/// Maximum time to read the record back.
 const READ_BACK: Duration = Duration::from_secs(5);
 
-/// Why a change is not in force, as far as this instance knows.
+/// Error of writing a change, as far as this instance knows.
 #[derive(Debug, Snafu)]
 #[non_exhaustive]
 pub enum WriteError {
-    /// Another change came first.
+    /// The resource was changed by another write.
     #[snafu(display("the resource changed meanwhile and is at version {present}"))]
     Outdated {
         /// Version in force.
         present: Version,
     },
-    /// The log refused: nothing changed and nothing will.
+    /// The log refused the record: the change is not in force and never will be.
     #[snafu(display("the platform's log did not take the change"))]
     Refused {
         /// Cause.
         source: PlatformError,
     },
-    /// The log did not answer: the change may come into force later.
-    #[snafu(display("no word on record {id}; the change may still come into force"))]
+    /// The record was not read back in time: the change may come into force later.
+    #[snafu(display(
+        "record {id} was not read back in time; the change may still come into force"
+    ))]
     Unsettled {
         /// Record.
         id: Uuid,
     },
-    /// The change could not be written as JSON.
+    /// The change could not be encoded as JSON.
     #[snafu(display("the change could not be encoded"))]
     Encode {
         /// Cause.
@@ -49,11 +52,11 @@
     Ignored,
 }
 
-/// Writes a change and waits until it is in force here.
+/// Writes a change and waits until it is in force at this instance.
 ///
 /// # Errors
 ///
-/// Fails with whether the change can still come into force.
+/// The error says whether the change may still come into force.
 pub fn write<L: LogClient>(log: &L, hub: &Arc<Hub>, change: Change) -> Result<Version, WriteError> {
     let id = Uuid::now_v7();
     let record = Record {
@@ -63,7 +66,7 @@
     let text = serde_json::to_string(&record).context(EncodeSnafu)?;
     match log.append(&text) {
         Err(e @ PlatformError::Refused { .. }) => return Err(e).context(RefusedSnafu),
-        // Whether it took effect is settled by reading, below.
+        // Reading the log shows whether it took effect.
         Ok(_) | Err(_) => hub.wake(),
     }
     match hub.wait_for(READ_BACK, |h| h.result(id)) {
--- a/crates/firdock-node/src/http.rs
+++ b/crates/firdock-node/src/http.rs
@@ -1,7 +1,7 @@
-//! HTTP/1.1 plumbing around `hyper`: listener, server loop and client calls.
+//! HTTP/1.1 with `hyper`: listener, server loop and client calls.
 //!
-//! `hyper` stands in for `rouille`, which holds streamed bodies back and leaves some connections
-//! waiting behind others; the figures are in `docs/design/http.md`.
+//! `hyper` is used instead of `rouille`, which buffers streamed bodies and lets some connections wait behind
+//! others; the measurements are in `docs/design/http.md`.
 
 mod caller;
 mod client;
@@ -18,7 +18,7 @@
 use hyper::HeaderMap;
 use hyper::header::{self, HeaderName};
 
-/// Headers that belong to one connection and are never passed on (RFC 9110, section 7.6.1).
+/// Headers that belong to one connection and are never forwarded (RFC 9110, section 7.6.1).
 const HOP_BY_HOP: [HeaderName; 8] = [
     header::CONNECTION,
     header::TRANSFER_ENCODING,
--- a/crates/firdock-node/src/http/caller.rs
+++ b/crates/firdock-node/src/http/caller.rs
@@ -1,8 +1,7 @@
-//! A caller's connection, and a handle on it for who knows more of the answer than the task that
-//! serves it.
+//! A caller's connection, and a handle to control it from outside the task that serves it.
 //!
-//! While a caller does not read, that task waits for it and notices nothing else
-//! (see `docs/design/slow-readers.md`).
+//! While a caller does not read, that task is blocked on writing and can react to nothing else (see
+//! `docs/design/slow-readers.md`).
 
 use std::io::{self, IoSlice};
 use std::pin::Pin;
@@ -22,12 +21,12 @@
 #[derive(Debug, Default)]
 struct Inner {
     closing: AtomicBool,
-    patient: AtomicBool,
+    stall_tolerant: AtomicBool,
     unframed: AtomicBool,
-    woken: Notify,
+    changed: Notify,
 }
 
-/// Handle on a caller's connection.
+/// Handle to a caller's connection.
 #[derive(Debug, Clone, Default)]
 pub struct CallerHandle(Arc<Inner>);
 
@@ -35,39 +34,39 @@
     /// Closes the connection.
     pub fn close(&self) {
         self.0.closing.store(true, Ordering::Relaxed);
-        self.0.woken.notify_one();
+        self.0.changed.notify_one();
     }
 
-    /// Sets whether a caller that takes nothing is waited for longer than a lost one would be.
+    /// Sets whether a caller that reads nothing is waited for longer than a lost one.
     ///
-    /// A caller whose window is full looks like a lost one to the operating system's time limit. It is
-    /// waited for once the endpoint is done, when that costs bytes alone.
-    pub fn set_stall_tolerant(&self, patient: bool) {
-        if self.0.patient.swap(patient, Ordering::Relaxed) != patient {
-            self.0.woken.notify_one();
+    /// To the operating system's timeout, a caller with a full receive window looks like a lost one. Waiting
+    /// for it is enabled once the endpoint has finished, since it costs only buffer space then.
+    pub fn set_stall_tolerant(&self, tolerant: bool) {
+        if self.0.stall_tolerant.swap(tolerant, Ordering::Relaxed) != tolerant {
+            self.0.changed.notify_one();
         }
     }
 
-    /// Records that the answer under way has neither a length nor chunks, so that its end is the
-    /// connection's: any end but the proper one has to be a reset.
+    /// Records that the current answer has neither a length nor chunks, so that the close of the connection
+    /// delimits it: the connection has to be reset unless the answer is complete.
     ///
-    /// The operating system sees to that, whatever ends the connection or the process; without it an
-    /// answer that breaks off would end with an ordinary close, like a whole one.
+    /// The operating system sends the reset, whatever ends the connection or the process. Without it, a
+    /// truncated answer would end with an orderly close, like a complete one.
     pub fn set_unframed(&self) {
         self.0.unframed.store(true, Ordering::Relaxed);
     }
 
-    /// Waits until the connection is to be closed or its patience is set.
-    pub(super) async fn woken(&self) {
-        self.0.woken.notified().await;
+    /// Waits until the connection is to be closed or the tolerance of stalls changes.
+    pub(super) async fn changed(&self) {
+        self.0.changed.notified().await;
     }
 
     pub(super) fn is_closing(&self) -> bool {
         self.0.closing.load(Ordering::Relaxed)
     }
 
-    fn is_patient(&self) -> bool {
-        self.0.patient.load(Ordering::Relaxed)
+    fn is_stall_tolerant(&self) -> bool {
+        self.0.stall_tolerant.load(Ordering::Relaxed)
     }
 
     fn is_unframed(&self) -> bool {
@@ -75,13 +74,13 @@
     }
 }
 
-/// A caller's connection, whose options follow its handle.
+/// A caller's connection, whose socket options are set according to its handle.
 #[derive(Debug)]
 pub(super) struct CallerStream {
     stream: TcpStream,
     handle: CallerHandle,
-    patient: bool,
-    /// Whether an end without a shutdown resets the connection.
+    stall_tolerant: bool,
+    /// Whether dropping the connection without a shutdown resets it.
     resets: bool,
 }
 
@@ -90,23 +89,23 @@
         Self {
             stream,
             handle,
-            patient: false,
+            stall_tolerant: false,
             resets: false,
         }
     }
 
-    /// Sets options anew where the handle was changed.
-    fn follow(&mut self) -> io::Result<()> {
+    /// Updates the socket options if the handle has changed.
+    fn update_options(&mut self) -> io::Result<()> {
         if self.handle.is_unframed() && !self.resets {
             self.resets = true;
             SockRef::from(&self.stream).set_linger(Some(Duration::ZERO))?;
         }
-        let patient = self.handle.is_patient();
-        if patient == self.patient {
+        let tolerant = self.handle.is_stall_tolerant();
+        if tolerant == self.stall_tolerant {
             return Ok(());
         }
-        self.patient = patient;
-        let limit = if patient {
+        self.stall_tolerant = tolerant;
+        let limit = if tolerant {
             CALLER_STALL
         } else {
             DEAD_PEER_TIMEOUT
@@ -131,7 +130,7 @@
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
-        self.follow()?;
+        self.update_options()?;
         Pin::new(&mut self.stream).poll_write(cx, buf)
     }
 
@@ -140,7 +139,7 @@
         cx: &mut Context<'_>,
         bufs: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.follow()?;
+        self.update_options()?;
         Pin::new(&mut self.stream).poll_write_vectored(cx, bufs)
     }
 
@@ -152,7 +151,7 @@
         Pin::new(&mut self.stream).poll_flush(cx)
     }
 
-    /// Closes the connection in order, which only a whole answer comes to.
+    /// Closes the connection orderly; only complete answers get here.
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         if std::mem::replace(&mut self.resets, false) {
             self.handle.0.unframed.store(false, Ordering::Relaxed);
--- a/crates/firdock-node/src/http/client.rs
+++ b/crates/firdock-node/src/http/client.rs
@@ -1,7 +1,7 @@
-//! Client calls that tell "never sent" from "may have been received".
+//! Client calls whose errors distinguish "never sent" from "may have been received".
 //!
-//! Each dispatch uses a connection of its own: with a pooled one, a reset could mean either. A
-//! connect on the local network costs one round trip, which `docs/design/http.md` weighs.
+//! Each dispatch uses its own connection: with a pooled one, a reset could mean either. Connecting on the local
+//! network costs one round trip; `docs/design/http.md` discusses this cost.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,11 +19,11 @@
 
 use super::dead_peer::set_dead_peer_timeouts;
 
-/// Why a call failed.
+/// Error of a call.
 #[derive(Debug, Snafu)]
 #[non_exhaustive]
 pub enum CallError {
-    /// No connection came about, so nothing was sent.
+    /// Connecting failed, so nothing was sent.
     #[snafu(display("connect to {address}"))]
     Connect {
         /// Address.
@@ -31,7 +31,7 @@
         /// Cause.
         source: std::io::Error,
     },
-    /// No connection came about in time, so nothing was sent.
+    /// Connecting timed out, so nothing was sent.
     #[snafu(display("connect to {address} took too long"))]
     ConnectTime {
         /// Address.
@@ -43,8 +43,8 @@
         /// Cause.
         source: hyper::Error,
     },
-    /// No answer came in time; the request may have been received.
-    #[snafu(display("no answer in time"))]
+    /// No response arrived in time; the request may have been received.
+    #[snafu(display("no response in time"))]
     AnswerTime,
 }
 
@@ -60,13 +60,13 @@
 #[derive(Debug)]
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
-    pump: AbortHandle,
+    driver: AbortHandle,
 }
 
 impl Drop for Connection {
-    /// Closes the connection, so that the other side sees at once that nobody listens.
+    /// Closes the connection, so that the server sees at once that the response is no longer awaited.
     fn drop(&mut self) {
-        self.pump.abort();
+        self.driver.abort();
     }
 }
 
@@ -74,7 +74,7 @@
 ///
 /// # Errors
 ///
-/// Fails if no connection comes about within `limit`; nothing was sent then.
+/// Fails if no connection is established within `limit`; nothing was sent then.
 pub async fn connect(address: SocketAddr, limit: Duration) -> Result<Connection, CallError> {
     let connecting = timeout(limit, TcpStream::connect(address)).await;
     let stream = match connecting {
@@ -83,20 +83,20 @@
     };
     let _ = stream.set_nodelay(true);
     set_dead_peer_timeouts(&stream).context(ConnectSnafu { address })?;
-    let (sender, pump) = http1::handshake(TokioIo::new(stream))
+    let (sender, connection) = http1::handshake(TokioIo::new(stream))
         .await
         .context(HttpSnafu)?;
-    let pump = tokio::spawn(pump).abort_handle();
-    Ok(Connection { sender, pump })
+    let driver = tokio::spawn(connection).abort_handle();
+    Ok(Connection { sender, driver })
 }
 
 impl Connection {
-    /// Sends a request and waits for the head of the answer.
+    /// Sends a request and waits for the head of the response.
     ///
     /// # Errors
     ///
-    /// Fails if the connection breaks or no head comes within `limit`; the request may have been
-    /// received then.
+    /// Fails if the connection breaks or no head arrives within `limit`; the request may have been received
+    /// then.
     pub async fn call(
         &mut self,
         request: Request<Full<Bytes>>,
--- a/crates/firdock-node/src/http/listener.rs
+++ b/crates/firdock-node/src/http/listener.rs
@@ -1,4 +1,4 @@
-//! Listening sockets with a deep backlog, for bursts that arrive at once.
+//! Listening sockets with a large backlog, for bursts of connections.
 
 use std::io;
 use std::net::SocketAddr;
@@ -6,7 +6,7 @@
 use socket2::{Domain, Protocol, Socket, Type};
 use tokio::net::TcpListener;
 
-/// Connections that may wait to be accepted.
+/// Maximum number of connections waiting to be accepted.
 const BACKLOG: i32 = 4_096;
 
 /// Opens a listening socket.
--- a/crates/firdock-node/src/http/server.rs
+++ b/crates/firdock-node/src/http/server.rs
@@ -1,4 +1,4 @@
-//! The server loop: connections up to a limit, time limits on heads, and an orderly stop.
+//! The server loop, with a limit on connections, a time limit on request heads, and graceful shutdown.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -17,22 +17,22 @@
 use super::caller::{CallerHandle, CallerStream};
 use super::dead_peer::set_dead_peer_timeouts;
 
-/// Pause after the operating system refused to accept, such as when descriptors ran out.
+/// Pause after a failed accept, for example because no file descriptors are left.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// Limits of a server.
 #[derive(Debug, Clone, Copy)]
 pub struct ServerOptions {
-    /// Connections at once; more wait in the backlog.
+    /// Maximum number of connections; further ones wait in the backlog.
     pub connections: usize,
-    /// Bytes in the head of a request.
+    /// Maximum size of the head of a request, in bytes.
     pub header_bytes: usize,
-    /// Time for a client to send the head.
+    /// Maximum time for a client to send the head.
     pub header_time: Duration,
 }
 
 impl ServerOptions {
-    /// Takes the bounds of the callers' door from the settings.
+    /// Takes the limits of the ingress from the settings.
     #[must_use]
     pub fn new(limits: &Limits) -> Self {
         Self {
@@ -43,7 +43,7 @@
     }
 }
 
-/// Serves until `stop` turns true, then finishes what runs and returns.
+/// Serves until `stop` becomes true, then finishes the running requests and returns.
 pub async fn serve<F, Fut, B>(
     listener: TcpListener,
     options: ServerOptions,
@@ -56,7 +56,7 @@
     B::Error: std::error::Error + Send + Sync + 'static,
 {
     let slots = Arc::new(Semaphore::new(options.connections));
-    let most = u32::try_from(options.connections).unwrap_or(u32::MAX);
+    let all_slots = u32::try_from(options.connections).unwrap_or(u32::MAX);
     loop {
         let accepted = tokio::select! {
             accepted = accept(&listener, &slots) => accepted,
@@ -72,8 +72,8 @@
         });
     }
     drop(listener);
-    // Every connection holds a slot, so having all slots means that all connections ended.
-    let _all = slots.acquire_many(most).await;
+    // Each connection holds a slot, so once all slots are acquired, all connections have ended.
+    let _all = slots.acquire_many(all_slots).await;
 }
 
 type Slot = tokio::sync::OwnedSemaphorePermit;
@@ -101,7 +101,7 @@
 {
     let _ = stream.set_nodelay(true);
     if set_dead_peer_timeouts(&stream).is_err() {
-        // The caller has closed it already.
+        // The client has already closed the connection.
         return;
     }
     let caller = CallerHandle::default();
@@ -122,8 +122,8 @@
     loop {
         tokio::select! {
             _ = connection.as_mut() => return,
-            // Whatever it was woken for takes effect when the connection goes on.
-            () = caller.woken() => {}
+            // A change of the handle takes effect when the connection is polled again.
+            () = caller.changed() => {}
             _ = stop.wait_for(|s| *s), if !stopping => {
                 stopping = true;
                 connection.as_mut().graceful_shutdown();
--- a/crates/firdock-node/src/instance.rs
+++ b/crates/firdock-node/src/instance.rs
@@ -1,4 +1,4 @@
-//! Putting the parts of an entry instance together, and stopping them in order.
+//! Assembly of the components of an entry instance, and their orderly shutdown.
 
 mod parts;
 mod start;
@@ -26,12 +26,12 @@
 use crate::peer::{PeerServer, SelfStatus, run_heartbeats, serve_peers};
 use crate::telemetry::discard_logger;
 
-/// Time in which the balancer notices that a stopping instance is not ready any more.
+/// Time for the load balancer to notice that a stopping instance is not ready any more.
 const BALANCER_TIME: Duration = Duration::from_millis(1_500);
-/// Time for the leave record to be written before the threads end.
+/// Maximum wait for the leave record to be in force before the threads are stopped.
 const LEAVE_TIME: Duration = Duration::from_secs(2);
 
-/// An entry instance that is to be started.
+/// An entry instance that is not started yet.
 #[derive(Debug)]
 pub struct Instance {
     settings: Settings,
@@ -41,9 +41,9 @@
 /// A running entry instance.
 #[derive(Debug)]
 pub struct Running {
-    /// Address of the callers' door.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Address of the resource API.
+    /// Address of the resource API for operators.
     pub operators: SocketAddr,
     /// Address for peers.
     pub peers: SocketAddr,
@@ -76,7 +76,7 @@
         self
     }
 
-    /// Starts the instance on the present runtime.
+    /// Starts the instance on the current runtime.
     ///
     /// # Errors
     ///
@@ -108,7 +108,7 @@
         );
 
         let heartbeat = s.peers.heartbeat();
-        let beating = run_heartbeats(
+        let heartbeats = run_heartbeats(
             parts.dialer.clone(),
             self_status_seen,
             heartbeat,
@@ -116,7 +116,7 @@
             rest_stops.clone(),
             self.log.clone(),
         );
-        tokio::spawn(beating);
+        tokio::spawn(heartbeats);
         let server = PeerServer {
             dialer: parts.dialer.clone(),
             inputs: inputs.clone(),
@@ -155,7 +155,8 @@
 }
 
 impl Running {
-    /// Stops in order: readiness off, held requests to peers, streams finished, threads ended.
+    /// Stops in order: reports not ready, hands held requests over to peers, finishes running answers, and
+    /// ends the threads.
     pub async fn stop(mut self) {
         info!(self.log, "stopping");
         self.hub.update(|h| h.stopping = true);
@@ -170,7 +171,7 @@
         }
         self.stop_ingress.send_replace(true);
         let _ = timeout(self.stop_time, &mut self.ingress).await;
-        self.wait_until_left().await;
+        self.wait_for_leave_record().await;
         self.hub.close();
         self.stop_rest.send_replace(true);
         let threads = std::mem::take(&mut self.threads);
@@ -183,8 +184,8 @@
         info!(self.log, "stopped");
     }
 
-    /// Waits a little for this instance's leave record to be in force.
-    async fn wait_until_left(&self) {
+    /// Waits for this instance's leave record to be in force, for a limited time.
+    async fn wait_for_leave_record(&self) {
         let (hub, me) = (Arc::clone(&self.hub), self.member.incarnation);
         let left = move || {
             let gone = |h: &crate::config::HubState| {
--- a/crates/firdock-node/src/instance/parts.rs
+++ b/crates/firdock-node/src/instance/parts.rs
@@ -1,4 +1,4 @@
-//! The parts of an entry instance, each made from what all of them share.
+//! Construction of the components of an entry instance from their shared state.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -33,10 +33,10 @@
 use crate::source::PendingRecords;
 use crate::telemetry::{LogLimiter, Metrics};
 
-/// Pause between two looks at which endpoints there are.
-const ENDPOINTS_PAUSE: Duration = Duration::from_millis(200);
+/// Interval between two checks of which endpoints are in force.
+const ENDPOINT_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What the parts of an instance share.
+/// State shared by the components of an instance.
 #[derive(Debug, Clone)]
 pub struct Parts {
     settings: Arc<Settings>,
@@ -56,7 +56,7 @@
 }
 
 impl Parts {
-    /// Makes what is shared, for a new start of the process.
+    /// Creates the shared state, with a new incarnation id for this start of the process.
     pub fn new(s: &Settings, log: &Logger) -> Result<Self, StartError> {
         let hub = Arc::new(Hub::default());
         let log_at = s.platform.log.context(UnsetSnafu {
@@ -99,7 +99,7 @@
         })
     }
 
-    /// Creates the owner of the scheduler's tables.
+    /// Creates the driver, which owns the scheduler's tables.
     pub fn driver(
         &self,
         inputs: &mpsc::Sender<Input>,
@@ -123,7 +123,7 @@
             runtime: Handle::current(),
             inputs: inputs.clone(),
             self_status,
-            // Orders come from a platform's source, which keeps their state.
+            // Only a platform's source orders roll-outs and stores their states; this instance has none.
             records: watch::channel(PendingRecords::default()).0,
             drained,
         };
@@ -163,7 +163,7 @@
         Ok([log_thread, spawn("instances", watching)?])
     }
 
-    /// Creates the callers' door.
+    /// Creates the ingress.
     pub fn ingress(&self, inputs: mpsc::Sender<Input>) -> Ingress<NativeInterface> {
         let limits = IngressLimits::new(&self.settings.limits);
         Ingress::new(
@@ -204,7 +204,7 @@
         serve_operators(address, server, stop).context(ListenSnafu { address })
     }
 
-    /// Keeps one task for each endpoint in force that reads its reports.
+    /// Runs one task for each endpoint in force that polls its reports.
     pub async fn watch_endpoints(
         self,
         inputs: mpsc::Sender<Input>,
@@ -233,7 +233,7 @@
                     (location.address, tokio::spawn(watching))
                 });
             }
-            let stopped = timeout(ENDPOINTS_PAUSE, stop.wait_for(|s| *s)).await;
+            let stopped = timeout(ENDPOINT_CHECK_INTERVAL, stop.wait_for(|s| *s)).await;
             if stopped.is_ok() {
                 break;
             }
--- a/crates/firdock-node/src/instance/start.rs
+++ b/crates/firdock-node/src/instance/start.rs
@@ -1,4 +1,4 @@
-//! What starting an instance needs: listeners, threads, and what may go wrong.
+//! Listeners, threads and errors of the start of an instance.
 
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -15,18 +15,18 @@
 use crate::http::listen;
 use crate::input::Input;
 
-/// Why an instance did not start.
+/// Error of starting an instance.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 #[non_exhaustive]
 pub enum StartError {
-    /// An address is missing, which checked settings never let by.
+    /// An address is missing; the validation of settings rejects this before.
     #[snafu(display("{field} is not set"))]
     Unset {
         /// Field of the settings.
         field: &'static str,
     },
-    /// An address cannot be listened on.
+    /// Listening on an address failed.
     #[snafu(display("listen on {address}"))]
     Listen {
         /// Address.
@@ -34,7 +34,7 @@
         /// Cause.
         source: std::io::Error,
     },
-    /// A thread cannot be started.
+    /// Starting a thread failed.
     #[snafu(display("start a thread"))]
     Thread {
         /// Cause.
@@ -42,7 +42,7 @@
     },
 }
 
-/// Opens the listener of an address of the settings.
+/// Opens a listener on an address from the settings.
 pub(crate) fn open(
     address: Option<SocketAddr>,
     field: &'static str,
@@ -62,9 +62,10 @@
         .context(ThreadSnafu)
 }
 
-/// Runs the driver on a thread and runtime of its own, so that nothing else delays a decision.
+/// Runs the driver on a dedicated thread and runtime, so that no other task delays a decision.
 ///
-/// A panic there is a broken promise, so the process ends instead of going on without it.
+/// A panic there means that an invariant is violated, so the process aborts instead of running on without a
+/// scheduler.
 pub(super) fn spawn_driver(
     driver: Driver<DirectDispatcher<HttpEngine, HttpPlain>>,
     waiting: mpsc::Receiver<Input>,
@@ -79,14 +80,14 @@
     })
 }
 
-/// A task whose panic ends the process.
+/// A task whose panic aborts the process.
 ///
-/// Only a panic of its own does: a task that is dropped while its thread unwinds for another reason
-/// broke no promise, and an abort would hide what did.
+/// Only a panic of the task itself does. A task that is dropped while its thread unwinds from another panic
+/// violated no invariant, and an abort would hide the cause.
 pub(crate) struct AbortOnPanic<F>(Pin<Box<F>>);
 
 impl<F> AbortOnPanic<F> {
-    /// Creates a task of a future.
+    /// Wraps a future.
     pub(crate) fn new(task: F) -> Self {
         Self(Box::pin(task))
     }
@@ -103,7 +104,7 @@
     }
 }
 
-/// Ends the process if it is dropped by a panic.
+/// Aborts the process if it is dropped during a panic.
 struct AbortGuard;
 
 impl Drop for AbortGuard {
--- a/crates/firdock-node/src/operator.rs
+++ b/crates/firdock-node/src/operator.rs
@@ -1,6 +1,6 @@
-//! The resource API for operators with health, readiness and metrics.
+//! The resource API for operators, with health, readiness and metrics.
 //!
-//! The paths and answers are set out in `docs/operators/resource-api.md`.
+//! Paths and responses are documented in `docs/operators/resource-api.md`.
 
 mod api;
 mod apply;
--- a/crates/firdock-node/src/operator/api.rs
+++ b/crates/firdock-node/src/operator/api.rs
@@ -1,4 +1,4 @@
-//! Routing of the resource API's paths.
+//! Routes of the resource API.
 
 use std::io;
 use std::net::SocketAddr;
@@ -28,21 +28,21 @@
 use crate::platform::LogClient;
 use crate::telemetry::Metrics;
 
-/// Connections at once: all watchers, several times over, and whoever checks health.
+/// Maximum number of connections: several times the number of watchers, so that health checks still get one.
 const MAX_CONNECTIONS: usize = 256;
-/// Bytes in the head of a call.
+/// Maximum size of the head of a call, in bytes.
 const MAX_HEAD_BYTES: usize = 16 << 10;
-/// Time for the head of a call, and between two calls on a connection.
+/// Maximum time to receive the head of a call, and of idle time between two calls on a connection.
 const HEAD_TIME: Duration = Duration::from_mins(1);
-/// Wait of a watch that does not say.
-const DEFAULT_WAIT: u64 = 25;
+/// Default wait of a watch, in seconds.
+const DEFAULT_WAIT_SECS: u64 = 25;
 
-/// What the resource API needs.
+/// Components that the resource API uses.
 #[derive(Debug)]
 pub struct OperatorServer<L> {
-    /// Log.
+    /// Client of the platform's log.
     pub log_client: L,
-    /// Shared state.
+    /// State of the configuration, shared between threads.
     pub hub: Arc<Hub>,
     /// Metrics.
     pub metrics: Arc<Metrics>,
@@ -54,16 +54,16 @@
     pub instance: String,
     /// Availability zone of this instance.
     pub zone: String,
-    /// Count of watchers.
+    /// Number of waiting watchers.
     pub watchers: Watchers,
-    /// Way to the scheduler.
+    /// Channel to the scheduler.
     pub inputs: mpsc::Sender<Input>,
 }
 
-/// Starts serving on the present runtime until `stop` turns true; returns the address.
+/// Starts serving on the current runtime until `stop` becomes true; returns the address.
 ///
-/// A call may wait for the log or for changes, so each is answered on a thread of its own; watches
-/// are bounded, so that health checks always find one.
+/// A call may block on the log or wait for changes, so each one is handled on a blocking thread. The number of
+/// watches is limited, so that a thread is always left for health checks.
 ///
 /// # Errors
 ///
@@ -178,12 +178,12 @@
 
     fn watch(&self, call: &Call) -> Response {
         let after = call.number("after").unwrap_or(0);
-        let wait = call.number("wait").unwrap_or(DEFAULT_WAIT);
+        let wait = call.number("wait").unwrap_or(DEFAULT_WAIT_SECS);
         self.watchers
             .answer(&self.hub, after, Duration::from_secs(wait))
     }
 
-    /// Lets a request go from quarantine, here and by this instance's word everywhere.
+    /// Releases a request from quarantine, here and, through this instance's reports, at all other instances.
     fn release(&self, content: &str) -> Response {
         let id: ContentId = match content.parse() {
             Ok(id) => id,
@@ -258,7 +258,7 @@
         .collect()
 }
 
-/// Checks one resource by itself and against what is in force.
+/// Validates one resource by itself and against the configuration in force.
 fn check_object(
     state: &State,
     key: &ResourceKey,
--- a/crates/firdock-node/src/operator/apply.rs
+++ b/crates/firdock-node/src/operator/apply.rs
@@ -1,4 +1,4 @@
-//! Applying a file of resources: all findings first, then one write for each change.
+//! Applying a file of resources: validates the whole file first, then writes each change.
 
 use std::sync::Arc;
 
@@ -11,14 +11,14 @@
 use crate::config::{Hub, write};
 use crate::platform::LogClient;
 
-/// What became of one resource of an applied file.
+/// Result for one resource of an applied file.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppliedResource {
-    /// Resource.
+    /// Key of the resource.
     pub resource: String,
     /// Version in force.
     pub version: u64,
-    /// Whether it was changed; else it was in force already.
+    /// Whether it was changed; if not, it was already in force.
     pub changed: bool,
 }
 
@@ -35,7 +35,7 @@
         let present = state.entries.get(&key);
         let base = state.version_of(&key);
         if present.is_some_and(|e| e.resource == resource) {
-            applied.push(note(&key, base, false));
+            applied.push(result(&key, base, false));
             continue;
         }
         let change = Change {
@@ -44,14 +44,14 @@
             resource: Some(resource),
         };
         match write(log, hub, change) {
-            Ok(version) => applied.push(note(&key, version, true)),
+            Ok(version) => applied.push(result(&key, version, true)),
             Err(e) => return reply::write_error(&e),
         }
     }
     reply::ok(&applied)
 }
 
-fn note(key: &ResourceKey, version: u64, changed: bool) -> AppliedResource {
+fn result(key: &ResourceKey, version: u64, changed: bool) -> AppliedResource {
     AppliedResource {
         resource: key.to_string(),
         version,
@@ -59,7 +59,7 @@
     }
 }
 
-/// Checks the file by itself and against what is in force.
+/// Validates the file by itself and against the configuration in force.
 fn check(state: &State, text: &str) -> Result<Vec<Resource>, Findings> {
     let resources = parse_resources(text)?;
     let mut found = Findings::new();
@@ -67,7 +67,7 @@
     found.into_result(resources)
 }
 
-/// Returns the catalog that would be in force with the resources.
+/// Returns the catalog in force with the given resources added or replaced.
 pub fn merged(state: &State, resources: &[Resource]) -> firdock_core::resource::Catalog {
     let keys: Vec<ResourceKey> = resources.iter().map(Resource::key).collect();
     let kept = state.entries.iter().filter(|(key, _)| !keys.contains(key));
--- a/crates/firdock-node/src/operator/call.rs
+++ b/crates/firdock-node/src/operator/call.rs
@@ -1,4 +1,4 @@
-//! A call to the resource API, read whole before it is answered.
+//! Calls to the resource API, read completely before they are handled.
 
 use std::str::Utf8Error;
 
@@ -11,25 +11,25 @@
 
 use super::reply::{self, Response};
 
-/// Largest body of a call.
+/// Maximum size of the body of a call, in bytes.
 const MAX_BODY_BYTES: usize = 4 << 20;
 
-/// Why a call has no text.
+/// Error of reading the body of a call as text.
 #[derive(Debug, Snafu)]
-pub enum NoText {
+pub enum TextError {
     /// There is no body.
     #[snafu(display("a body is needed"))]
     NoBody,
-    /// The body is no text.
+    /// The body is not UTF-8.
     #[snafu(display("the body is not UTF-8"))]
     Broken {
-        /// Cause, with the place.
+        /// Cause, with the position.
         source: Utf8Error,
     },
 }
 
-impl NoText {
-    /// Creates the answer.
+impl TextError {
+    /// Creates the response.
     #[must_use]
     pub fn answer(&self) -> Response {
         let reason = match self {
@@ -56,7 +56,7 @@
     ///
     /// # Errors
     ///
-    /// Fails with the answer for a body that is too long or ends early.
+    /// Fails with the response for a body that is too large or ends early.
     pub async fn read(request: Request<Incoming>) -> Result<Self, Box<Response>> {
         let (head, body) = request.into_parts();
         let body = match Limited::new(body, MAX_BODY_BYTES).collect().await {
@@ -81,7 +81,7 @@
         })
     }
 
-    /// Returns a number of the query.
+    /// Returns a number from the query string.
     #[must_use]
     pub fn number(&self, name: &str) -> Option<u64> {
         let mut pairs = self
@@ -92,12 +92,12 @@
         value.parse().ok()
     }
 
-    /// Returns the body's text.
+    /// Returns the body as text.
     ///
     /// # Errors
     ///
-    /// Fails with what is wrong with a body that is absent or no text.
-    pub fn text(&self) -> Result<&str, NoText> {
+    /// Fails if the body is empty or not UTF-8.
+    pub fn text(&self) -> Result<&str, TextError> {
         if self.body.is_empty() {
             return NoBodySnafu.fail();
         }
--- a/crates/firdock-node/src/operator/reply.rs
+++ b/crates/firdock-node/src/operator/reply.rs
@@ -1,4 +1,4 @@
-//! Answers of the resource API: JSON, with all findings where input is bad.
+//! Responses of the resource API: JSON, with all findings if the input is invalid.
 
 use bytes::Bytes;
 use firdock_core::{Findings, Version};
@@ -10,10 +10,10 @@
 
 use crate::config::WriteError;
 
-/// An answer, whole.
+/// A complete response.
 pub type Response = hyper::Response<Full<Bytes>>;
 
-/// Answers with JSON.
+/// Creates a JSON response.
 pub fn ok<T: Serialize>(value: &T) -> Response {
     match serde_json::to_vec(value) {
         Ok(body) => with_type("application/json", body),
@@ -21,7 +21,7 @@
     }
 }
 
-/// Answers with text of a media type.
+/// Creates a response of a given media type.
 pub fn with_type(kind: &'static str, body: impl Into<Bytes>) -> Response {
     let mut response = Response::new(Full::new(body.into()));
     let kind = HeaderValue::from_static(kind);
@@ -29,31 +29,31 @@
     response
 }
 
-/// Answers with plain text.
+/// Creates a plain text response.
 pub fn text(body: &'static str) -> Response {
     with_type("text/plain; charset=utf-8", body)
 }
 
-/// Answers with JSON under a status other than 200.
+/// Creates a JSON response with a given status.
 fn json(status: u16, body: &serde_json::Value) -> Response {
     let mut response = ok(body);
     *response.status_mut() = StatusCode::from_u16(status).unwrap_or_default();
     response
 }
 
-/// Answers with an error of a kind that scripts can tell apart.
+/// Creates an error response; scripts distinguish errors by `reason`.
 pub fn error(status: u16, reason: &str, detail: &str) -> Response {
     let body = object!({"reason": reason, "detail": detail});
     json(status, &body)
 }
 
-/// Answers with every finding; nothing was changed.
+/// Creates the response that lists all findings; nothing was changed.
 pub fn findings(found: &Findings) -> Response {
     let body = object!({"reason": "bad-input", "findings": found.as_slice()});
     json(422, &body)
 }
 
-/// Answers with the version that a write made, or why it made none.
+/// Creates the response to a write: the new version or the error.
 pub fn written(result: Result<Version, WriteError>) -> Response {
     match result {
         Ok(version) => ok(&object!({"version": version})),
@@ -61,7 +61,7 @@
     }
 }
 
-/// Answers with why a write made no version.
+/// Creates the response to a failed write.
 pub fn write_error(e: &WriteError) -> Response {
     let detail = e.to_string();
     match e {
--- a/crates/firdock-node/src/operator/status.rs
+++ b/crates/firdock-node/src/operator/status.rs
@@ -1,4 +1,4 @@
-//! Status: which version is in force where.
+//! Status of the fleet: which version of the configuration is in force at which instance.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,33 +18,33 @@
     pub version: Version,
     /// Whether it is stopping.
     pub draining: bool,
-    /// Milliseconds since it was heard of.
+    /// Milliseconds since its last heartbeat.
     pub heard_millis: u64,
 }
 
 /// Status of the fleet as one instance sees it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// Instance that answers.
+    /// Instance that reports this status.
     pub instance: InstanceId,
     /// Newest version that it knows.
     pub version: Version,
-    /// Next offset of the log that it will fold.
+    /// Next offset of the log that it will apply.
     pub log_next: u64,
-    /// Milliseconds since it read the log to its end; `None` before the first time.
+    /// Milliseconds since it last read the log to its end; `None` before the first time.
     pub log_lag_millis: Option<u64>,
     /// Whether records are missing and no snapshot was found yet.
     pub gap: bool,
-    /// Members by the log.
+    /// Members according to the log.
     pub members: Vec<InstanceId>,
-    /// Every instance that it has heard of, itself among them.
+    /// All listed instances from which it has received heartbeats, and itself.
     pub instances: BTreeMap<InstanceId, InstanceStatus>,
-    /// Whether the newest version is in force at all of them.
+    /// Whether its newest version is in force at all of these instances.
     pub converged: bool,
 }
 
 impl Status {
-    /// Takes the status from what the threads share.
+    /// Creates the status from the state shared between threads.
     #[must_use]
     pub fn new(me: &str, zone: &str, now: Duration, hub: &HubState) -> Self {
         let version = hub.state.version;
--- a/crates/firdock-node/src/operator/watch.rs
+++ b/crates/firdock-node/src/operator/watch.rs
@@ -1,4 +1,4 @@
-//! Watches, as long polls: changes after a version, as soon as there are any.
+//! Watches by long polling: returns the changes after a version as soon as there are any.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -11,15 +11,15 @@
 use super::reply::{self, Response};
 use crate::config::{ChangeNote, Hub};
 
-/// Watchers that may wait at once; each occupies a thread.
+/// Maximum number of waiting watchers; each occupies a thread.
 pub const MAX_WATCHERS: usize = 32;
-/// Longest wait.
+/// Maximum wait of a watch.
 const MAX_WAIT: Duration = Duration::from_secs(55);
 
-/// Answer to a watch, as clients read it.
+/// Response to a watch, as parsed by clients.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WatchResponse {
-    /// Version to ask the next changes after.
+    /// Version after which the next watch should start.
     pub version: Version,
     /// Changes in the order of their versions.
     pub changes: Vec<Value>,
@@ -31,33 +31,33 @@
     changes: Vec<ChangeNote>,
 }
 
-/// Counts the watchers that wait.
+/// Counter of waiting watchers.
 #[derive(Debug, Default)]
 pub struct Watchers(AtomicUsize);
 
-/// Takes one watcher off the count when its wait is over.
-struct Place<'a>(&'a Watchers);
+/// Permit of one waiting watcher; dropping it decrements the counter.
+struct Permit<'a>(&'a Watchers);
 
-impl Drop for Place<'_> {
+impl Drop for Permit<'_> {
     fn drop(&mut self) {
         self.0.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 impl Watchers {
-    fn enter(&self) -> Option<Place<'_>> {
+    fn acquire(&self) -> Option<Permit<'_>> {
         let before = self.0.fetch_add(1, Ordering::Relaxed);
-        let place = Place(self);
-        (before < MAX_WATCHERS).then_some(place)
+        let permit = Permit(self);
+        (before < MAX_WATCHERS).then_some(permit)
     }
 
-    /// Answers a watch.
+    /// Handles a watch; blocks until there are changes or `wait` has passed.
     pub fn answer(&self, hub: &Arc<Hub>, after: Version, wait: Duration) -> Response {
-        let Some(_place) = self.enter() else {
+        let Some(_permit) = self.acquire() else {
             return reply::error(503, "too-many-watchers", "try again in some seconds");
         };
         let changes = hub.wait_for(wait.min(MAX_WAIT), |h| match h.changes.after(after) {
-            Some(notes) if notes.is_empty() => None,
+            Some(changes) if changes.is_empty() => None,
             other => Some(other),
         });
         match changes {
--- a/crates/firdock-node/src/platform.rs
+++ b/crates/firdock-node/src/platform.rs
@@ -1,6 +1,6 @@
-//! The platform's log and instance list: small traits, and their HTTP adapters by `ureq`.
+//! Traits for the platform's log and instance list, and HTTP adapters for them based on `ureq`.
 //!
-//! Calls block, so they run on threads of their own and never on the request path.
+//! Calls block, so they are made on dedicated threads and never on the request path.
 
 mod http;
 
@@ -13,12 +13,12 @@
 
 pub use http::{HttpInstances, HttpLog};
 
-/// Why a call to the platform failed.
+/// Error of a call to the platform.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 #[non_exhaustive]
 pub enum PlatformError {
-    /// No answer came; an append may or may not have taken effect.
+    /// No response was received; an append may or may not have taken effect.
     #[snafu(display("the platform did not answer"))]
     NoAnswer {
         /// Cause.
@@ -30,8 +30,8 @@
         /// Status.
         status: u16,
     },
-    /// The answer could not be read.
-    #[snafu(display("the platform's answer could not be read"))]
+    /// The response could not be parsed.
+    #[snafu(display("the platform's response could not be parsed"))]
     Malformed {
         /// Cause.
         source: serde_json::Error,
@@ -40,28 +40,29 @@
 
 /// The append-only log.
 pub trait LogClient: Clone + Send + Sync + 'static {
-    /// Reads up to `most` records from an offset on.
+    /// Reads up to `max` records, starting at an offset.
     ///
     /// # Errors
     ///
-    /// Fails if the log does not answer.
-    fn read(&self, from: Offset, most: usize) -> Result<Batch, PlatformError>;
+    /// Fails if the log does not respond.
+    fn read(&self, from: Offset, max: usize) -> Result<Batch, PlatformError>;
 
     /// Appends a record.
     ///
     /// # Errors
     ///
-    /// Fails if the log refuses, or does not answer; then the append may have taken effect.
+    /// Fails if the log refuses the record or does not respond. In the latter case, the append may have taken
+    /// effect.
     fn append(&self, body: &str) -> Result<Offset, PlatformError>;
 }
 
 /// The list of live and leaving instances.
 pub trait InstanceList: Clone + Send + Sync + 'static {
-    /// Reads the list, which lags.
+    /// Reads the list, which may be out of date.
     ///
     /// # Errors
     ///
-    /// Fails if the list does not answer.
+    /// Fails if the platform does not respond.
     fn list(&self) -> Result<Vec<ListedRow>, PlatformError>;
 }
 
@@ -73,7 +74,7 @@
     /// Availability zone.
     #[serde(default)]
     pub zone: ZoneId,
-    /// Address on which an entry instance takes peers; `None` for endpoints.
+    /// Address of an entry instance for peers; `None` for endpoints.
     #[serde(default)]
     pub peers: Option<SocketAddr>,
     /// Whether it is leaving.
--- a/crates/firdock-node/src/platform/http.rs
+++ b/crates/firdock-node/src/platform/http.rs
@@ -1,4 +1,4 @@
-//! HTTP adapters to the platform by `ureq`, with time limits.
+//! HTTP adapters to the platform, based on `ureq`, with time limits.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,10 +14,10 @@
     InstanceList, ListedRow, LogClient, MalformedSnafu, NoAnswerSnafu, PlatformError, RefusedSnafu,
 };
 
-/// Largest answer that is read.
+/// Maximum size of a response, in bytes.
 const MAX_ANSWER_BYTES: u64 = 64 << 20;
 
-/// Creates an agent with a time limit for whole calls.
+/// Creates an agent with a time limit for each call as a whole.
 #[must_use]
 pub fn agent(limit: Duration) -> Agent {
     let config = Agent::config_builder()
@@ -61,8 +61,8 @@
 }
 
 impl LogClient for HttpLog {
-    fn read(&self, from: Offset, most: usize) -> Result<Batch, PlatformError> {
-        let url = format!("http://{}/log?from={from}&max={most}", self.address);
+    fn read(&self, from: Offset, max: usize) -> Result<Batch, PlatformError> {
+        let url = format!("http://{}/log?from={from}&max={max}", self.address);
         read_json(self.agent.get(&url).call().context(NoAnswerSnafu)?)
     }
 
--- a/crates/firdock-node/tests/node/main.rs
+++ b/crates/firdock-node/tests/node/main.rs
@@ -185,14 +185,14 @@
     };
     let mut changes = Changes::default();
     // The instance starts from a snapshot; what was deleted before, it cannot know.
-    changes.note(&State::new(), &state(9, &[("draft", 4)]));
+    changes.record(&State::new(), &state(9, &[("draft", 4)]));
     assert_eq!(changes.after(3), None, "a deletion after 3 would be missed");
     assert_eq!(
         changes.after(0).map(|c| c.len()),
         Some(1),
         "a new watcher gets all there is"
     );
-    changes.note(&state(9, &[("draft", 4)]), &state(10, &[]));
+    changes.record(&state(9, &[("draft", 4)]), &state(10, &[]));
     let seen = changes.after(9).expect("this instance saw it");
     assert_eq!((seen.len(), seen[0].version), (1, 10));
 }
