--- a/crates/firdock-node/benches/calm.rs
+++ b/crates/firdock-node/benches/calm.rs
@@ -1,4 +1,4 @@
-//! What an instance does five times a second though nothing happens, as endpoints and peers grow.
+//! Cost of the periodic work that an idle instance does five times a second, by number of endpoints and peers.
 
 #![expect(
     missing_docs,
@@ -20,8 +20,8 @@
 
 const NOW: Duration = Duration::from_secs(100);
 
-/// An instance of a site of so many instances, in six availability zones, and endpoints, of which one in
-/// twenty is a plain server.
+/// Creates the scheduler of an instance at a site with the given numbers of instances and endpoints, in six
+/// availability zones. One endpoint in twenty is a plain server.
 fn scheduler(instances: usize, endpoints: usize) -> Scheduler {
     let tier = Tier {
         name: "tier".to_owned(),
@@ -73,7 +73,7 @@
 
 const SIZES: [(usize, usize); 4] = [(100, 1_000), (300, 3_000), (985, 3_000), (2_000, 6_000)];
 
-/// Runs `work` by the sizes of sites, each with a scheduler that knows all endpoints and so many peers.
+/// Runs `work` for each size of a site, with a scheduler that has all endpoints and peers.
 fn by_size(c: &mut Criterion, name: &str, mut work: impl FnMut(&mut Scheduler, usize)) {
     let mut group = c.benchmark_group(name);
     for (instances, endpoints) in SIZES {
@@ -90,26 +90,26 @@
     group.finish();
 }
 
-fn beliefs(c: &mut Criterion) {
+fn state_changes(c: &mut Criterion) {
     let mut group = c.benchmark_group("beliefs");
     for (instances, endpoints) in SIZES {
         let s = scheduler(instances, endpoints);
-        let lines = Arc::<LogLimiter>::default();
-        let mut beliefs = StateChangeLog::new(discard_logger(), lines, EndpointList::default());
-        beliefs.record(NOW, s.tables());
+        let limiter = Arc::<LogLimiter>::default();
+        let mut changes = StateChangeLog::new(discard_logger(), limiter, EndpointList::default());
+        changes.record(NOW, s.tables());
         let id = BenchmarkId::from_parameter(format!("{instances}x{endpoints}"));
-        group.bench_with_input(id, &(), |b, ()| b.iter(|| beliefs.record(NOW, s.tables())));
+        group.bench_with_input(id, &(), |b, ()| b.iter(|| changes.record(NOW, s.tables())));
     }
     group.finish();
 }
 
-fn told_news(c: &mut Criterion) {
+fn self_status(c: &mut Criterion) {
     by_size(c, "told_news", |s, _| {
         black_box(SelfStatus::new(s.tables(), NOW));
     });
 }
 
-/// Places at all endpoints, which an instance draws for itself while no coordinator answers.
+/// Budgets at all endpoints, which an instance computes itself while no coordinator responds.
 fn budgets(c: &mut Criterion) {
     by_size(c, "budgets", |s, _| {
         s.step(NOW, Event::Coordinated(false), &mut Vec::new());
@@ -141,6 +141,6 @@
         .sample_size(10)
         .warm_up_time(Duration::from_millis(200))
         .measurement_time(Duration::from_millis(500));
-    targets = beliefs, told_news, budgets, invariants, heartbeat
+    targets = state_changes, self_status, budgets, invariants, heartbeat
 }
 criterion_main!(benches);
--- a/crates/firdock-node/benches/events.rs
+++ b/crates/firdock-node/benches/events.rs
@@ -1,4 +1,4 @@
-//! Cutting of a stream at the ends of its events, by the length of the events.
+//! Splitting of a stream into its events, by the length of the events.
 
 #![expect(
     missing_docs,
@@ -10,10 +10,10 @@
 use criterion::{BenchmarkId, Criterion, Throughput, criterion_group, criterion_main};
 use firdock_node::endpoint::EventSplitter;
 
-/// Events of a stream, each in a part of its own as an engine sends them.
+/// Number of events in the stream; each arrives in its own chunk, as engines send them.
 const EVENTS: u64 = 100;
 
-fn cut(c: &mut Criterion) {
+fn split(c: &mut Criterion) {
     let mut group = c.benchmark_group("cut a stream of 100 events");
     for length in [40, 400, 4_000] {
         let events: Vec<String> = (1..=EVENTS)
@@ -33,5 +33,5 @@
     group.finish();
 }
 
-criterion_group!(benches, cut);
+criterion_group!(benches, split);
 criterion_main!(benches);
--- a/crates/firdock-node/src/config/write.rs
+++ b/crates/firdock-node/src/config/write.rs
@@ -28,7 +28,7 @@
         present: Version,
     },
     /// The log refused the record: the change is not in force and never will be.
-    #[snafu(display("the platform's log did not take the change"))]
+    #[snafu(display("the platform's log refused the change"))]
     Refused {
         /// Cause.
         source: PlatformError,
@@ -48,7 +48,7 @@
         source: serde_json::Error,
     },
     /// The change was read back and had no effect.
-    #[snafu(display("the change was ignored: a bound on resources was reached"))]
+    #[snafu(display("the change was ignored: a limit on resources was reached"))]
     Ignored,
 }
 
--- a/crates/firdock-node/src/exchange/queue.rs
+++ b/crates/firdock-node/src/exchange/queue.rs
@@ -21,7 +21,7 @@
 
 /// Error: the receiver is closed, because the caller disconnected or its answer was cut.
 #[derive(Debug, Snafu)]
-#[snafu(display("nobody takes the answer any more"))]
+#[snafu(display("the receiver of the answer is closed"))]
 pub struct Closed;
 
 /// Result of sending a part without waiting.
--- a/crates/firdock-node/src/operator/api.rs
+++ b/crates/firdock-node/src/operator/api.rs
@@ -190,7 +190,7 @@
             Err(e) => return reply::error(422, "bad-input", &format!("{content}: {e}")),
         };
         if !self.metrics.suspects().get().contains_key(&id) {
-            let detail = format!("no endpoint is known to have ended under {id}");
+            let detail = format!("no endpoint is known to have exited during request {id}");
             return reply::error(404, "not-found", &detail);
         }
         let event = Event::Released(id, self.clock.now());
--- a/crates/firdock-node/src/operator/watch.rs
+++ b/crates/firdock-node/src/operator/watch.rs
@@ -66,7 +66,8 @@
                 reply::ok(&Answer { version, changes })
             }
             Some(None) => {
-                let detail = "changes after this version are not kept any more: read all resources";
+                let detail =
+                    "changes after this version are no longer retained: read all resources";
                 reply::error(410, "too-far-behind", detail)
             }
             None => reply::ok(&Answer {
