--- a/crates/firdock-node/src/instance.rs
+++ b/crates/firdock-node/src/instance.rs
@@ -1,6 +1,6 @@
 //! Assembly of the components of an entry instance, and their orderly shutdown.
 
-mod parts;
+mod components;
 mod start;
 
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
 pub use self::start::StartError;
 pub(crate) use self::start::{AbortOnPanic, ListenSnafu, UnsetSnafu, open};
 
-use self::parts::Parts;
+use self::components::Parts;
 use self::start::spawn_driver;
 use crate::config::Hub;
 use crate::http::{ServerOptions, serve};
