--- a/crates/firdock-node/src/config.rs
+++ b/crates/firdock-node/src/config.rs
@@ -7,9 +7,9 @@
 mod membership;
 mod write;
 
-pub use changes::{ChangeNote, Changes};
+pub use changes::{Changes, ConfigChange};
 pub use follow::{FollowParts, follow};
 pub use hub::{Hub, HubState, PeerStatus};
 pub use list::watch_list;
-pub use membership::DutySettings;
+pub use membership::RecordSettings;
 pub use write::{WriteError, write};
--- a/crates/firdock-node/src/config/changes.rs
+++ b/crates/firdock-node/src/config/changes.rs
@@ -12,7 +12,7 @@
 
 /// One change that is in force.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct ChangeNote {
+pub struct ConfigChange {
     /// Version that the change created.
     pub version: Version,
     /// Key of the changed resource.
@@ -24,7 +24,7 @@
 /// The latest changes in the order of their versions.
 #[derive(Debug, Default)]
 pub struct Changes {
-    notes: VecDeque<ChangeNote>,
+    retained: VecDeque<ConfigChange>,
     /// Version up to which changes are no longer retained.
     floor: Version,
     /// Version with which this instance started: it did not see the deletions up to this version.
@@ -37,12 +37,12 @@
         if old.next == 0 {
             self.start = new.version;
         }
-        let mut notes: Vec<ChangeNote> = changed(old, new).collect();
-        notes.extend(deleted(old, new));
-        notes.sort_by_key(|n| n.version);
-        self.notes.extend(notes);
-        while self.notes.len() > MAX_CHANGES {
-            if let Some(dropped) = self.notes.pop_front() {
+        let mut changes: Vec<ConfigChange> = changed(old, new).collect();
+        changes.extend(deleted(old, new));
+        changes.sort_by_key(|c| c.version);
+        self.retained.extend(changes);
+        while self.retained.len() > MAX_CHANGES {
+            if let Some(dropped) = self.retained.pop_front() {
                 self.floor = dropped.version;
             }
         }
@@ -51,26 +51,26 @@
     /// Returns the changes after a version; `None` if some of them are no longer retained or were never seen.
     ///
     /// A watcher that starts from version 0 has no resources whose deletion it could miss, so it gets the
-    /// changes also from before the start of this instance.
+    /// whole configuration in force.
     #[must_use]
-    pub fn after(&self, version: Version) -> Option<Vec<ChangeNote>> {
+    pub fn after(&self, version: Version) -> Option<Vec<ConfigChange>> {
         let known = version >= self.floor && (version == 0 || version >= self.start);
         known.then(|| {
-            self.notes
+            self.retained
                 .iter()
-                .filter(|n| n.version > version)
+                .filter(|c| c.version > version)
                 .cloned()
                 .collect()
         })
     }
 }
 
-fn changed<'a>(old: &'a State, new: &'a State) -> impl Iterator<Item = ChangeNote> + 'a {
+fn changed<'a>(old: &'a State, new: &'a State) -> impl Iterator<Item = ConfigChange> + 'a {
     let differs = |e: &(&ResourceKey, &firdock_state::Entry)| old.version_of(e.0) != e.1.version;
     new.entries
         .iter()
         .filter(differs)
-        .map(|(key, e)| ChangeNote {
+        .map(|(key, e)| ConfigChange {
             version: e.version,
             key: key.clone(),
             resource: Some(e.resource.clone()),
@@ -78,13 +78,13 @@
 }
 
 /// Returns the deletions. The state does not have their own versions, so they get the newest version.
-fn deleted<'a>(old: &'a State, new: &'a State) -> impl Iterator<Item = ChangeNote> + 'a {
+fn deleted<'a>(old: &'a State, new: &'a State) -> impl Iterator<Item = ConfigChange> + 'a {
     let gone = |key: &&ResourceKey| !new.entries.contains_key(*key);
     let version = new.version;
-    let note = move |key: &ResourceKey| ChangeNote {
+    let deletion = move |key: &ResourceKey| ConfigChange {
         version,
         key: key.clone(),
         resource: None,
     };
-    old.entries.keys().filter(gone).map(note)
+    old.entries.keys().filter(gone).map(deletion)
 }
--- a/crates/firdock-node/src/config/follow.rs
+++ b/crates/firdock-node/src/config/follow.rs
@@ -12,7 +12,7 @@
 use uuid::Uuid;
 
 use super::hub::Hub;
-use super::membership::{Duties, DutySettings};
+use super::membership::{RecordSchedule, RecordSettings};
 use crate::backoff::Backoff;
 use crate::clock::Clock;
 use crate::input::Input;
@@ -45,7 +45,7 @@
     /// Name and incarnation of this instance.
     pub member: Member,
     /// Settings of membership records and snapshots.
-    pub duties: DutySettings,
+    pub record_settings: RecordSettings,
 }
 
 /// Follows the log until the hub is closed.
@@ -54,12 +54,12 @@
     L: LogClient,
     A: Fn() -> Option<State>,
 {
-    let duties = Duties::new(parts.duties, parts.member.clone());
+    let schedule = RecordSchedule::new(parts.record_settings, parts.member.clone());
     let backoff = Backoff::new(BACKOFF.0, BACKOFF.1);
     Thread {
         parts,
         follower: Follower::default(),
-        duties,
+        schedule,
         backoff,
         gaps: 0,
     }
@@ -69,7 +69,7 @@
 struct Thread<L, A> {
     parts: FollowParts<L, A>,
     follower: Follower,
-    duties: Duties,
+    schedule: RecordSchedule,
     backoff: Backoff,
     gaps: u32,
 }
@@ -191,7 +191,7 @@
     fn append_due_record(&mut self, reading: LogReading) {
         let record = {
             let hub = self.parts.hub.lock();
-            self.duties
+            self.schedule
                 .next_record(self.parts.clock.now(), reading.log_time, &hub)
         };
         let Some(body) = record else { return };
--- a/crates/firdock-node/src/config/membership.rs
+++ b/crates/firdock-node/src/config/membership.rs
@@ -23,7 +23,7 @@
 
 /// Settings of membership records and snapshots.
 #[derive(Debug, Clone, Copy)]
-pub struct DutySettings {
+pub struct RecordSettings {
     /// Time without heartbeats after which a member is removed that the instance list does not show.
     pub silence: Duration,
     /// How long the log keeps records.
@@ -32,26 +32,26 @@
 
 /// Determines which record is due, from the times of earlier ones.
 #[derive(Debug)]
-pub struct Duties {
-    settings: DutySettings,
+pub struct RecordSchedule {
+    settings: RecordSettings,
     me: Member,
-    join: Backoff,
-    join_at: Duration,
-    left: bool,
+    join_backoff: Backoff,
+    next_join: Duration,
+    leave_sent: bool,
     removed_at: Duration,
     snapshot_at: Duration,
 }
 
-impl Duties {
+impl RecordSchedule {
     /// Creates the state for the member `me`.
     #[must_use]
-    pub fn new(settings: DutySettings, me: Member) -> Self {
+    pub fn new(settings: RecordSettings, me: Member) -> Self {
         Self {
             settings,
             me,
-            join: Backoff::new(JOIN_BACKOFF.0, JOIN_BACKOFF.1),
-            join_at: Duration::ZERO,
-            left: false,
+            join_backoff: Backoff::new(JOIN_BACKOFF.0, JOIN_BACKOFF.1),
+            next_join: Duration::ZERO,
+            leave_sent: false,
             removed_at: Duration::ZERO,
             snapshot_at: Duration::ZERO,
         }
@@ -90,14 +90,14 @@
     }
 
     fn leave(&mut self, member: bool) -> Option<Body> {
-        let due = member && !std::mem::replace(&mut self.left, member);
+        let due = member && !std::mem::replace(&mut self.leave_sent, member);
         due.then(|| self.record(false))
     }
 
     fn rejoin(&mut self, now: Duration) -> Option<Body> {
-        let due = now >= self.join_at;
+        let due = now >= self.next_join;
         due.then(|| {
-            self.join_at = now + self.join.next_pause();
+            self.next_join = now + self.join_backoff.next_pause();
             self.record(true)
         })
     }
@@ -111,14 +111,14 @@
             .iter()
             .filter(|m| !self.is_me(m))
             .find(|m| {
-                let heard = hub.peers.get(&m.name).map_or(self.removed_at, |p| p.heard);
+                let last_seen = hub.peers.get(&m.name).map_or(self.removed_at, |p| p.heard);
                 let listed = hub.listed_row(&m.name).is_some_and(|r| !r.leaving);
                 let limit = if listed {
                     silence.max(LISTED_SILENCE)
                 } else {
                     silence
                 };
-                heard + limit < now
+                last_seen + limit < now
             })?;
         if self.removed_at == Duration::ZERO {
             // A new instance has received no heartbeats yet, so it first gives all members time to send one.
--- a/crates/firdock-node/src/instance.rs
+++ b/crates/firdock-node/src/instance.rs
@@ -18,7 +18,7 @@
 pub use self::start::StartError;
 pub(crate) use self::start::{AbortOnPanic, ListenSnafu, UnsetSnafu, open};
 
-use self::components::Parts;
+use self::components::Components;
 use self::start::spawn_driver;
 use crate::config::Hub;
 use crate::http::{ServerOptions, serve};
@@ -83,7 +83,7 @@
     /// Fails if an address cannot be listened on or a thread cannot be started.
     pub fn start(self) -> Result<Running, StartError> {
         let s = &self.settings;
-        let parts = Parts::new(s, &self.log)?;
+        let components = Components::new(s, &self.log)?;
         let ingress_socket = open(s.instance.callers, "instance.callers")?;
         let peer_socket = open(s.instance.peers, "instance.peers")?;
         let callers = ingress_socket
@@ -98,50 +98,50 @@
         let (self_status, self_status_seen) = watch::channel(SelfStatus::default());
 
         let mut threads = Vec::new();
-        let driver = parts.driver(&inputs, self_status, drained);
+        let driver = components.driver(&inputs, self_status, drained);
         threads.push(spawn_driver(driver, waiting, rest_stops.clone())?);
-        threads.extend(parts.platform_threads(&inputs)?);
+        threads.extend(components.platform_threads(&inputs)?);
         tokio::spawn(
-            parts
+            components
                 .clone()
                 .watch_endpoints(inputs.clone(), rest_stops.clone()),
         );
 
         let heartbeat = s.peers.heartbeat();
         let heartbeats = run_heartbeats(
-            parts.dialer.clone(),
+            components.dialer.clone(),
             self_status_seen,
             heartbeat,
-            parts.clock,
+            components.clock,
             rest_stops.clone(),
             self.log.clone(),
         );
         tokio::spawn(heartbeats);
         let server = PeerServer {
-            dialer: parts.dialer.clone(),
+            dialer: components.dialer.clone(),
             inputs: inputs.clone(),
-            clock: parts.clock,
+            clock: components.clock,
             log: self.log.clone(),
-            answer_budget: parts.answer_budget.clone(),
+            answer_budget: components.answer_budget.clone(),
         };
         let operators_stop = rest_stops.clone();
         tokio::spawn(serve_peers(peer_socket, server, rest_stops));
 
-        let ingress = parts.ingress(inputs.clone());
+        let ingress = components.ingress(inputs.clone());
         let options = ServerOptions::new(&s.limits);
         let ingress = serve(ingress_socket, options, ingress_stops, move |r| {
             ingress.clone().handle(r)
         });
         let ingress = tokio::spawn(ingress);
-        let operators = parts.operators(inputs.clone(), operators_stop)?;
+        let operators = components.operators(inputs.clone(), operators_stop)?;
         info!(self.log, "started"; "callers" => callers.to_string(),
             "operators" => operators.to_string(), "peers" => peers.to_string());
         Ok(Running {
             callers,
             operators,
             peers,
-            hub: parts.hub,
-            member: parts.member,
+            hub: components.hub,
+            member: components.member,
             inputs,
             drained: drain_seen,
             ingress,
--- a/crates/firdock-node/src/instance/components.rs
+++ b/crates/firdock-node/src/instance/components.rs
@@ -19,7 +19,7 @@
 use super::start::{ListenSnafu, StartError, UnsetSnafu, spawn};
 use crate::answer_cache::AnswerCache;
 use crate::clock::Clock;
-use crate::config::{DutySettings, FollowParts, Hub, follow, watch_list};
+use crate::config::{FollowParts, Hub, RecordSettings, follow, watch_list};
 use crate::driver::{Driver, DriverParts};
 use crate::endpoint::run::DispatchLimits;
 use crate::endpoint::{DirectDispatcher, HttpEngine, HttpPlain, Target, poll_reports};
@@ -38,7 +38,7 @@
 
 /// State shared by the components of an instance.
 #[derive(Debug, Clone)]
-pub struct Parts {
+pub struct Components {
     settings: Arc<Settings>,
     pub member: Member,
     pub clock: Clock,
@@ -55,7 +55,7 @@
     log_limiter: Arc<LogLimiter>,
 }
 
-impl Parts {
+impl Components {
     /// Creates the shared state, with a new incarnation id for this start of the process.
     pub fn new(s: &Settings, log: &Logger) -> Result<Self, StartError> {
         let hub = Arc::new(Hub::default());
@@ -146,7 +146,7 @@
             log: self.log.clone(),
             pause: self.settings.platform.read(),
             member: self.member.clone(),
-            duties: DutySettings {
+            record_settings: RecordSettings {
                 silence: self.settings.peers.stale_after(),
                 retention: self.settings.platform.retention(),
             },
--- a/crates/firdock-node/src/operator/watch.rs
+++ b/crates/firdock-node/src/operator/watch.rs
@@ -9,7 +9,7 @@
 use serde_json::Value;
 
 use super::reply::{self, Response};
-use crate::config::{ChangeNote, Hub};
+use crate::config::{ConfigChange, Hub};
 
 /// Maximum number of waiting watchers; each occupies a thread.
 pub const MAX_WATCHERS: usize = 32;
@@ -28,7 +28,7 @@
 #[derive(Serialize)]
 struct Answer {
     version: Version,
-    changes: Vec<ChangeNote>,
+    changes: Vec<ConfigChange>,
 }
 
 /// Counter of waiting watchers.
--- a/crates/firdock-node/src/source.rs
+++ b/crates/firdock-node/src/source.rs
@@ -63,9 +63,9 @@
     }
 
     /// Adds a quarantined request, reported at `now`, which replaces an earlier report on it.
-    pub fn quarantine(&mut self, now: Time, told: SuspectReport) {
-        self.released.remove(&told.content.id);
-        self.quarantined.insert(told.content.id, (now, told));
+    pub fn quarantine(&mut self, now: Time, report: SuspectReport) {
+        self.released.remove(&report.content.id);
+        self.quarantined.insert(report.content.id, (now, report));
     }
 
     /// Records that a request was released from quarantine.
@@ -244,8 +244,8 @@
     /// # Errors
     ///
     /// Fails if the instance was stopped.
-    pub async fn send_quarantined(&self, told: Vec<SuspectReport>) -> Result<(), Stopped> {
-        self.send(Event::SuspectsReported(told)).await
+    pub async fn send_quarantined(&self, reports: Vec<SuspectReport>) -> Result<(), Stopped> {
+        self.send(Event::SuspectsReported(reports)).await
     }
 
     /// Sends the scheduler an operator's release of a request from quarantine. It covers the exits of
--- a/crates/firdock-node/src/telemetry/decisions.rs
+++ b/crates/firdock-node/src/telemetry/decisions.rs
@@ -96,7 +96,7 @@
             "resumed" => row.head_sent(),
             "held_millis" => millis(now.saturating_sub(row.arrived)),
             "predicted_millis" => millis(row.predicted),
-            "pace_told" => endpoint.and_then(pace_told),
+            "pace_told" => endpoint.and_then(reported_pace),
             "pace_age_millis" => endpoint.and_then(|e| pace_age(now, e)),
             "prompt_tokens" => row.new.prompt_tokens,
             "placed_by" => placed_by(t),
@@ -110,30 +110,30 @@
     }
 
     /// Logs that a report of an endpoint could not be parsed and is ignored.
-    pub fn malformed_report(&self, now: Time, kind: LogKind, endpoint: &EndpointId, told: &str) {
+    pub fn malformed_report(&self, now: Time, kind: LogKind, endpoint: &EndpointId, report: &str) {
         if self.limiter.allow(&self.log, now, kind) {
-            warn!(self.log, "{}", kind.as_str(); "endpoint" => endpoint, "told" => told);
+            warn!(self.log, "{}", kind.as_str(); "endpoint" => endpoint, "told" => report);
         }
     }
 
     /// Logs a notice that an endpoint sent about itself with an answer to this instance.
-    pub fn endpoint_notice(&self, now: Time, told: &NoticeReport) {
+    pub fn endpoint_notice(&self, now: Time, report: &NoticeReport) {
         if self.limiter.allow(&self.log, now, LogKind::Notice) {
             info!(self.log, "endpoint notice";
-                "endpoint" => &told.endpoint,
+                "endpoint" => &report.endpoint,
                 "source" => "answer",
-                "leaving" => told.notice.leaving,
-                "backoff_millis" => told.notice.backoff.map(millis),
-                "age_millis" => millis(now.saturating_sub(told.read)),
+                "leaving" => report.notice.leaving,
+                "backoff_millis" => report.notice.backoff.map(millis),
+                "age_millis" => millis(now.saturating_sub(report.read)),
             );
         }
     }
 
     /// Logs the result of the liveness check of an endpoint whose connection ended early.
-    pub fn liveness_checked(&self, now: Time, look: &LivenessResult) {
+    pub fn liveness_checked(&self, now: Time, result: &LivenessResult) {
         if self.limiter.allow(&self.log, now, LogKind::LivenessCheck) {
             info!(self.log, "endpoint looked at";
-                "endpoint" => &look.start, "found" => look.found.as_str());
+                "endpoint" => &result.start, "found" => result.found.as_str());
         }
     }
 
@@ -166,7 +166,7 @@
             "output_tokens" => output,
             "most_tokens" => row.new.output_tokens,
             "caller_end" => if unframed { "closed" } else { "whole" },
-            EndFields(end),
+            AnswerEndFields(end),
         );
     }
 
@@ -175,21 +175,21 @@
         if !self.limiter.allow(&self.log, now, LogKind::Failed) {
             return;
         }
-        let x = context.exchange;
+        let exchange = context.exchange;
         warn!(self.log, "request given up";
-            "request_id" => x.id.to_string(),
-            "call" => call(x),
-            "service" => &x.payload.service,
-            "account" => &x.payload.account,
-            "content" => x.content.id.to_string(),
+            "request_id" => exchange.id.to_string(),
+            "call" => call(exchange),
+            "service" => &exchange.payload.service,
+            "account" => &exchange.payload.account,
+            "content" => exchange.content.id.to_string(),
             "outcome" => verdict.outcome.as_str(),
             "reason" => verdict.reason.as_str(),
             "retry_millis" => verdict.retry_after.map(millis),
             "waited_millis" => millis(now.saturating_sub(context.arrived)),
-            "endpoint" => context.last_dispatch.map(|s| &s.endpoint),
-            "dispatches" => context.last_dispatch.map_or(0, |s| s.dispatch),
+            "endpoint" => context.last_dispatch.map(|last| &last.endpoint),
+            "dispatches" => context.last_dispatch.map_or(0, |last| last.dispatch),
             "placed_by" => placed_by(t),
-            "passed_over" => unavailable_endpoints(now, t, &x.payload.service),
+            "passed_over" => unavailable_endpoints(now, t, &exchange.payload.service),
             "held" => t.requests.held(),
             "version" => t.version,
             "config_age_millis" => config_age(t, now),
@@ -201,17 +201,17 @@
         if !self.limiter.allow(&self.log, now, LogKind::Failed) {
             return;
         }
-        let x = context.exchange;
+        let exchange = context.exchange;
         warn!(self.log, "failure passed on";
-            "request_id" => x.id.to_string(),
-            "call" => call(x),
-            "service" => &x.payload.service,
-            "account" => &x.payload.account,
-            "content" => x.content.id.to_string(),
+            "request_id" => exchange.id.to_string(),
+            "call" => call(exchange),
+            "service" => &exchange.payload.service,
+            "account" => &exchange.payload.account,
+            "content" => exchange.content.id.to_string(),
             "status" => status.as_u16(),
             "waited_millis" => millis(now.saturating_sub(context.arrived)),
-            "endpoint" => context.last_dispatch.map(|s| &s.endpoint),
-            "dispatches" => context.last_dispatch.map_or(0, |s| s.dispatch),
+            "endpoint" => context.last_dispatch.map(|last| &last.endpoint),
+            "dispatches" => context.last_dispatch.map_or(0, |last| last.dispatch),
         );
     }
 
@@ -236,29 +236,29 @@
         context: RequestContext<'_>,
         reason: Reason,
     ) {
-        let x = context.exchange;
+        let exchange = context.exchange;
         let after = context
             .last_dispatch
-            .map(|s| millis(now.saturating_sub(s.at)));
-        let (delivered, end) = answer_end(x);
+            .map(|last| millis(now.saturating_sub(last.at)));
+        let (delivered, end) = answer_end(exchange);
         let caller_end = match reason {
             Reason::CallerLeft => "left",
             _ => "broken",
         };
         warn!(self.log, "{}", what;
-            "request_id" => x.id.to_string(),
-            "call" => call(x),
-            "service" => &x.payload.service,
-            "account" => &x.payload.account,
-            "content" => x.content.id.to_string(),
+            "request_id" => exchange.id.to_string(),
+            "call" => call(exchange),
+            "service" => &exchange.payload.service,
+            "account" => &exchange.payload.account,
+            "content" => exchange.content.id.to_string(),
             "reason" => reason.as_str(),
             "caller_end" => caller_end,
             "waited_millis" => millis(now.saturating_sub(context.arrived)),
-            "endpoint" => context.last_dispatch.map(|s| &s.endpoint),
-            "dispatches" => context.last_dispatch.map_or(0, |s| s.dispatch),
+            "endpoint" => context.last_dispatch.map(|last| &last.endpoint),
+            "dispatches" => context.last_dispatch.map_or(0, |last| last.dispatch),
             "after_millis" => after,
             "delivered_tokens" => delivered,
-            EndFields(end),
+            AnswerEndFields(end),
         );
     }
 
@@ -268,24 +268,24 @@
         now: Time,
         t: &Tables,
         row: &RequestRow,
-        news: &str,
-        x: &Exchange,
+        update: &str,
+        exchange: &Exchange,
     ) {
         if !self.limiter.allow(&self.log, now, LogKind::Failed) {
             return;
         }
-        let (_, end) = answer_end(x);
+        let (_, end) = answer_end(exchange);
         warn!(self.log, "dispatch failed";
             "request_id" => row.new.id.to_string(),
-            "call" => call(x),
+            "call" => call(exchange),
             "endpoint" => endpoint_of(t, row),
             "dispatch" => row.dispatch,
-            "content" => x.content.id.to_string(),
-            "news" => news,
+            "content" => exchange.content.id.to_string(),
+            "news" => update,
             "cause" => row.breaking.map(BreakCause::as_str),
             "after_millis" => millis(now.saturating_sub(row.dispatched)),
             "delivered_tokens" => row.delivered,
-            EndFields(end),
+            AnswerEndFields(end),
         );
     }
 }
@@ -297,9 +297,9 @@
 }
 
 /// Log fields on the framing and the end of an endpoint's answer; empty if no answer began.
-struct EndFields(Option<AnswerEnd>);
+struct AnswerEndFields(Option<AnswerEnd>);
 
-impl KV for EndFields {
+impl KV for AnswerEndFields {
     fn serialize(&self, _record: &Record<'_>, serializer: &mut dyn Serializer) -> slog::Result {
         let Some(end) = self.0 else {
             return Ok(());
@@ -342,7 +342,7 @@
 }
 
 /// Returns the pace that an endpoint reported last, as a percentage of its usual time.
-fn pace_told(e: &EndpointRow) -> Option<u64> {
+fn reported_pace(e: &EndpointRow) -> Option<u64> {
     e.reported_pace
         .latest()
         .map(|(pace, _)| (100.0 * pace).round() as u64)
--- a/crates/firdock-node/src/telemetry/state_changes.rs
+++ b/crates/firdock-node/src/telemetry/state_changes.rs
@@ -45,8 +45,8 @@
 
     /// Logs what changed since the last call.
     pub fn record(&mut self, now: Time, t: &Tables) {
-        self.note_version(now, t.version);
-        self.note_freshness(now, t);
+        self.record_version(now, t.version);
+        self.record_freshness(now, t);
         let present = t.endpoints.iter().filter(|(_, e)| e.present);
         let rows = present.map(|(at, e)| (at, &*e.declared.name, EndpointStatus::new(now, e)));
         let changes = self.endpoints.update(rows);
@@ -60,7 +60,7 @@
         self.write_peers(now, &changes);
     }
 
-    fn note_version(&mut self, now: Time, version: Version) {
+    fn record_version(&mut self, now: Time, version: Version) {
         let before = std::mem::replace(&mut self.version, version);
         if version != before {
             let (is, before) = (version.to_string(), before.to_string());
@@ -68,7 +68,7 @@
         }
     }
 
-    fn note_freshness(&mut self, now: Time, t: &Tables) {
+    fn record_freshness(&mut self, now: Time, t: &Tables) {
         let Some(until) = t.config_valid_until() else {
             return;
         };
--- a/crates/firdock-node/src/telemetry/suspects.rs
+++ b/crates/firdock-node/src/telemetry/suspects.rs
@@ -17,7 +17,7 @@
 
 /// One exit of an endpoint, as shown to operators.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EndState {
+pub struct ExitState {
     /// Start id of the endpoint that exited.
     pub endpoint: StartId,
     /// Time since the exit.
@@ -36,12 +36,12 @@
     /// Whether it is not dispatched until an operator releases it.
     pub quarantined: bool,
     /// The exits that count towards the quarantine.
-    pub ends: Vec<EndState>,
+    pub ends: Vec<ExitState>,
 }
 
 impl SuspectState {
     fn new(now: Time, suspect: &Suspect) -> Self {
-        let end = |e: &&firdock_policy::table::suspects::Exit| EndState {
+        let end = |e: &&firdock_policy::table::suspects::Exit| ExitState {
             endpoint: e.start.clone(),
             age_millis: millis(now.saturating_sub(e.at)),
         };
@@ -81,7 +81,7 @@
     log: Logger,
     limiter: Arc<LogLimiter>,
     metrics: Arc<Metrics>,
-    noted: Revision,
+    last_revision: Revision,
     quarantined: Vec<ContentId>,
 }
 
@@ -93,7 +93,7 @@
             log,
             limiter,
             metrics,
-            noted: Revision::default(),
+            last_revision: Revision::default(),
             quarantined: Vec::new(),
         }
     }
@@ -102,7 +102,7 @@
     /// call, or `None` if nothing changed.
     pub fn record(&mut self, now: Time, t: &Tables) -> Option<Vec<ContentId>> {
         let revision = t.suspects.revision();
-        if std::mem::replace(&mut self.noted, revision) == revision {
+        if std::mem::replace(&mut self.last_revision, revision) == revision {
             return None;
         }
         let counts = t.suspects.iter().filter(|s| !s.counted().is_empty());
@@ -116,24 +116,24 @@
     }
 
     /// Logs that this instance quarantined a request, with the exits that caused it.
-    pub fn quarantined(&self, now: Time, told: &SuspectReport) {
+    pub fn quarantined(&self, now: Time, report: &SuspectReport) {
         if !self.limiter.allow(&self.log, now, LogKind::Quarantine) {
             return;
         }
-        let counting = told.exits.iter().filter(|e| !e.void);
+        let counting = report.exits.iter().filter(|e| !e.void);
         let ends: Vec<String> = counting
             .map(|e| format!("{} {} ms ago", e.start, millis(e.ended_ago)))
             .collect();
-        warn!(self.log, "request quarantined"; "content" => told.content.id.to_string(),
-            "account" => &told.account, "service" => &told.service,
-            "path" => &*told.content.path, "ends" => ends.join("; "));
+        warn!(self.log, "request quarantined"; "content" => report.content.id.to_string(),
+            "account" => &report.account, "service" => &report.service,
+            "path" => &*report.content.path, "ends" => ends.join("; "));
     }
 
     /// Returns the requests that are no longer quarantined, and logs each.
     fn released(&mut self, now: Time, states: &SuspectStates) -> Vec<ContentId> {
-        let held = states.iter().filter(|(_, s)| s.quarantined);
-        let held: Vec<ContentId> = held.map(|(id, _)| *id).collect();
-        let mut out = std::mem::replace(&mut self.quarantined, held);
+        let now_quarantined = states.iter().filter(|(_, s)| s.quarantined);
+        let now_quarantined: Vec<ContentId> = now_quarantined.map(|(id, _)| *id).collect();
+        let mut out = std::mem::replace(&mut self.quarantined, now_quarantined);
         out.retain(|id| !self.quarantined.contains(id));
         for id in &out {
             if self.limiter.allow(&self.log, now, LogKind::Quarantine) {
