--- a/crates/firdock-node/src/exchange/budget.rs
+++ b/crates/firdock-node/src/exchange/budget.rs
@@ -195,7 +195,7 @@
         self.inner.end_cut(cut, Cause::Budget, held);
     }
 
-    pub(super) fn take(&self, bytes: usize) {
+    pub(super) fn consume(&self, bytes: usize) {
         let mut state = self.inner.lock();
         state
             .buffers
--- a/crates/firdock-node/src/exchange/queue.rs
+++ b/crates/firdock-node/src/exchange/queue.rs
@@ -233,7 +233,7 @@
         drop(state);
         self.queue.freed.notify_waiters();
         if let Some(reservation) = &self.reservation {
-            reservation.take(cost(&part));
+            reservation.consume(cost(&part));
         }
         Poll::Ready(Some(part))
     }
--- a/src/timeline.rs
+++ b/src/timeline.rs
@@ -1,27 +1,28 @@
-//! The story of one request, put together from the log lines of all instances.
+//! The timeline of one request, assembled from the log lines of all instances.
 //!
-//! Lines may be cut, mixed with others or out of order; what is no line of firdock is passed over.
+//! Lines may be truncated, mixed with other output or out of order; anything that is not a log line of firdock
+//! is ignored.
 
 use std::collections::BTreeSet;
 
 use serde_json::{Map, Value};
 
-/// Fields that every line has and the story shows apart, or not at all.
-const SHOWN_APART: [&str; 6] = ["ts", "instance", "msg", "level", "part", "request_id"];
-/// Seconds before the first line of a request in which beliefs about its endpoints belong to it.
+/// Fields that every line has and the timeline shows separately, or not at all.
+const SHOWN_SEPARATELY: [&str; 6] = ["ts", "instance", "msg", "level", "part", "request_id"];
+/// Time in seconds before the first line of a request from which state changes of its endpoints are included.
 const BEFORE_SECS: f64 = 10.0;
 
-/// Lines on a request that came into quarantine, or out of it.
+/// Messages of the lines on a request that was quarantined or released.
 const QUARANTINE: [&str; 2] = ["request quarantined", "request out of quarantine"];
 
-/// One line of a log.
+/// One log line.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Line {
     fields: Map<String, Value>,
 }
 
 impl Line {
-    /// Reads a line; whatever stands before its first brace is passed over.
+    /// Parses a line, ignoring anything before its first brace.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         let start = text.find('{')?;
@@ -30,25 +31,25 @@
         known.then_some(Self { fields })
     }
 
-    /// Gives a field's text; empty where it has none.
+    /// Returns the text of a field; empty if the field is absent or not a string.
     #[must_use]
     pub fn text(&self, name: &str) -> &str {
         self.fields.get(name).and_then(Value::as_str).unwrap_or("")
     }
 
-    /// Gives a field's number.
+    /// Returns the number in a field.
     #[must_use]
     pub fn number(&self, name: &str) -> Option<f64> {
         self.fields.get(name).and_then(Value::as_f64)
     }
 
-    /// Tells whether a field is true.
+    /// Returns whether a field is true.
     #[must_use]
     pub fn flag(&self, name: &str) -> bool {
         self.fields.get(name) == Some(&Value::Bool(true))
     }
 
-    /// Gives the second of the day, by which lines of one day are put in order.
+    /// Returns the second of the day, by which lines of one day are sorted.
     #[must_use]
     pub fn second(&self) -> f64 {
         let time = self.text("ts").split_once('T').map_or("", |(_, t)| t);
@@ -62,7 +63,7 @@
         self.text("request_id") == id || self.text("call") == id
     }
 
-    /// Writes the line for people: when, where, what, then the inputs.
+    /// Formats the line for people: time, instance and message, then the other fields.
     #[must_use]
     pub fn describe(&self) -> String {
         let mut text = format!(
@@ -72,7 +73,7 @@
             self.text("msg")
         );
         for (name, value) in &self.fields {
-            if SHOWN_APART.contains(&name.as_str()) || value.is_null() {
+            if SHOWN_SEPARATELY.contains(&name.as_str()) || value.is_null() {
                 continue;
             }
             let value = value
@@ -84,10 +85,10 @@
     }
 }
 
-/// Gives the lines about a request, in order, by the id that firdock or the caller gave it.
+/// Returns the lines about a request in order, found by the id that firdock or the caller gave it.
 ///
-/// With them come what the same instances believed of its endpoints and of their configuration
-/// shortly before and during it, and their words on lines left out.
+/// They include the same instances' state changes of its endpoints and of the configuration shortly before and
+/// during the request, and the lines on suppressed lines.
 #[must_use]
 pub fn request_timeline(lines: &[Line], id: &str) -> Vec<Line> {
     let named: Vec<&Line> = lines.iter().filter(|l| l.is_about(id)).collect();
@@ -104,10 +105,10 @@
         .map(|name| format!("endpoint {name}"))
         .collect();
     let contents: BTreeSet<&str> = named.iter().map(|l| l.text("content")).collect();
-    // Whoever saw it, and however long before: it holds until an operator lets the request go.
+    // From all instances and however long before, since a quarantine lasts until an operator releases the request.
     let quarantine = lines.iter().filter(|l| {
-        let told = QUARANTINE.contains(&l.text("msg"));
-        told && l.second() <= last + 1.0 && contents.contains(l.text("content"))
+        let is_quarantine = QUARANTINE.contains(&l.text("msg"));
+        is_quarantine && l.second() <= last + 1.0 && contents.contains(l.text("content"))
     });
     let around = lines.iter().filter(|l| {
         let near = (first - BEFORE_SECS..=last + 1.0).contains(&l.second());
@@ -119,14 +120,14 @@
     timeline.into_iter().cloned().collect()
 }
 
-/// Gives the endpoints that a line is about, and those that were passed over for what they said.
+/// Returns the endpoint that a line is about, and the endpoints that were skipped as unavailable.
 fn endpoints_of(line: &Line) -> impl Iterator<Item = &str> {
     let passed_over = line.text("passed_over").split("; ");
     let named = passed_over.filter_map(|why| Some(why.split_once(": ")?.0));
     named.chain([line.text("endpoint")])
 }
 
-/// Tells whether a line may explain what became of requests that go to these endpoints.
+/// Returns whether a line may explain the outcome of requests that were sent to these endpoints.
 fn is_background(line: &Line, endpoints: &BTreeSet<String>) -> bool {
     match line.text("msg") {
         "belief changed" => {
