--- a/crates/firdock-node/src/source.rs
+++ b/crates/firdock-node/src/source.rs
@@ -207,7 +207,7 @@
 
     /// Stores records that were applied here, and sends the changes to the other instances.
     ///
-    /// `read_here` says whether this instance read them from the store itself.
+    /// `read_locally` says whether this instance read them from the store itself.
     pub fn apply_records(&self, records: &TopicRecords, read_locally: bool) {
         if let Some(records) = self.reads.apply_records(records) {
             // If the queue is full, the peers that miss the changes request them.
