--- a/crates/firdock-node/src/config/changes.rs
+++ b/crates/firdock-node/src/config/changes.rs
@@ -1,4 +1,4 @@
-//! The latest changes, for operators who watch.
+//! The latest changes of the configuration, for watches by operators.
 
 use std::collections::VecDeque;
 
@@ -7,83 +7,84 @@
 use firdock_state::State;
 use serde::Serialize;
 
-/// Changes that are kept; a watcher that is further behind reads everything anew.
+/// Number of retained changes; a watcher that is further behind has to read all resources again.
 const MAX_CHANGES: usize = 4_096;
 
-/// One change that came into force.
+/// One change that is in force.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct ChangeNote {
-    /// Version that it made.
+pub struct ConfigChange {
+    /// Version that the change created.
     pub version: Version,
-    /// Resource that was changed.
+    /// Key of the changed resource.
     pub key: ResourceKey,
-    /// New content; `None` where the resource was deleted.
+    /// New content; `None` if the resource was deleted.
     pub resource: Option<Resource>,
 }
 
 /// The latest changes in the order of their versions.
 #[derive(Debug, Default)]
 pub struct Changes {
-    notes: VecDeque<ChangeNote>,
-    /// Version up to which changes are not kept.
+    retained: VecDeque<ConfigChange>,
+    /// Version up to which changes are no longer retained.
     floor: Version,
-    /// Version with which this instance started: it saw no deletion up to there.
+    /// Version with which this instance started: it did not see the deletions up to this version.
     start: Version,
 }
 
 impl Changes {
-    /// Notes what differs between two states that follow each other.
-    pub fn note(&mut self, old: &State, new: &State) {
+    /// Records the differences between two successive states.
+    pub fn record(&mut self, old: &State, new: &State) {
         if old.next == 0 {
             self.start = new.version;
         }
-        let mut notes: Vec<ChangeNote> = changed(old, new).collect();
-        notes.extend(deleted(old, new));
-        notes.sort_by_key(|n| n.version);
-        self.notes.extend(notes);
-        while self.notes.len() > MAX_CHANGES {
-            if let Some(dropped) = self.notes.pop_front() {
+        let mut changes: Vec<ConfigChange> = changed(old, new).collect();
+        changes.extend(deleted(old, new));
+        changes.sort_by_key(|c| c.version);
+        self.retained.extend(changes);
+        while self.retained.len() > MAX_CHANGES {
+            if let Some(dropped) = self.retained.pop_front() {
                 self.floor = dropped.version;
             }
         }
     }
 
-    /// Gives the changes after a version; `None` where some of them are not kept, or were never seen.
+    /// Returns the changes after a version; `None` if some of them are no longer retained or were never seen.
     ///
-    /// A watcher that starts from nothing misses no deletion, so it gets all that is in force.
+    /// A watcher that starts from version 0 has no resources whose deletion it could miss, so it gets the
+    /// whole configuration in force.
     #[must_use]
-    pub fn after(&self, version: Version) -> Option<Vec<ChangeNote>> {
+    pub fn after(&self, version: Version) -> Option<Vec<ConfigChange>> {
         let known = version >= self.floor && (version == 0 || version >= self.start);
         known.then(|| {
-            self.notes
+            self.retained
                 .iter()
-                .filter(|n| n.version > version)
+                .filter(|c| c.version > version)
                 .cloned()
                 .collect()
         })
     }
 }
 
-fn changed<'a>(old: &'a State, new: &'a State) -> impl Iterator<Item = ChangeNote> + 'a {
+fn changed<'a>(old: &'a State, new: &'a State) -> impl Iterator<Item = ConfigChange> + 'a {
     let differs = |e: &(&ResourceKey, &firdock_state::Entry)| old.version_of(e.0) != e.1.version;
     new.entries
         .iter()
         .filter(differs)
-        .map(|(key, e)| ChangeNote {
+        .map(|(key, e)| ConfigChange {
             version: e.version,
             key: key.clone(),
             resource: Some(e.resource.clone()),
         })
 }
 
-/// Gives deletions; their own versions are not kept, so they count as made by the newest one.
-fn deleted<'a>(old: &'a State, new: &'a State) -> impl Iterator<Item = ChangeNote> + 'a {
+/// Returns the deletions. The state does not have their own versions, so they get the newest version.
+fn deleted<'a>(old: &'a State, new: &'a State) -> impl Iterator<Item = ConfigChange> + 'a {
     let gone = |key: &&ResourceKey| !new.entries.contains_key(*key);
     let version = new.version;
-    let note = move |key: &ResourceKey| ChangeNote {
+    let deletion = move |key: &ResourceKey| ConfigChange {
         version,
         key: key.clone(),
         resource: None,
     };
-    old.entries.keys().filter(gone).map(note)
+    old.entries.keys().filter(gone).map(deletion)
 }
--- a/crates/firdock-node/src/instance.rs
+++ b/crates/firdock-node/src/instance.rs
@@ -1,6 +1,6 @@
-//! Putting the parts of an entry instance together, and stopping them in order.
+//! Assembly of the components of an entry instance, and their orderly shutdown.
 
-mod parts;
+mod components;
 mod start;
 
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
 pub use self::start::StartError;
 pub(crate) use self::start::{AbortOnPanic, ListenSnafu, UnsetSnafu, open};
 
-use self::parts::Parts;
+use self::components::Components;
 use self::start::spawn_driver;
 use crate::config::Hub;
 use crate::http::{ServerOptions, serve};
@@ -26,12 +26,12 @@
 use crate::peer::{PeerServer, SelfStatus, run_heartbeats, serve_peers};
 use crate::telemetry::discard_logger;
 
-/// Time in which the balancer notices that a stopping instance is not ready any more.
+/// Time for the load balancer to notice that a stopping instance is not ready any more.
 const BALANCER_TIME: Duration = Duration::from_millis(1_500);
-/// Time for the leave record to be written before the threads end.
+/// Maximum wait for the leave record to be in force before the threads are stopped.
 const LEAVE_TIME: Duration = Duration::from_secs(2);
 
-/// An entry instance that is to be started.
+/// An entry instance that is not started yet.
 #[derive(Debug)]
 pub struct Instance {
     settings: Settings,
@@ -41,9 +41,9 @@
 /// A running entry instance.
 #[derive(Debug)]
 pub struct Running {
-    /// Address of the callers' door.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Address of the resource API.
+    /// Address of the resource API for operators.
     pub operators: SocketAddr,
     /// Address for peers.
     pub peers: SocketAddr,
@@ -60,7 +60,7 @@
 }
 
 impl Instance {
-    /// Makes an instance from checked settings.
+    /// Creates an instance from checked settings.
     #[must_use]
     pub fn new(settings: Settings) -> Self {
         Self {
@@ -76,14 +76,14 @@
         self
     }
 
-    /// Starts the instance on the present runtime.
+    /// Starts the instance on the current runtime.
     ///
     /// # Errors
     ///
     /// Fails if an address cannot be listened on or a thread cannot be started.
     pub fn start(self) -> Result<Running, StartError> {
         let s = &self.settings;
-        let parts = Parts::new(s, &self.log)?;
+        let components = Components::new(s, &self.log)?;
         let ingress_socket = open(s.instance.callers, "instance.callers")?;
         let peer_socket = open(s.instance.peers, "instance.peers")?;
         let callers = ingress_socket
@@ -98,50 +98,50 @@
         let (self_status, self_status_seen) = watch::channel(SelfStatus::default());
 
         let mut threads = Vec::new();
-        let driver = parts.driver(&inputs, self_status, drained);
+        let driver = components.driver(&inputs, self_status, drained);
         threads.push(spawn_driver(driver, waiting, rest_stops.clone())?);
-        threads.extend(parts.platform_threads(&inputs)?);
+        threads.extend(components.platform_threads(&inputs)?);
         tokio::spawn(
-            parts
+            components
                 .clone()
                 .watch_endpoints(inputs.clone(), rest_stops.clone()),
         );
 
         let heartbeat = s.peers.heartbeat();
-        let beating = run_heartbeats(
-            parts.dialer.clone(),
+        let heartbeats = run_heartbeats(
+            components.dialer.clone(),
             self_status_seen,
             heartbeat,
-            parts.clock,
+            components.clock,
             rest_stops.clone(),
             self.log.clone(),
         );
-        tokio::spawn(beating);
+        tokio::spawn(heartbeats);
         let server = PeerServer {
-            dialer: parts.dialer.clone(),
+            dialer: components.dialer.clone(),
             inputs: inputs.clone(),
-            clock: parts.clock,
+            clock: components.clock,
             log: self.log.clone(),
-            answer_budget: parts.answer_budget.clone(),
+            answer_budget: components.answer_budget.clone(),
         };
         let operators_stop = rest_stops.clone();
         tokio::spawn(serve_peers(peer_socket, server, rest_stops));
 
-        let ingress = parts.ingress(inputs.clone());
+        let ingress = components.ingress(inputs.clone());
         let options = ServerOptions::new(&s.limits);
         let ingress = serve(ingress_socket, options, ingress_stops, move |r| {
             ingress.clone().handle(r)
         });
         let ingress = tokio::spawn(ingress);
-        let operators = parts.operators(inputs.clone(), operators_stop)?;
+        let operators = components.operators(inputs.clone(), operators_stop)?;
         info!(self.log, "started"; "callers" => callers.to_string(),
             "operators" => operators.to_string(), "peers" => peers.to_string());
         Ok(Running {
             callers,
             operators,
             peers,
-            hub: parts.hub,
-            member: parts.member,
+            hub: components.hub,
+            member: components.member,
             inputs,
             drained: drain_seen,
             ingress,
@@ -155,7 +155,8 @@
 }
 
 impl Running {
-    /// Stops in order: readiness off, held requests to peers, streams finished, threads ended.
+    /// Stops in order: reports not ready, hands held requests over to peers, finishes running answers, and
+    /// ends the threads.
     pub async fn stop(mut self) {
         info!(self.log, "stopping");
         self.hub.update(|h| h.stopping = true);
@@ -170,7 +171,7 @@
         }
         self.stop_ingress.send_replace(true);
         let _ = timeout(self.stop_time, &mut self.ingress).await;
-        self.wait_until_left().await;
+        self.wait_for_leave_record().await;
         self.hub.close();
         self.stop_rest.send_replace(true);
         let threads = std::mem::take(&mut self.threads);
@@ -183,8 +184,8 @@
         info!(self.log, "stopped");
     }
 
-    /// Waits a little for this instance's leave record to be in force.
-    async fn wait_until_left(&self) {
+    /// Waits for this instance's leave record to be in force, for a limited time.
+    async fn wait_for_leave_record(&self) {
         let (hub, me) = (Arc::clone(&self.hub), self.member.incarnation);
         let left = move || {
             let gone = |h: &crate::config::HubState| {
--- a/crates/firdock-node/src/instance/parts.rs
+++ b/crates/firdock-node/src/instance/components.rs
@@ -1,4 +1,4 @@
-//! The parts of an entry instance, each made from what all of them share.
+//! Construction of the components of an entry instance from their shared state.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
 use super::start::{ListenSnafu, StartError, UnsetSnafu, spawn};
 use crate::answer_cache::AnswerCache;
 use crate::clock::Clock;
-use crate::config::{DutySettings, FollowParts, Hub, follow, watch_list};
+use crate::config::{FollowParts, Hub, RecordSettings, follow, watch_list};
 use crate::driver::{Driver, DriverParts};
 use crate::endpoint::run::DispatchLimits;
 use crate::endpoint::{DirectDispatcher, HttpEngine, HttpPlain, Target, poll_reports};
@@ -33,12 +33,12 @@
 use crate::source::PendingRecords;
 use crate::telemetry::{LogLimiter, Metrics};
 
-/// Pause between two looks at which endpoints there are.
-const ENDPOINTS_PAUSE: Duration = Duration::from_millis(200);
+/// Interval between two checks of which endpoints are in force.
+const ENDPOINT_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What the parts of an instance share.
+/// State shared by the components of an instance.
 #[derive(Debug, Clone)]
-pub struct Parts {
+pub struct Components {
     settings: Arc<Settings>,
     pub member: Member,
     pub clock: Clock,
@@ -55,8 +55,8 @@
     log_limiter: Arc<LogLimiter>,
 }
 
-impl Parts {
-    /// Makes what is shared, for a new start of the process.
+impl Components {
+    /// Creates the shared state, with a new incarnation id for this start of the process.
     pub fn new(s: &Settings, log: &Logger) -> Result<Self, StartError> {
         let hub = Arc::new(Hub::default());
         let log_at = s.platform.log.context(UnsetSnafu {
@@ -99,7 +99,7 @@
         })
     }
 
-    /// Makes the owner of the scheduler's tables.
+    /// Creates the driver, which owns the scheduler's tables.
     pub fn driver(
         &self,
         inputs: &mpsc::Sender<Input>,
@@ -123,7 +123,7 @@
             runtime: Handle::current(),
             inputs: inputs.clone(),
             self_status,
-            // Orders come from a platform's source, which keeps their state.
+            // Only a platform's source orders roll-outs and stores their states; this instance has none.
             records: watch::channel(PendingRecords::default()).0,
             drained,
         };
@@ -146,7 +146,7 @@
             log: self.log.clone(),
             pause: self.settings.platform.read(),
             member: self.member.clone(),
-            duties: DutySettings {
+            record_settings: RecordSettings {
                 silence: self.settings.peers.stale_after(),
                 retention: self.settings.platform.retention(),
             },
@@ -163,7 +163,7 @@
         Ok([log_thread, spawn("instances", watching)?])
     }
 
-    /// Makes the callers' door.
+    /// Creates the ingress.
     pub fn ingress(&self, inputs: mpsc::Sender<Input>) -> Ingress<NativeInterface> {
         let limits = IngressLimits::new(&self.settings.limits);
         Ingress::new(
@@ -178,7 +178,7 @@
         .with_answer_budget(self.answer_budget.clone())
     }
 
-    /// Serves the resource API; gives its address.
+    /// Serves the resource API; returns its address.
     pub fn operators(
         &self,
         inputs: mpsc::Sender<Input>,
@@ -204,7 +204,7 @@
         serve_operators(address, server, stop).context(ListenSnafu { address })
     }
 
-    /// Keeps one task for each endpoint in force that reads its reports.
+    /// Runs one task for each endpoint in force that polls its reports.
     pub async fn watch_endpoints(
         self,
         inputs: mpsc::Sender<Input>,
@@ -233,7 +233,7 @@
                     (location.address, tokio::spawn(watching))
                 });
             }
-            let stopped = timeout(ENDPOINTS_PAUSE, stop.wait_for(|s| *s)).await;
+            let stopped = timeout(ENDPOINT_CHECK_INTERVAL, stop.wait_for(|s| *s)).await;
             if stopped.is_ok() {
                 break;
             }
