--- a/crates/firdock-node/src/peer.rs
+++ b/crates/firdock-node/src/peer.rs
@@ -1,7 +1,8 @@
-//! Links between instances: who a peer is, heartbeats, hand-over and state.
+//! Communication between instances: authentication, heartbeats, request hand-over and state
+//! transfer.
 //!
-//! Each hand-over has a connection of its own, so that a slow reader holds up nothing but itself
-//! and closing the connection cancels the request (see `docs/design/peers.md`).
+//! Each hand-over uses its own connection, so that a slow reader blocks no other request and
+//! closing the connection cancels the request (see `docs/design/peers.md`).
 
 mod beacon;
 mod book;
@@ -42,7 +43,7 @@
 
 use std::time::Duration;
 
-/// Largest frame between peers: a request with its body.
+/// Maximum size of a frame between peers; a frame may carry a request with its body.
 pub const MAX_FRAME_BYTES: usize = 16 << 20;
-/// Time for a connection to a peer and its handshake.
+/// Timeout for connecting to a peer and completing the handshake.
 pub const HANDSHAKE_TIME: Duration = Duration::from_secs(1);
--- a/crates/firdock-node/src/peer/beacon.rs
+++ b/crates/firdock-node/src/peer/beacon.rs
@@ -1,8 +1,9 @@
-//! Heartbeats by datagram, between instances that know each other by address alone.
+//! Exchange of heartbeats over UDP. Each datagram is called a beacon.
 //!
-//! A datagram that is lost costs nothing, for the next one tells the same totals; a link that was
-//! cut silently cannot hang. Each tells of the other instances that its sender knows, so that one
-//! known address is enough to find all (see `docs/design/peers.md`).
+//! Beacons carry running totals, so the next one makes up for a lost one, and there is no
+//! connection that can hang after a silent network failure. A beacon also lists other instances
+//! that its sender knows, so that one reachable address is enough to discover all instances (see
+//! `docs/design/peers.md`).
 
 mod answer;
 mod due;
@@ -44,71 +45,73 @@
 use crate::clock::Clock;
 use crate::input::Input;
 
-/// Longest datagram that is taken.
+/// Maximum size of a received datagram.
 const MAX_DATAGRAM_BYTES: usize = 60 << 10;
-/// Instances told of in one beacon; over several, chance tells of all.
+/// Maximum number of other instances listed in one beacon. The selection is random, so that all are
+/// listed over several beacons.
 const MAX_TOLD: usize = 16;
-/// Ticks between two beacons that tell of other instances: these come and go seldom, and the bytes
-/// between availability zones are paid for.
+/// Ticks between two beacons that list other instances. Membership changes rarely, and traffic
+/// between availability zones is billed.
 const TELL_EVERY: usize = 5;
-/// Ticks after which the instances heard are taken for all, though none were listed.
+/// Ticks after which the known instances are assumed to be complete even if no list was received.
 const LIST_TICKS: usize = 10;
 
-/// Records that this instance took, for its peers.
+/// Store records that this instance applied, to be forwarded to its peers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AppliedRecords {
-    /// The records.
+    /// Records.
     pub records: TopicRecords,
-    /// Whether it read them itself; what a peer told is passed on by those that lead alone.
+    /// Whether this instance read them from the store itself. Records received from a peer are
+    /// forwarded by group leads only.
     pub read_locally: bool,
 }
 
-/// What the lead of a group tells of it.
+/// Group-wide totals that the lead of a group reports.
 #[derive(Debug, Default)]
 struct LeadWord {
-    /// Instances of the group that it hears.
+    /// Live instances of the group.
     group_live: usize,
-    /// Instances of all groups that their leads hear.
+    /// Live instances of all groups, as reported by their leads.
     site_live: usize,
-    /// The same of those that it knows of, heard or not.
+    /// Known instances of the group and of all groups, whether live or not.
     group_size: usize,
     site_size: usize,
-    /// Demand of the group.
+    /// Demand of the group, by pool.
     group_demand: Vec<PoolDemand>,
-    /// What the group saw of roll-outs.
+    /// Roll-out evidence that the group collected.
     group_seen: Vec<Evidence>,
-    /// What endpoints did for accounts by what the group placed.
+    /// Work that endpoints did for client accounts on requests that the group placed.
     group_work: Vec<AccountWork>,
 }
 
-/// What sending and taking beacons needs.
+/// Sends and receives beacons.
 #[derive(Debug)]
 pub struct BeaconService {
-    /// Socket for both.
+    /// UDP socket, used for both directions.
     pub socket: Arc<UdpSocket>,
-    /// This instance and this start of it.
+    /// Name and incarnation of this instance.
     pub member: Member,
-    /// Key that all instances share.
+    /// Key shared by all instances.
     pub key: Arc<[u8]>,
-    /// The other instances.
+    /// Other instances.
     pub directory: Arc<PeerDirectory>,
-    /// What this instance read of the platform's store, with what peers told of theirs.
+    /// Read state of the platform's store, from own reads and from peers' reports.
     pub reads: Arc<SharedReads>,
-    /// What this instance tells of itself.
+    /// Status that this instance reports to its peers.
     pub self_status: watch::Receiver<SelfStatus>,
-    /// Changes in the platform's store that this instance took, for its peers.
+    /// Store changes that this instance applied, to be forwarded to its peers.
     pub changes: mpsc::Receiver<AppliedRecords>,
-    /// Instances that are asked first at the start.
+    /// Addresses of the instances to query first at start.
     pub seeds: Vec<SocketAddr>,
-    /// Counts of what all instances let pass of limits, where this one leads.
+    /// Aggregated use of account limits, maintained while this instance leads a group.
     pub sums: Mutex<UseAggregator>,
-    /// Answers of which parts came.
+    /// Replies that were received in part.
     pub partial_replies: Mutex<PartialReplies>,
-    /// Way to the scheduler.
+    /// Queue of inputs to the scheduler.
     pub inputs: mpsc::Sender<Input>,
-    /// Pause between two beacons.
+    /// Interval between two beacons.
     pub interval: Duration,
-    /// Link of this instance, in Mbit/s; 0 where that is not known.
+    /// Bandwidth of this instance's network link in Mbit/s; 0 if unknown.
     pub link_mbits: f64,
     /// Clock.
     pub clock: Clock,
@@ -117,7 +120,8 @@
 }
 
 impl BeaconService {
-    /// Sends and takes beacons until `stop` turns true; a last one tells that this instance ends.
+    /// Sends and receives beacons until `stop` turns true. A last beacon announces that this
+    /// instance stops.
     pub async fn run(mut self, mut stop: watch::Receiver<bool>) {
         let mut ticks = interval(self.interval);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -177,7 +181,7 @@
         self.send_at_once().await;
     }
 
-    /// Tells the scheduler how many instances are known of, when that changed.
+    /// Reports the number of known instances to the scheduler if it changed.
     async fn count(&self, before: Option<usize>) -> Option<usize> {
         let known = Some(self.directory.sweep(self.clock.now()));
         if let Some(count) = known.filter(|_| known != before) {
@@ -202,8 +206,8 @@
         self.send_far(&due.far).await;
     }
 
-    /// Sends the beacons to instances far away that lead nothing, which need to know little of this one:
-    /// the leads of their groups tell them the rest, and bytes between zones are paid for.
+    /// Sends short beacons to peers of other groups that are no leads. The leads of their groups
+    /// forward the rest, and traffic between availability zones is billed.
     async fn send_far(&self, peers: &[PeerRecord]) {
         if peers.is_empty() {
             return;
@@ -216,15 +220,15 @@
         self.send_sealed(peers, beacon).await;
     }
 
-    /// Sends beacons at a start or an end, which those that need to know hear of at once.
+    /// Announces a start or a stop at once to the peers that depend on it.
     async fn send_at_once(&self) {
         let due = PeersDue::at_once(&self.directory, self.clock.now());
         self.send_all(&due.same_group, &[], &ToldUse::Nothing).await;
         self.send_all(&due.leads, &[], &ToldUse::Nothing).await;
     }
 
-    /// Tells the scheduler whether this instance decides on roll-outs, when that changed: it leads the
-    /// site, as far as it hears.
+    /// Tells the scheduler whether this instance decides on roll-outs, if that changed. The site
+    /// lead decides, as far as this instance can tell from the live instances.
     async fn tell_decides(&self, before: Option<bool>) -> Option<bool> {
         let decides = self.directory.read_turn(self.clock.now()).role == ReadRole::SiteLead;
         if before != Some(decides) {
@@ -233,9 +237,9 @@
         Some(decides)
     }
 
-    /// Sends beacons where a roll-out went on or an endpoint ended under a request, if this instance saw
-    /// that itself or tells its group: a version that was found bad, or such a request, should get nothing
-    /// any more, wherever that is not known yet.
+    /// Sends beacons after a roll-out changed its stage or an endpoint exited during a request, if
+    /// this instance observed that itself or reports for its group. Peers that have not learned of
+    /// it yet would still dispatch to a bad version, or dispatch such a request again.
     async fn send_step(&self, own: bool) {
         if own || self.directory.is_reporter(self.clock.now()) {
             self.send_at_once().await;
@@ -248,7 +252,8 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sends a beacon that tells of `heard` and of what was used; where nobody gets it, none is made.
+    /// Sends a beacon that lists `heard` and includes the use of limits; builds none if there are
+    /// no receivers.
     async fn send_all(&self, peers: &[PeerRecord], heard: &[PeerRecord], used: &ToldUse) {
         if peers.is_empty() {
             return;
@@ -257,7 +262,8 @@
         self.send_sealed(peers, beacon).await;
     }
 
-    /// Sends a beacon to an instance that was not heard before: what it may have missed goes with it.
+    /// Sends a beacon to an instance on first contact, including the updates that it may have
+    /// missed.
     async fn send_first(&self, peer: &PeerRecord) {
         let full = self.self_status.borrow().in_full();
         let beacon = Beacon {
@@ -274,13 +280,13 @@
         }
     }
 
-    /// Tells changes in the platform's store to the peers that rely on this instance for them.
+    /// Forwards store changes to the peers that rely on this instance for them.
     async fn tell_changes(&self, taken: &AppliedRecords) {
         let now = self.clock.now();
         if !taken.read_locally && !self.directory.is_lead(now) {
             return;
         }
-        // What is too long for a datagram is asked for, or read.
+        // Peers query changes that exceed a datagram, or read them from the store.
         let Some(body) = records_body(&self.member, &taken.records) else {
             return;
         };
@@ -336,7 +342,7 @@
         beacon
     }
 
-    /// Makes a beacon that tells that this instance is there, what it knows of the store and its demand.
+    /// Builds a beacon that contains only this instance's presence, read state and demand.
     fn short_beacon(&self) -> Beacon {
         let self_status = self.self_status.borrow();
         Beacon {
@@ -350,7 +356,8 @@
         }
     }
 
-    /// Gives what this instance tells of its group, nothing where it does not lead one or is to stop.
+    /// Returns the totals of this instance's group; empty if it does not report for a group or is
+    /// draining.
     fn lead_word(&self, now: Time, self_status: &SelfStatus) -> LeadWord {
         if self.directory.is_single_group()
             || self_status.draining
@@ -374,17 +381,17 @@
     }
 
     async fn pass(&self, input: Input) {
-        // Without a scheduler the instance is stopping, and this task with it.
+        // Sending fails only if the scheduler ended, in which case this task is stopped as well.
         let _ = self.inputs.send(input).await;
     }
 }
 
-/// What is told at once when it changes.
+/// State whose changes are sent at once.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 struct Steps {
-    /// How far roll-outs are, by their orders.
+    /// Stage of each roll-out, by its order.
     stages: Vec<(Offset, Stage)>,
-    /// How often what is known of requests under which endpoints ended has changed.
+    /// Revision of the requests during which endpoints exited.
     suspected: Revision,
 }
 
@@ -397,7 +404,7 @@
     }
 }
 
-/// Waits until things are not any more as they were `told`; gives how they are.
+/// Waits until the state differs from `told` and returns the new state.
 async fn new_steps(self_status: &mut watch::Receiver<SelfStatus>, told: &Steps) -> Option<Steps> {
     let self_status = self_status
         .wait_for(|self_status| Steps::new(self_status) != *told)
@@ -405,7 +412,7 @@
     self_status.ok().map(|self_status| Steps::new(&self_status))
 }
 
-/// Waits until `due`; for ever where nothing is.
+/// Waits until `due`, or forever if it is `None`.
 async fn sleep_until_due(due: Option<Time>, now: Time) {
     match due {
         Some(due) => sleep(due.saturating_sub(now)).await,
@@ -414,15 +421,15 @@
 }
 
 async fn stopped(stop: &mut watch::Receiver<bool>) {
-    // An error means that whoever would stop this is gone, which ends it as well.
+    // An error means that the sender was dropped, which stops this task as well.
     let _ = stop.wait_for(|s| *s).await;
 }
 
-/// Opens the socket for beacons.
+/// Binds the UDP socket for beacons.
 ///
 /// # Errors
 ///
-/// Returns the operating system's error, such as an address in use.
+/// Returns the error of the operating system, such as an address in use.
 pub async fn bind_socket(address: SocketAddr) -> io::Result<UdpSocket> {
     UdpSocket::bind(address).await
 }
--- a/crates/firdock-node/src/peer/beacon/answer.rs
+++ b/crates/firdock-node/src/peer/beacon/answer.rs
@@ -1,8 +1,8 @@
-//! Answers to peers that ask what this instance knows of the platform's store.
+//! Replies to peers that query the read state and content of the platform's store.
 //!
-//! Where all instances start at one moment, some hundred ask the same few in the same tenth of a
-//! second. The answer is made once for all of them, and they are answered one after another, so that
-//! a link of 20 Mbit/s is not overrun: datagrams that a full link drops have to be asked for again.
+//! If all instances start at the same time, about a hundred query the same few seeds within a tenth
+//! of a second. A reply is built once for all of them and sent to one after another, so that a link
+//! of 20 Mbit/s is not overloaded: datagrams dropped by a saturated link have to be queried again.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -21,34 +21,36 @@
 use crate::peer::parts::{MissingParts, StateId, count_parts, state_part};
 use crate::peer::reads::{ReadState, SharedReads};
 
-/// Shortest pause between two answers: some 8 KB each are 3 ms of a link of 20 Mbit/s, to which they come
-/// spread over its queue.
+/// Minimum delay between two replies. A reply of about 8 KB takes 3 ms on a link of 20 Mbit/s and
+/// arrives spread over the link's queue.
 const ANSWER_PAUSE: Duration = Duration::from_millis(2);
-/// Part of the own link that answers use: what a full link drops has to be asked for again.
+/// Share of this instance's bandwidth that replies may use. Datagrams dropped by a saturated link
+/// have to be queried again.
 const LINK_PART: f64 = 0.7;
-/// Link that is assumed where the settings name none, in Mbit/s: that of most instances of the users' sites.
+/// Bandwidth in Mbit/s that is assumed if the settings name none; most instances have this.
 const LINK_GUESS: f64 = 20.0;
-/// Bytes of deflated topics up to which everyone is told them that asks: some 600 endpoints. Three
-/// instances are asked first; of 300 before 3,000 endpoints each would send 100 times 35 KB, which
-/// takes a link of 10 Mbit/s three seconds, and most of it between zones.
+/// Size of the compressed topics up to which every querying instance receives them directly: about
+/// 600 endpoints. With 300 instances and 3,000 endpoints, each of the three seeds would send 35 KB
+/// to 100 instances, which takes 3 s on a link of 10 Mbit/s, and most of it between availability
+/// zones.
 const DIRECT_BYTES: usize = 8 << 10;
-/// Peers that wait for an answer at most: as many as there are instances that are kept.
+/// Maximum number of queued peers: as many as the peer directory holds.
 const MAX_WAITING: usize = MAX_PEERS;
-/// Time for which a state is kept, so that parts of it that were lost can be told again.
+/// Time for which a built state is kept, so that lost parts of it can be sent again.
 const KEEP: Duration = Duration::from_secs(5);
-/// Peers that wait for an answer beyond which others are told that theirs will take a while: these are
-/// answered before an instance that starts asks the next one.
+/// Queue length beyond which a peer is told that its reply will be delayed. A shorter queue is
+/// served before a starting instance queries the next seed.
 const QUEUED_BEYOND: usize = 128;
-/// States that are kept: some 60 KB each where a site is large.
+/// Maximum number of states kept; each has about 60 KB on a large site.
 const MAX_MADE: usize = 8;
-/// Time for which one answer serves all that ask for the same, though instances came meanwhile.
+/// Time for which a state is reused for the same query, although instances may have joined since.
 const REUSE: Duration = Duration::from_millis(250);
 
-/// What an answer was made from: it serves again while that is the same.
+/// What a state was built from; it can be reused while this is the same.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Basis {
     topics: bool,
-    /// Availability zone whose instances are told; `None` where none are.
+    /// Availability zone whose instances are included; `None` if none are.
     instances: Option<ZoneId>,
     whole: bool,
     version: u64,
@@ -56,46 +58,46 @@
     endpoints_next: Offset,
 }
 
-/// A state that was made to be told.
+/// A state that was built for a reply.
 #[derive(Debug)]
 struct Made {
     basis: Basis,
     at: Time,
     id: StateId,
-    /// When it was the newest.
+    /// Read state of the store at the time of the reply.
     reads: ReadState,
     state: Vec<u8>,
-    /// Whether the topics are left out for their length.
+    /// Whether the topics are left out because they are too large.
     large: bool,
-    /// How many instances there are.
+    /// Number of instances of the site.
     known: usize,
-    /// Parts in which it goes; `None` where it is too long.
+    /// Number of parts in which it is sent; `None` if it is too large to be sent.
     parts: Option<u32>,
 }
 
-/// One who waits for an answer, or for the rest of it.
+/// A peer that waits for a reply, or for the rest of one.
 #[derive(Debug)]
 struct Waiting {
     from: SocketAddr,
     question: StateQuery,
 }
 
-/// Peers that wait for an answer, and the last ones that were made.
+/// Queue of peers that wait for a reply, and the states built last.
 #[derive(Debug, Default)]
 pub(super) struct ReplyQueue {
     waiting: VecDeque<Waiting>,
-    /// When the next answer may be sent.
+    /// When the next reply may be sent.
     free_at: Time,
-    /// States that were made: those for who starts, and for who takes part in a tree.
+    /// States built last: for starting instances and for descendants in the tree of a zone.
     made: Vec<Made>,
-    /// How many were made.
+    /// Number of states built so far, from which their IDs are taken.
     count: StateId,
 }
 
 impl ReplyQueue {
-    /// Notes that a peer asks; its latest question counts.
+    /// Queues a peer's query; a newer query of the same peer replaces the older one.
     ///
-    /// Tells whether so many wait that the peer is to know that its answer will take a while.
+    /// Returns whether the queue is so long that the peer should be told of the delay.
     pub(super) fn ask(&mut self, from: SocketAddr, question: StateQuery) -> bool {
         if let Some(known) = self.waiting.iter_mut().find(|w| w.from == from) {
             known.question = question;
@@ -105,16 +107,18 @@
         self.waiting.len() > QUEUED_BEYOND
     }
 
-    /// Gives when the next answer is due; `None` while nobody waits or not all is known.
+    /// Returns when the next reply is due; `None` if the queue is empty or this instance's own
+    /// knowledge is incomplete.
     ///
-    /// Who is told of few instances takes more of the accounts' limits for its own than it may.
+    /// An instance that receives an incomplete list of instances would take too large a share of
+    /// the accounts' limits.
     pub(super) fn next(&self, reads: &SharedReads, directory: &PeerDirectory) -> Option<Time> {
         let can_answer = reads.is_known() && directory.is_listed();
         let due = can_answer && !self.waiting.is_empty();
         due.then_some(self.free_at)
     }
 
-    /// Gives the state of which parts are asked for, if it is still kept.
+    /// Returns the index of the state whose parts are queried, if it is still kept.
     fn kept(&self, missing: Option<&MissingParts>) -> Option<usize> {
         let id = missing?.state;
         self.made.iter().position(|m| m.id == id)
@@ -130,7 +134,7 @@
 }
 
 impl BeaconService {
-    /// Answers the peer that has waited longest, by one part of the answer where it goes in several.
+    /// Sends the next part of the reply to the first peer in the queue.
     pub(super) async fn answer_next(&self, answers: &mut ReplyQueue) {
         let Some(Waiting { from, mut question }) = answers.waiting.pop_front() else {
             return;
@@ -139,7 +143,7 @@
         answers.made.retain(|m| m.at + KEEP > now);
         let asked_for = question.missing.take();
         if !self.directory.is_partial() {
-            // All are told of all, by one answer for everyone.
+            // All instances are listed to everyone, so one reply serves all zones.
             question.zone.clear();
         }
         let at = match answers.kept(asked_for.as_ref()) {
@@ -170,7 +174,8 @@
         answers.free_at = now + self.sending_time(told.bytes.len());
         let asked = question.asked;
         if !missing.is_empty() {
-            // The rest goes before others' answers: half of an answer is of no use.
+            // The remaining parts go before the replies to others, since an incomplete reply is of
+            // no use.
             question.missing = Some(MissingParts {
                 state: made.id,
                 parts: missing,
@@ -181,13 +186,13 @@
         self.send_to(&seal(&self.key, body), "", from).await;
     }
 
-    /// Tells one that asks that many asked before.
+    /// Tells a peer that its reply will be delayed by the queue.
     pub(super) async fn tell_queued(&self, to: SocketAddr) {
         let body = queued_body(&self.member);
         self.send_to(&seal(&self.key, body), "", to).await;
     }
 
-    /// Gives the time that an answer takes of the own link.
+    /// Returns the time that sending `bytes` takes on this instance's link.
     fn sending_time(&self, bytes: usize) -> Duration {
         let link = if self.link_mbits > 0.0 {
             self.link_mbits
@@ -198,8 +203,8 @@
         ANSWER_PAUSE.max(Duration::from_secs_f64(secs))
     }
 
-    /// Gives the place of the state by which a question is answered, which is made unless one that still
-    /// holds was.
+    /// Returns the index of the state that answers a query, building it if no kept one is still
+    /// valid.
     fn state_for(&self, question: &StateQuery, now: Time, answers: &mut ReplyQueue) -> usize {
         let reads = self.reads.own();
         let basis = Basis {
@@ -235,8 +240,9 @@
         })
     }
 
-    /// Makes the state that is told, and tells whether the topics are left out of it; who asks for the
-    /// instances as well is told where else to ask for long topics.
+    /// Builds the state for a query and returns whether large topics were left out of it. An
+    /// instance that also queries the list of instances learns from that where else to query large
+    /// topics.
     fn make(&self, question: &StateQuery, now: Time) -> Option<(Vec<u8>, bool)> {
         let direct = question.whole || !question.instances || !question.topics;
         if direct || !self.directory.is_partial() {
@@ -267,7 +273,7 @@
         KnownState { topics, instances }
     }
 
-    /// Gives the instances that one of `zone` is told of, this one among them.
+    /// Returns the instances listed to a peer in `zone`, including this one.
     fn known_instances(&self, zone: &str, now: Time) -> Vec<PeerAddress> {
         self.directory.sweep(now);
         let mut known = self.directory.peers_for_zone(zone);
--- a/crates/firdock-node/src/peer/beacon/due.rs
+++ b/crates/firdock-node/src/peer/beacon/due.rs
@@ -1,39 +1,41 @@
-//! Which peers get a beacon at a tick.
+//! Selection of the peers that receive a beacon at a tick.
 //!
-//! The bytes between availability zones are paid for, and so are those of many instances that all
-//! tell each other; leads of groups, which tell for the others, get one at each tick
-//! (`docs/design/peers.md`).
+//! Traffic between availability zones is billed, and all-to-all traffic grows with the square of
+//! the number of instances. Only the leads of groups, which report for the others, receive a beacon
+//! at each tick (`docs/design/peers.md`).
 
 use firdock_policy::Time;
 
 use crate::peer::book::PeerRelation;
 use crate::peer::{PeerDirectory, PeerRecord};
 
-/// Near peers that get a beacon at each tick; with more of them, each gets one at every few ticks.
+/// Peers of the own group that receive a beacon at each tick. With more of them, each one's turn
+/// comes every few ticks.
 const NEAR_PEERS_A_TICK: usize = 16;
-/// Peers in other availability zones that get a beacon at each tick, likewise: leads tell for their
-/// groups, and bytes between zones are paid for.
+/// The same for peers in other availability zones. Leads report for their groups, and traffic
+/// between zones is billed.
 const FAR_PEERS_A_TICK: usize = 2;
-/// Ticks after the start in which they get as many as near ones: all instances may have started at
-/// one moment, and a first word may be lost.
+/// Ticks after the start during which peers of other zones receive beacons at the rate of near
+/// ones: all instances may have started at the same time, and the first beacons may be lost.
 const MEETING_TICKS: usize = 25;
-/// Most ticks between two beacons to one of them: far fewer than after which it would be forgotten.
+/// Maximum number of ticks between two beacons to the same peer, well below the time after which
+/// the peer would forget this instance.
 const MAX_FAR_PACE: usize = 50;
 
-/// Peers that get a beacon at a tick.
+/// Peers that receive a beacon at a tick.
 #[derive(Debug, Default)]
 pub struct PeersDue {
-    /// Those of the own group.
+    /// Peers of the own group.
     pub same_group: Vec<PeerRecord>,
-    /// The leads of other groups, where this instance leads its own.
+    /// Leads of other groups, if this instance reports for its own group.
     pub leads: Vec<PeerRecord>,
-    /// All others.
+    /// All other peers.
     pub far: Vec<PeerRecord>,
 }
 
 impl PeersDue {
-    /// Gives the peers that get a beacon at a tick: of many, every few ticks a part of them; the
-    /// leads of groups get one at each.
+    /// Selects the peers that receive a beacon at a tick. If there are many, each one's turn comes
+    /// every few ticks, but leads of groups are selected at each tick.
     pub fn at(tick: usize, directory: &PeerDirectory, now: Time) -> Self {
         let known = directory.count(now);
         let leads = directory.group_leads(now);
@@ -62,12 +64,12 @@
         due
     }
 
-    /// Gives the peers that hear of a start or of an end at once: the own group, and those that lead
-    /// the others or are likely to.
+    /// Selects the peers that are notified of a start or stop at once: the own group, and the
+    /// current and likely leads of other groups.
     ///
-    /// All of them would be some 300 times 300 datagrams where all instances start at one moment, each
-    /// answered: seconds of work for an instance with an eighth of a core. The others hear within
-    /// the first ticks, or by the leads.
+    /// Notifying everyone would take about 300 × 300 datagrams, each answered, if all instances
+    /// start at the same time: seconds of work for an instance with an eighth of a core. The other
+    /// peers learn of it within the first ticks or from the leads.
     pub fn at_once(directory: &PeerDirectory, now: Time) -> Self {
         let mut leads = directory.group_leads(now);
         leads.extend(directory.likely_group_leads());
@@ -85,7 +87,7 @@
     }
 }
 
-/// Gives the ticks between two beacons to one of the peers in other availability zones.
+/// Returns the number of ticks between two beacons to the same peer in another availability zone.
 fn far_pace(tick: usize, peers: usize) -> usize {
     let a_tick = if tick < MEETING_TICKS {
         NEAR_PEERS_A_TICK
--- a/crates/firdock-node/src/peer/beacon/meet.rs
+++ b/crates/firdock-node/src/peer/beacon/meet.rs
@@ -1,7 +1,9 @@
-//! How an instance that starts finds the others and what they know, before it asks the store.
+//! Discovery of the other instances and of the store's content at start, before the store itself is
+//! read.
 //!
-//! The platform names a few instances that are likely to be up. They are asked one after another: where
-//! all start at one moment, each has a third of the others to answer, and not all of them.
+//! The platform names a few seed instances that are likely to be up. They are queried one after
+//! another, and the first one is selected by a hash, so that each of three seeds answers only a
+//! third of the others if all instances start at the same time.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,43 +17,43 @@
 use crate::peer::known::StateQuery;
 use crate::peer::reads::SharedReads;
 
-/// Pause before the next one is asked: many times the way there and back, and time enough for one
-/// that starts in the same moment to read the store.
+/// Delay before the next instance is queried: many round trips, and enough for one that started at
+/// the same time to read the store.
 const NEXT_PAUSE: Duration = Duration::from_millis(200);
-/// Tries at the start; by then the store was asked.
+/// Maximum number of queries to the seeds; by then the store has been read.
 const TRIES: usize = 6;
-/// Time after the start when the others are asked for once more: where all started in one moment, the
-/// first that were answered heard of few. Those that are asked ask each other before.
+/// Time after the start at which the list of instances is queried again. If all instances started
+/// at the same time, the first replies contained few of them. The seeds query each other earlier.
 const AGAIN_AFTER: Duration = Duration::from_secs(2);
-/// The same at an instance that others ask.
+/// The same at a seed itself.
 const SEED_AGAIN_AFTER: Duration = Duration::from_millis(1_200);
 
-/// Questions to each of those above in the own zone before the next one is asked: they may wait for their
-/// own answers.
+/// Queries to each ancestor in the own zone before the next one is queried; an ancestor may still
+/// be waiting for its own reply.
 const TRIES_EACH: usize = 6;
 
-/// Whom an instance asks.
+/// Whom an instance queries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Asked {
-    /// Those that the platform names.
+    /// The seeds that the platform names.
     Seeds,
-    /// Those above it in the own zone, for what is long.
+    /// The instance's ancestors in the tree of its zone, for large content.
     Zone,
 }
 
-/// Where an instance stands with those that it asks at its start.
+/// Progress of an instance's discovery at start.
 #[derive(Debug)]
 pub(super) struct Meeting {
     seeds: Vec<SocketAddr>,
     asks: Asked,
-    /// When it began to ask these.
+    /// When it began to query these.
     started: Time,
     asked: usize,
-    /// When the others are asked for once more; `None` once they were.
+    /// When the list of instances is queried again; `None` after that.
     again_at: Option<Time>,
 }
 
-/// Whom to ask next, and for what.
+/// The next query: its receiver and what it asks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Next {
     to: SocketAddr,
@@ -60,9 +62,10 @@
 }
 
 impl Meeting {
-    /// Makes the meeting of an instance that starts now; its name tells whom it asks first.
+    /// Creates the discovery state of an instance that starts now. A hash of its name selects the
+    /// first seed.
     ///
-    /// `asks_first` tells whether it waits for an answer, and is not asked itself.
+    /// `asks_peers_first` is whether the instance waits for a reply and is no seed itself.
     pub(super) fn new(
         now: Time,
         asks_peers_first: bool,
@@ -87,7 +90,7 @@
         }
     }
 
-    /// Gives when the next one is to be asked; `None` if no more are.
+    /// Returns when the next query is due; `None` if there is none.
     pub(super) fn next(
         &mut self,
         now: Time,
@@ -114,8 +117,8 @@
         self.again_at
     }
 
-    /// Gives whom to ask now: one that is above in the own zone, for what is long; who has nobody above,
-    /// or nobody that answers, asks those that the platform names.
+    /// Returns the next query. For large content this is to an ancestor in the own zone. An
+    /// instance without ancestors, or whose ancestors do not reply, queries the seeds.
     fn take_next(&mut self, now: Time, reads: &SharedReads, directory: &PeerDirectory) -> Next {
         let again = self.again_at.is_some_and(|at| at <= now);
         if again {
@@ -145,7 +148,7 @@
 }
 
 impl BeaconService {
-    /// Asks the next of those that are likely to be up.
+    /// Queries the next seed or ancestor.
     pub(super) async fn ask_seed(&self, meeting: &mut Meeting) {
         let now = self.clock.now();
         let next = meeting.take_next(now, &self.reads, &self.directory);
--- a/crates/firdock-node/src/peer/beacon/take.rs
+++ b/crates/firdock-node/src/peer/beacon/take.rs
@@ -1,4 +1,4 @@
-//! What an instance does with the datagrams that come from its peers.
+//! Handling of datagrams received from peers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -24,8 +24,8 @@
 use crate::placement::{PlacementInput, read_reply, read_report};
 
 impl BeaconService {
-    /// Takes a datagram; one that is not sealed with the shared key is dropped. Gives a question that
-    /// is to be answered.
+    /// Handles a datagram, or drops it if it is not authenticated with the shared key. Returns a
+    /// query that needs a reply.
     pub(super) async fn take(&self, sealed: &[u8], from: SocketAddr) -> Option<StateQuery> {
         match open(&self.key, sealed) {
             Some(datagram::Body::Beacon(beacon)) => self.take_beacon(beacon, from).await,
@@ -56,7 +56,7 @@
         None
     }
 
-    /// Takes an answer or a part of one, which waits for the others.
+    /// Handles a part of a reply; incomplete replies are kept until the other parts arrive.
     fn take_part(&self, told: StateAnswer, from: SocketAddr) {
         if told.queued {
             self.reads.note_queued(self.clock.now());
@@ -75,7 +75,7 @@
         warn!(self.log, "word of a peer not taken"; "what" => what, "from" => from.to_string());
     }
 
-    /// Takes what a peer answered: the other instances, and what it knows of the store.
+    /// Applies a complete reply: the list of instances and the content of the store.
     fn take_answer(&self, mut answer: StateReply) {
         let now = self.clock.now();
         let instances = std::mem::take(&mut answer.instances);
@@ -92,7 +92,7 @@
         self.reads.merge_reply(answer);
     }
 
-    /// Notes instances that a peer told of.
+    /// Adds instances that a peer listed to the directory.
     fn add_reported(&self, peers: Vec<PeerAddress>, now: Time) {
         for peer in peers {
             let Ok(address) = peer.address.parse() else {
@@ -133,7 +133,8 @@
         let now = self.clock.now();
         let outcome = self.note(&beacon, from, now);
         if outcome == Some(HeartbeatOutcome::First) {
-            // It may not know of this one, and its turn among many would come late.
+            // The peer may not know this instance yet, and in a large site its next regular beacon
+            // would come late.
             let known = PeerRecord {
                 name: beacon.instance.clone(),
                 address: from,
@@ -184,7 +185,8 @@
         }
     }
 
-    /// Takes what another group's lead tells of the work done for accounts, if it tells any.
+    /// Forwards the work for client accounts that another group's lead reports to the scheduler, if
+    /// there is any.
     async fn take_work(&self, beacon: &Beacon, zone: &str) {
         let work = read_work(beacon.group_work.clone());
         if !work.is_empty() {
@@ -193,17 +195,18 @@
         }
     }
 
-    /// Takes what a lead tells of its group: of another one, its demand and how many it hears, to tell
-    /// the own group; of the own one, how many are heard on the whole site.
+    /// Handles the totals in a lead's beacon: from another group, its demand and number of live
+    /// instances, to be forwarded to the own group; from the own group, the number of live
+    /// instances of the whole site.
     async fn take_group(&self, beacon: &Beacon, zone: &str, now: Time) {
-        // One that stops is sent nothing any more, so that it hears hardly anyone.
+        // A draining instance no longer receives beacons, so its counts are too low.
         let draining = beacon.heartbeat.as_ref().is_some_and(|b| b.draining);
         if beacon.group_heard == 0 || draining {
             return;
         }
         if self.directory.is_own_zone(zone) {
             self.tell(Event::Reach(beacon.site_heard as usize)).await;
-            // Two leads that took each other's word would hold on to one that is long past.
+            // Two leads that adopted each other's count would keep an outdated one alive.
             if beacon.site_known > 0 && !self.directory.is_reporter(now) {
                 self.directory
                     .set_site_size(beacon.site_known as usize, now);
@@ -231,8 +234,8 @@
         }
     }
 
-    /// Takes what a peer read; it is asked for what it has newer, and for its clock where its word
-    /// counts.
+    /// Merges a peer's read state. Queries the peer for newer content, or for its clock if its
+    /// reports are used here.
     async fn take_reads(&self, news: &PeerUpdate, told: ReadState, from: SocketAddr) {
         let now = self.clock.now();
         let teller = PeerProcess {
@@ -264,17 +267,18 @@
             .await;
     }
 
-    /// Tells whether a peer's word on the store counts here: that of leads does, and any in need.
+    /// Returns whether a peer's reports on the store are used here: those of leads always, all
+    /// others only while the own state is out of date.
     ///
-    /// Of hundreds, each would ask all others for their clocks after a start.
+    /// Otherwise each of hundreds of instances would query the clocks of all others after a start.
     fn counts(&self, name: &str, now: Time) -> bool {
         self.directory.is_single_group()
             || self.reads.is_aging(now)
             || self.directory.group_leads(now).contains(name)
     }
 
-    /// Notes the sender and the instances that it tells of; gives what follows for the sender, unless it
-    /// stops.
+    /// Updates the directory from the sender and the instances it lists. Returns the outcome for
+    /// the sender, or `None` if it is draining.
     fn note(&self, beacon: &Beacon, from: SocketAddr, now: Time) -> Option<HeartbeatOutcome> {
         let heartbeat = beacon.heartbeat.as_ref();
         let outcome = if heartbeat.is_some_and(|b| b.draining) {
--- a/crates/firdock-node/src/peer/beacon/usage.rs
+++ b/crates/firdock-node/src/peer/beacon/usage.rs
@@ -1,4 +1,4 @@
-//! Counts of what instances let pass of limits, on their way between leads and groups.
+//! Exchange of account limit use between group leads and their groups.
 
 use std::sync::{MutexGuard, PoisonError};
 
@@ -11,20 +11,20 @@
 use super::{BeaconService, TELL_EVERY};
 use crate::peer::datagram::write_uses;
 
-/// What a beacon tells of the use of limits.
+/// Limit use that is included in a beacon.
 #[derive(Debug, Default)]
 pub(super) enum ToldUse {
-    /// Nothing: its sender counts for nobody, or not at this tick.
+    /// None: the sender reports for no group, or not at this tick.
     #[default]
     Nothing,
-    /// Counts of the sender's group, for other leads.
+    /// Totals of the sender's group, for the leads of other groups.
     Group(UseCounts),
-    /// Counts of all groups, for its own.
+    /// Totals of all groups, for the sender's own group.
     Site(UseCounts),
 }
 
 impl ToldUse {
-    /// Writes it into a beacon.
+    /// Adds the totals to a beacon.
     pub fn write(&self, beacon: &mut Beacon) {
         let (told, counts) = match self {
             Self::Nothing => return,
@@ -38,11 +38,11 @@
 }
 
 impl BeaconService {
-    /// Counts what instances let pass of limits, where this one leads; gives what is told of that to its
-    /// group and to other leads.
+    /// Aggregates the limit use of the group if this instance reports for it. Returns the totals to
+    /// send to the group and to the leads of other groups.
     ///
-    /// The instance that takes over from the lead counts as well and tells it a few times more seldom, so
-    /// that its counts are known when the lead falls.
+    /// The designated successor of the lead aggregates as well, and sends its totals at every
+    /// `TELL_EVERY` ticks only, so that its counts are known when the lead fails.
     pub(super) async fn count_use(&self, tick: usize, now: Time) -> (ToldUse, ToldUse) {
         if self.directory.is_single_group() || !self.directory.is_reporter(now) {
             self.sums().reset();
@@ -67,7 +67,7 @@
         (for_group, for_leads)
     }
 
-    /// Gives what this instance let pass.
+    /// Returns the limit use of this instance.
     fn own_use(&self) -> PeerUse {
         PeerUse {
             name: self.member.name.clone(),
--- a/crates/firdock-node/src/peer/datagram.rs
+++ b/crates/firdock-node/src/peer/datagram.rs
@@ -1,4 +1,5 @@
-//! Datagrams between instances: sealed with the key that all share, and cut to what is bounded.
+//! Encoding, authentication and decoding of datagrams between instances. Lists are truncated to
+//! fixed limits.
 
 use std::time::Duration;
 
@@ -13,26 +14,26 @@
 use super::reads::ReadState;
 use crate::clock::millis;
 
-/// Writes a datagram and seals it.
+/// Encodes a datagram and authenticates it with the shared key.
 #[must_use]
 pub fn seal(key: &[u8], body: datagram::Body) -> Vec<u8> {
     let content = Datagram { body: Some(body) }.encode_to_vec();
     auth::seal(key, &content)
 }
 
-/// Reads a datagram; `None` for one of a stranger.
+/// Verifies and decodes a datagram; `None` if it is not authentic or malformed.
 pub fn open(key: &[u8], sealed: &[u8]) -> Option<datagram::Body> {
     let content = auth::open(key, sealed)?;
     Datagram::decode(content).ok()?.body
 }
 
-/// Reads the start of a peer's process; one that is malformed is that of no process.
+/// Decodes a process incarnation; a malformed one becomes the nil UUID, which no process has.
 #[must_use]
 pub fn read_incarnation(bytes: &[u8]) -> Uuid {
     Uuid::from_slice(bytes).unwrap_or_default()
 }
 
-/// Writes where an instance takes heartbeats.
+/// Encodes the address of an instance.
 pub fn write_address(peer: &PeerRecord) -> PeerAddress {
     PeerAddress {
         instance: peer.name.clone(),
@@ -42,7 +43,7 @@
     }
 }
 
-/// Writes what an instance knows to be the newest in the platform's store.
+/// Encodes the read state of the platform's store.
 pub fn write_reads(reads: ReadState) -> message::Reads {
     message::Reads {
         version: reads.version,
@@ -54,7 +55,7 @@
     }
 }
 
-/// Reads what a peer knows to be the newest, with times by the peer's clock.
+/// Decodes the read state of a peer, with times by the peer's clock.
 pub fn read_reads(reads: message::Reads) -> ReadState {
     ReadState {
         version: reads.version,
@@ -66,7 +67,7 @@
     }
 }
 
-/// Writes what an instance let pass of accounts' limits.
+/// Encodes the use of account limits.
 pub fn write_uses(uses: &[AccountUse]) -> Vec<message::AccountUse> {
     let told = uses.iter().take(MAX_REPORTED_ACCOUNTS);
     told.map(|u| message::AccountUse {
@@ -79,7 +80,8 @@
     .collect()
 }
 
-/// Reads what a peer let pass; figures that are none are left out.
+/// Decodes the use of account limits reported by a peer; entries with non-finite values are left
+/// out.
 pub fn read_uses(uses: Vec<message::AccountUse>) -> Vec<AccountUse> {
     let told = uses.into_iter().take(MAX_REPORTED_ACCOUNTS);
     let finite = told.filter(|u| {
--- a/crates/firdock-node/src/peer/known.rs
+++ b/crates/firdock-node/src/peer/known.rs
@@ -1,9 +1,9 @@
-//! What instances tell each other of the platform's store: changes as they are read, and the whole to
-//! one that asks.
+//! Messages by which instances share the content of the platform's store: changes as they are read,
+//! and complete snapshots on request.
 //!
-//! An instance that starts, or that missed a change, asks a peer before it asks the store: calls there
-//! are bounded and paid for, and hundreds of instances that start at one moment would all make the
-//! same ones (`docs/design/sharing.md`).
+//! An instance that starts or that missed a change queries a peer before it reads the store. Store
+//! calls are rate-limited and billed, and hundreds of instances that start at the same time would
+//! all make the same ones (`docs/design/sharing.md`).
 
 use std::io::Read as _;
 use std::time::Duration;
@@ -22,34 +22,34 @@
 use super::topic::{Topic, TopicRecords, TopicSnapshot, read_record, write_record};
 use crate::clock::millis;
 
-/// Bytes of deflated changes beyond which they are not told: a datagram holds no more.
+/// Maximum size of compressed changes in a datagram; larger ones are not sent.
 const MAX_DEFLATED_BYTES: usize = 52 << 10;
-/// Bytes of content that are taken from a peer at most; 1,400 endpoints are some 300 KB.
+/// Maximum size of decompressed content accepted from a peer; 1,400 endpoints take about 300 KB.
 const MAX_CONTENT_BYTES: u64 = 8 << 20;
 
-/// A peer's word: who told it, and by which start of its process.
+/// Identity of the process that sent a report.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerProcess {
-    /// Instance.
+    /// Instance name.
     pub name: String,
-    /// Start of it, which its clock belongs to.
+    /// Incarnation of the process; its clock values are valid for this incarnation only.
     pub incarnation: Uuid,
 }
 
-/// What an instance asks a peer for.
+/// A query to a peer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StateQuery {
-    /// When it is asked.
+    /// When the query was sent.
     pub asked: Time,
-    /// Whether the topics are asked for.
+    /// Whether the topics are queried.
     pub topics: bool,
-    /// Whether the other instances are asked for.
+    /// Whether the list of instances is queried.
     pub instances: bool,
-    /// Whether the topics are asked for however long they are.
+    /// Whether the topics are to be included regardless of their size.
     pub whole: bool,
-    /// Parts of an earlier answer that did not come; `None` where all is asked for.
+    /// Missing parts of an earlier reply; `None` to query everything.
     pub missing: Option<MissingParts>,
-    /// Availability zone of who asks.
+    /// Availability zone of the querying instance.
     pub zone: ZoneId,
 }
 
@@ -83,17 +83,17 @@
     }
 }
 
-/// What an instance knows of the platform's store.
+/// Content of the platform's store as this instance knows it.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct KnownState {
-    /// Topics, each whole.
+    /// Snapshots of the topics.
     pub topics: Vec<(Topic, TopicSnapshot)>,
-    /// Instances.
+    /// List of instances.
     pub instances: Vec<PeerAddress>,
 }
 
 impl KnownState {
-    /// Deflates it.
+    /// Encodes and compresses the snapshot.
     pub(super) fn deflate(self) -> Option<Vec<u8>> {
         let image = |(topic, image): (Topic, TopicSnapshot)| message::TopicImage {
             topic: topic.write().into(),
@@ -107,29 +107,29 @@
     }
 }
 
-/// A peer's answer; times are by its clock.
+/// A peer's reply. Times are by the peer's clock unless stated otherwise.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StateReply {
-    /// Who told it.
+    /// Process that sent it.
     pub teller: PeerProcess,
-    /// When this instance had asked, by its own clock.
+    /// When the query was sent, by this instance's clock.
     pub asked: Time,
-    /// The peer's clock when it answered.
+    /// The peer's clock at the time of the reply.
     pub clock: Time,
-    /// When what it knows was the newest.
+    /// Read state of the store at the peer.
     pub reads: ReadState,
-    /// Topics, each whole.
+    /// Topics, each complete.
     pub topics: Vec<TopicRecords>,
-    /// Instances.
+    /// List of instances.
     pub instances: Vec<PeerAddress>,
-    /// Whether the topics are left out for their length.
+    /// Whether the topics are left out because they are too large.
     pub large: bool,
-    /// How many instances there are; 0 where they were not counted.
+    /// Number of instances of the site; 0 if unknown.
     pub known: usize,
 }
 
 impl StateReply {
-    /// Reads an answer; `None` for a malformed one.
+    /// Decodes a reply; `None` if it is malformed.
     pub(super) fn read(told: message::StateAnswer) -> Option<Self> {
         let reads = read_reads(told.reads?);
         let state: message::KnownState = inflate(&told.state)?;
@@ -163,24 +163,24 @@
     }
 }
 
-/// One part of what an answer tells, or the whole of it.
+/// A part of a reply, which may be all of it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct ToldPart {
-    /// When what is told was the newest.
+    /// Read state of the store at the time of the reply.
     pub reads: ReadState,
-    /// Number of the state, of the part, and of all parts.
+    /// ID of the state, index of the part and number of parts.
     pub state: StateId,
     pub part: u32,
     pub parts: u32,
-    /// Bytes of the part.
+    /// Content of the part.
     pub bytes: Vec<u8>,
-    /// Whether the topics are left out for their length.
+    /// Whether the topics are left out because they are too large.
     pub large: bool,
-    /// How many instances there are.
+    /// Number of instances of the site.
     pub known: usize,
 }
 
-/// Writes the answer to a question that was asked at `asked`, or a part of it.
+/// Encodes a part of the reply to the query sent at `asked`.
 pub(super) fn answer_body(
     member: &Member,
     asked: Time,
@@ -203,7 +203,7 @@
     })
 }
 
-/// Writes the word to one that asks that many asked before.
+/// Encodes the notice that a reply is delayed by the queue.
 pub(super) fn queued_body(member: &Member) -> datagram::Body {
     datagram::Body::StateAnswer(message::StateAnswer {
         instance: member.name.clone(),
@@ -213,7 +213,7 @@
     })
 }
 
-/// Writes changes as the word of `member`; `None` if they are too long for a datagram, or the whole.
+/// Encodes changes read by `member`; `None` if they exceed a datagram or are a complete snapshot.
 pub(super) fn records_body(member: &Member, told: &TopicRecords) -> Option<datagram::Body> {
     let from = told.from?;
     let entries = told.records.iter().cloned().map(write_record).collect();
@@ -229,7 +229,7 @@
     }))
 }
 
-/// Reads a peer's word of changes, with times by its clock; `None` for a malformed one.
+/// Decodes a peer's changes, with times by its clock; `None` if they are malformed.
 pub(super) fn read_records(told: message::TopicRecords) -> Option<(PeerProcess, TopicRecords)> {
     let entries: message::Entries = inflate(&told.entries)?;
     let records = TopicRecords {
@@ -250,7 +250,7 @@
     let plain = content.encode_to_vec();
     let mut deflated = Vec::new();
     let mut encoder = DeflateEncoder::new(plain.as_slice(), Compression::fast());
-    // Reading from memory into memory fails in no other way than by running out of it.
+    // Reading from memory does not fail.
     encoder.read_to_end(&mut deflated).ok()?;
     Some(deflated)
 }
--- a/crates/firdock-node/src/peer/parts.rs
+++ b/crates/firdock-node/src/peer/parts.rs
@@ -1,7 +1,9 @@
-//! Answers that are too long for one datagram: they go in parts, and one that is lost is asked for alone.
+//! Splitting of replies that exceed one datagram into parts; a lost part is queried again by
+//! itself.
 //!
-//! What a site knows grows with its endpoints, routes and accounts. If an answer had to fit a datagram,
-//! each instance of a large site would read the store for itself at each start (`docs/design/sharing.md`).
+//! The shared content grows with a site's endpoints, routes and accounts. If a reply had to fit one
+//! datagram, each instance of a large site would read the store itself at each start
+//! (`docs/design/sharing.md`).
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,35 +12,36 @@
 use firdock_policy::Time;
 use firdock_wire::message::StateAnswer;
 
-/// Bytes of a state that go in one datagram, with room for the rest of the answer.
+/// Size of a part, which leaves room in a datagram for the other fields of the reply.
 pub const PART_BYTES: usize = 48 << 10;
-/// Most parts of a state, 3 MB in all; what is longer is read from the store.
+/// Maximum number of parts, 3 MB in total. Larger content is read from the store.
 const MAX_PARTS: usize = 64;
-/// Answers that are put together at one time: those of the few that are asked at a start.
+/// Maximum number of replies reassembled at a time; only the few seeds queried at a start send any.
 const MAX_PARTIAL: usize = 4;
-/// Silence after which the parts of an answer are given up: many times what sending all of it takes.
+/// Time without new parts after which an incomplete reply is dropped: many times what sending all
+/// of it takes.
 const GIVE_UP_AFTER: Duration = Duration::from_secs(10);
 
-/// Number of a state that was made, among those of the process that made it.
+/// ID of a state, unique within the process that built it.
 pub type StateId = u64;
 
-/// What lacks of an answer.
+/// Missing parts of a reply.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct MissingParts {
-    /// The state that the answer tells.
+    /// State that the reply carries.
     pub state: StateId,
-    /// Its parts that did not come, by their numbers.
+    /// Indexes of the missing parts.
     pub parts: Vec<u32>,
 }
 
-/// Gives the number of parts in which a state goes; `None` if it is too long to be told at all.
+/// Returns the number of parts for a state of `bytes` bytes; `None` if it is too large to be sent.
 #[must_use]
 pub fn count_parts(bytes: usize) -> Option<u32> {
     let parts = bytes.div_ceil(PART_BYTES).max(1);
     (parts <= MAX_PARTS).then_some(parts as u32)
 }
 
-/// Gives one part of a state.
+/// Returns one part of a state.
 #[must_use]
 pub fn state_part(state: &[u8], part: u32) -> &[u8] {
     let start = (part as usize * PART_BYTES).min(state.len());
@@ -46,7 +49,7 @@
     &state[start..end]
 }
 
-/// An answer of which parts came.
+/// An incomplete reply.
 #[derive(Debug)]
 struct Partial {
     state: StateId,
@@ -71,31 +74,32 @@
             && self.parts.len() == told.parts as usize
     }
 
-    /// Gives the whole state once no part lacks.
+    /// Returns the complete state, once no part is missing.
     fn whole(&self) -> Option<Vec<u8>> {
         let parts: Option<Vec<&[u8]>> = self.parts.iter().map(Option::as_deref).collect();
         parts.map(|parts| parts.concat())
     }
 }
 
-/// Why a part is not taken.
+/// The part does not belong to a valid reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InvalidPart;
 
-/// The answers of which parts came, by who tells them.
+/// Incomplete replies, by their sender.
 #[derive(Debug, Default)]
 pub struct PartialReplies {
     by_teller: BTreeMap<SocketAddr, Partial>,
 }
 
 impl PartialReplies {
-    /// Takes an answer or a part of one; gives the whole answer once no part lacks.
+    /// Adds a part of a reply. Returns the complete reply once no part is missing.
     ///
-    /// Parts of another state than before, which the teller made anew, replace what came of that.
+    /// A part of a different state replaces the parts received so far, since the sender has built
+    /// the state anew.
     ///
     /// # Errors
     ///
-    /// Fails for a part that can be none of the answer's.
+    /// Fails if the index or the number of parts is invalid.
     pub fn take(
         &mut self,
         now: Time,
@@ -128,7 +132,7 @@
         Ok(Some(StateAnswer { state, ..told }))
     }
 
-    /// Gives what lacks of the answer of one that is to be asked again; `None` where nothing came of it.
+    /// Returns the missing parts of a peer's reply; `None` if no part of it was received.
     #[must_use]
     pub fn missing(&self, from: SocketAddr) -> Option<MissingParts> {
         let partial = self.by_teller.get(&from)?;
@@ -140,7 +144,7 @@
         })
     }
 
-    /// Drops the answer that was not heard of for longest, where there is no room for one more.
+    /// Drops the reply whose last part is the oldest if there is no capacity for another one.
     fn make_room(&mut self, from: SocketAddr) {
         if self.by_teller.len() < MAX_PARTIAL || self.by_teller.contains_key(&from) {
             return;
--- a/crates/firdock-node/src/peer/topic.rs
+++ b/crates/firdock-node/src/peer/topic.rs
@@ -1,8 +1,8 @@
-//! Topics of the platform's store that instances pass on to each other.
+//! Topics of the platform's store that instances forward to each other.
 //!
-//! Records are passed on as they stand in the store, so that the platform's adapter decodes them as
-//! if it had read them itself. Changes count only where they follow on the records that are known
-//! already; an instance that missed some asks a peer for the whole (`docs/design/sharing.md`).
+//! Records are forwarded as stored, so that the platform's adapter decodes them as if it had read
+//! them itself. Changes are applied only if they are contiguous with the known records; an instance
+//! that missed some queries a peer for a complete snapshot (`docs/design/sharing.md`).
 
 use std::collections::BTreeMap;
 
@@ -14,9 +14,9 @@
 /// A topic that instances share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Topic {
-    /// The configuration.
+    /// Configuration.
     Config,
-    /// The list of endpoints.
+    /// List of endpoints.
     Endpoints,
 }
 
@@ -24,7 +24,7 @@
     /// All topics.
     pub const ALL: [Self; 2] = [Self::Config, Self::Endpoints];
 
-    /// Gives the topic's name, as lines of the log and metrics have it.
+    /// Returns the topic's name as used in logs and metrics.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Reads a topic; `None` for one that this version does not know.
+    /// Decodes a topic; `None` if this version does not support it.
     pub(super) fn read(topic: i32) -> Option<Self> {
         match message::Topic::try_from(topic).ok()? {
             message::Topic::Unspecified => None,
@@ -50,36 +50,37 @@
     }
 }
 
-/// A record of a topic with keys, as it stands in the store.
+/// A keyed record, as stored.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KeyedRecord {
     /// Key.
     pub key: String,
-    /// Value; `None` where the key was dropped.
+    /// Value; `None` if the key was deleted.
     pub value: Option<Bytes>,
-    /// Offset of the record in the configuration's topic, where one of the same content may come once
-    /// more and mean something new; 0 in others.
+    /// Offset of the record in the configuration topic, where the same content may be written again
+    /// with a new meaning; 0 in other topics.
     pub offset: Offset,
 }
 
-/// Records of a topic that one read found.
+/// Records of a topic that were found by one read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TopicRecords {
     /// Topic.
     pub topic: Topic,
-    /// Offset of the first record; `None` where the records are all that there are, in place of what
-    /// was known.
+    /// Offset of the first record; `None` if the records are a complete snapshot that replaces all
+    /// known ones.
     pub from: Option<Offset>,
     /// Offset after the last record.
     pub next: Offset,
-    /// When nothing newer was there.
+    /// Time at which no newer record existed.
     pub read_at: Time,
-    /// Records in order.
+    /// Records in order of their offsets.
     pub records: Vec<KeyedRecord>,
 }
 
 impl TopicRecords {
-    /// Tells whether they follow on what is known up to `known`, which may overlap.
+    /// Returns whether the records are contiguous with those known up to offset `known`; they may
+    /// overlap.
     #[must_use]
     pub fn follows(&self, known: Option<Offset>) -> bool {
         match (self.from, known) {
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Tells whether they are newer than what is known up to `known`.
+    /// Returns whether there are records beyond offset `known`.
     #[must_use]
     pub fn is_newer(&self, known: Option<Offset>) -> bool {
         known.is_none_or(|known| known < self.next)
@@ -103,14 +104,14 @@
     values: BTreeMap<String, Newest>,
 }
 
-/// The newest record of a key: its value, and its offset as in [`KeyedRecord`].
+/// Value of a key's newest record, and its offset as in [`KeyedRecord`].
 type Newest = (Bytes, Offset);
 
 impl TopicSnapshot {
-    /// Takes records of its topic over.
+    /// Applies records of its topic.
     ///
-    /// Gives what changed, for those who know what was known here before; `None` if nothing was
-    /// known before that the changes could follow on.
+    /// Returns the changes for peers that had the same previous snapshot; `None` if there was none
+    /// for the changes to follow.
     pub fn take(&mut self, new: &TopicRecords, known: bool) -> Option<TopicRecords> {
         let before = self.next;
         let changes = if new.from.is_some() {
@@ -131,13 +132,13 @@
             })
     }
 
-    /// Gives the offset from which later changes are read.
+    /// Returns the offset from which later changes are read.
     #[must_use]
     pub fn next(&self) -> Offset {
         self.next
     }
 
-    /// Goes over the newest records, by key.
+    /// Iterates over the newest records, by key.
     pub fn records(&self) -> impl Iterator<Item = KeyedRecord> {
         self.values
             .iter()
@@ -160,10 +161,10 @@
         }
     }
 
-    /// Puts all newest records in place of what was known; gives those that changed.
+    /// Replaces all records and returns those that changed.
     ///
-    /// A listing tells no history, so that what went and came is found by comparing: peers that know
-    /// what was known here need only that, and not a listing of their own.
+    /// A listing has no history, so changes and deletions are found by comparison. Peers with the
+    /// same previous snapshot then need only the changes, and no listing of their own.
     fn replace(&mut self, records: &[KeyedRecord]) -> Vec<KeyedRecord> {
         let mut gone = std::mem::take(&mut self.values);
         let newest = |record: &KeyedRecord| Some((record.value.clone()?, record.offset));
