--- a/crates/firdock-node/src/peer/book.rs
+++ b/crates/firdock-node/src/peer/book.rs
@@ -1,4 +1,4 @@
-//! The other instances that are known of, by name, with where they take heartbeats.
+//! Directory of the other instances: their names, addresses and last heartbeats.
 
 mod fleet;
 mod group;
@@ -19,98 +19,99 @@
 use self::group::GroupCounts;
 pub use self::group::{PeerRelation, ReadRole, ReadTurn};
 
-/// Silence after which an instance is forgotten: it was replaced or taken away.
+/// Time without heartbeats after which an instance is forgotten, as it was replaced or removed.
 const FORGET_AFTER: Duration = Duration::from_mins(1);
-/// Silence after which an instance does not count as heard.
+/// Time without heartbeats after which an instance no longer counts as live.
 const LIVE_WITHIN: Duration = Duration::from_secs(5);
 
-/// Where another instance takes heartbeats.
+/// Where another instance receives heartbeats.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerRecord {
     /// Name.
     pub name: InstanceId,
     /// Address.
     pub address: SocketAddr,
-    /// Availability zone; empty where it is not known.
+    /// Availability zone; empty if unknown.
     pub zone: ZoneId,
-    /// Processor that it has, as far as that is known.
+    /// Processing power.
     pub millicores: Millicores,
 }
 
-/// What follows from a heartbeat for what is known of its sender.
+/// What a heartbeat changed about its sender in the directory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatOutcome {
-    /// It was not heard before.
+    /// No heartbeat of the sender was received before.
     First,
-    /// It was.
+    /// The sender is already known from an earlier heartbeat.
     Repeated,
-    /// It is not kept: its lead tells for it.
+    /// The sender is not tracked; the lead of its group reports for it.
     Untracked,
 }
 
-/// What an instance tells of itself in each heartbeat.
+/// What an instance states about itself in each heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerInfo<'a> {
     /// Name.
     pub name: &'a str,
     /// Availability zone.
     pub zone: &'a str,
-    /// Processor that it has, in thousandths of a core.
+    /// Processing power.
     pub millicores: Millicores,
 }
 
-/// Processor that an instance has, in thousandths of a core; zero where it is not known.
+/// Processing power of an instance, in thousandths of a core; zero if unknown.
 pub type Millicores = u32;
 
-/// One other instance.
+/// Entry of another instance.
 #[derive(Debug, Clone)]
 struct Entry {
     address: SocketAddr,
     zone: ZoneId,
     millicores: Millicores,
-    /// When it was heard, or else when it was first told of.
+    /// When its last heartbeat was received, or when it was first listed by others if there was
+    /// none.
     since: Time,
     heard: bool,
-    /// Its demand, as it told last.
+    /// Demand that it reported last.
     demand: Vec<PoolDemand>,
 }
 
 impl Entry {
-    /// Tells whether the instance was heard within a time.
+    /// Returns whether a heartbeat was received within `time`.
     fn heard_within(&self, now: Time, time: Duration) -> bool {
         self.heard && self.since + time > now
     }
 
-    /// Tells whether the instance was heard a short while ago.
+    /// Returns whether the instance is live.
     fn is_live(&self, now: Time) -> bool {
         self.heard_within(now, LIVE_WITHIN)
     }
 }
 
-/// The other instances by name.
+/// Entries by name of the instance.
 type Entries = BTreeMap<InstanceId, Entry>;
 
-/// The other instances.
+/// Directory of the other instances.
 #[derive(Debug)]
 pub struct PeerDirectory {
     me: InstanceId,
     zone: ZoneId,
     millicores: Millicores,
     entries: Mutex<Entries>,
-    /// Where others know this instance.
+    /// Address under which others list this instance.
     listed_address: Mutex<Option<SocketAddr>>,
     listed: AtomicBool,
     first_listed: Notify,
-    /// Counts of the other groups.
+    /// Counts that the leads of other groups reported.
     groups: Mutex<GroupCounts>,
-    /// How many instances there are, as the list or a lead told, and when.
+    /// Number of instances that the instance list or a lead reported.
     reported_size: Mutex<ReportedSize>,
-    /// Instances that said that they stop, and when: others may still tell of them for a while.
+    /// Instances that announced their stop, and when. Others may still list them for a while.
     departed: Mutex<BTreeMap<InstanceId, Time>>,
 }
 
 impl PeerDirectory {
-    /// Makes a book for the instance `me` in `zone`.
+    /// Creates the directory of the instance `me` in `zone`.
     #[must_use]
     pub fn new(me: InstanceId, zone: ZoneId) -> Self {
         Self {
@@ -127,26 +128,27 @@
         }
     }
 
-    /// Sets the processor that this instance has: of those that are heard, the strongest lead.
+    /// Sets the processing power of this instance. Of the live instances, the most powerful ones
+    /// lead.
     #[must_use]
     pub fn with_millicores(mut self, millicores: Millicores) -> Self {
         self.millicores = millicores;
         self
     }
 
-    /// Gives this instance's availability zone.
+    /// Returns the availability zone of this instance.
     #[must_use]
     pub fn zone(&self) -> &str {
         &self.zone
     }
 
-    /// Gives the processor that this instance has.
+    /// Returns the processing power of this instance.
     #[must_use]
     pub fn millicores(&self) -> Millicores {
         self.millicores
     }
 
-    /// Notes that someone told of an instance, if it is to be known here.
+    /// Adds an instance that a peer listed, if it is to be tracked here.
     pub fn add_reported(&self, peer: PeerRecord, now: Time) {
         let kept = self.should_track(&self.lock(), &peer.name, &peer.zone, peer.millicores);
         if kept || peer.name == self.me {
@@ -154,8 +156,8 @@
         }
     }
 
-    /// Notes that the list of instances has one: who read it tells others of all for a while, though it
-    /// need not know them itself.
+    /// Adds an instance of the platform's list. An instance that reads the list serves it to others
+    /// for a while, so it keeps instances that it would not track otherwise.
     pub fn add_listed(&self, peer: PeerRecord, now: Time) {
         if self.departed().contains_key(&peer.name) {
             return;
@@ -188,7 +190,7 @@
         entries.insert(peer.name, entry);
     }
 
-    /// Gives the address at which others know this instance, if anyone told.
+    /// Returns the address under which others list this instance, if any does.
     #[must_use]
     pub fn listed_address(&self) -> Option<SocketAddr> {
         *self
@@ -197,25 +199,25 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes that the platform's list of instances was read.
+    /// Records that the list of instances was received.
     pub fn mark_listed(&self) {
         if !self.listed.swap(true, Ordering::Relaxed) {
             self.first_listed.notify_one();
         }
     }
 
-    /// Waits until the platform's list of instances was read for the first time.
+    /// Waits until the list of instances is received for the first time.
     pub async fn wait_until_listed(&self) {
         self.first_listed.notified().await;
     }
 
-    /// Tells whether the platform's list of instances was read.
+    /// Returns whether the list of instances was received.
     #[must_use]
     pub fn is_listed(&self) -> bool {
         self.listed.load(Ordering::Relaxed)
     }
 
-    /// Notes that an instance was heard.
+    /// Records a heartbeat.
     pub fn record_heartbeat(
         &self,
         word: PeerInfo<'_>,
@@ -231,8 +233,8 @@
         }
     }
 
-    /// Notes that an instance was heard that tells for its group: it is kept whatever stands before it,
-    /// for that has fallen.
+    /// Records a heartbeat of an instance that reports for its group. It is tracked whatever its
+    /// lead priority, since the instances before it must have failed.
     pub fn record_lead_heartbeat(
         &self,
         word: PeerInfo<'_>,
@@ -259,20 +261,21 @@
         }
     }
 
-    /// Notes the demand that an instance told of, which was heard.
+    /// Records the demand reported by a live instance.
     pub fn record_demand(&self, name: &str, demand: Vec<PoolDemand>) {
         if let Some(entry) = self.lock().get_mut(name) {
             entry.demand = demand;
         }
     }
 
-    /// Forgets an instance that said that it stops.
+    /// Removes an instance that announced its stop.
     pub fn forget(&self, name: &str, now: Time) {
         self.lock().remove(name);
         self.departed().insert(name.to_owned(), now);
     }
 
-    /// Forgets instances that have been silent for long; counts the others of the site.
+    /// Removes instances without recent heartbeats and returns the number of other instances of the
+    /// site.
     pub fn sweep(&self, now: Time) -> usize {
         self.departed().retain(|_, at| *at + LIVE_WITHIN > now);
         self.reported_size()
@@ -284,21 +287,21 @@
         self.count(now)
     }
 
-    /// Tells whether any instance was heard a short while ago.
+    /// Returns whether any other instance is live.
     #[must_use]
     pub fn any_live(&self, now: Time) -> bool {
         let entries = self.lock();
         entries.values().any(|e| e.is_live(now))
     }
 
-    /// Gives all instances, by name.
+    /// Returns all known instances, by name.
     #[must_use]
     pub fn known_peers(&self) -> Vec<PeerRecord> {
         let entries = self.lock();
         entries.iter().map(known_peer).collect()
     }
 
-    /// Gives the instances that were heard a short while ago, by name.
+    /// Returns the live instances, by name.
     #[must_use]
     pub fn live_peers(&self, now: Time) -> Vec<PeerRecord> {
         let entries = self.lock();
--- a/crates/firdock-node/src/peer/book/fleet.rs
+++ b/crates/firdock-node/src/peer/book/fleet.rs
@@ -1,5 +1,5 @@
-//! What an instance knows of the others where they are many: its own group, the strongest of each other
-//! one, and how many there are.
+//! Partial directories of large sites: an instance tracks its own group, the most powerful
+//! instances of each other group, and the number of all instances.
 
 use std::sync::{MutexGuard, PoisonError};
 use std::time::Duration;
@@ -10,33 +10,34 @@
 use super::group::{lead_priority_of, strongest_of_zones};
 use super::{Entries, Entry, FORGET_AFTER, Millicores, PeerDirectory, PeerRecord, known_peer};
 
-/// Instances up to which each knows all others. Of more, it knows its own group and the strongest of each
-/// other one, which tell for theirs: what it keeps and tells grows with its group alone.
+/// Number of instances from which directories are partial. An instance then tracks its own group
+/// and the most powerful instances of each other group, which report for the rest, so that memory
+/// and traffic grow with the size of its group only.
 const FULL_BOOK: usize = 400;
-/// Instances of each other group that are known then: its lead, the next one, and two that may follow.
+/// Number of tracked instances of each other group: its lead, the successor, and two spares.
 const STRONGEST: usize = 4;
-/// Time for which one that read the list of instances tells others of all: those that start in the same
-/// moment have asked by then.
+/// Time for which an instance that read the platform's list keeps all listed instances, to serve
+/// the list to others. Instances that start at the same time have queried it by then.
 const TELL_LISTED: Duration = Duration::from_secs(10);
 
-/// How many instances there are, as was told, and when.
+/// Reported number of instances, and when it was reported.
 pub(super) type ReportedSize = Option<(Time, usize)>;
 
 impl PeerDirectory {
-    /// Notes how many instances there are, as the list of them or a lead tells, this one among them.
+    /// Sets the number of instances of the site, including this one, as the instance list or a lead
+    /// reported it.
     pub fn set_site_size(&self, count: usize, now: Time) {
         *self.reported_size() = Some((now, count));
     }
 
-    /// Gives how many instances there are as was told lately; zero where nobody told.
+    /// Returns the number of instances that was reported recently; zero if there is none.
     fn recent_site_size(&self, now: Time) -> usize {
         let told = *self.reported_size();
         let told = told.filter(|(at, _)| *at + FORGET_AFTER > now);
         told.map_or(0, |(_, count)| count)
     }
 
-    /// Tells whether instances are so many that only those of the own group and the strongest of the others
-    /// are known.
+    /// Returns whether the site is so large that the directory is partial.
     #[must_use]
     pub fn is_partial(&self) -> bool {
         let known = self.lock().len();
@@ -48,7 +49,7 @@
         known.max(told) >= FULL_BOOK
     }
 
-    /// Tells whether an instance is to be known here.
+    /// Returns whether an instance is to be tracked here.
     pub(super) fn should_track(
         &self,
         entries: &Entries,
@@ -66,12 +67,12 @@
         before.count() < STRONGEST
     }
 
-    /// Forgets the instances of other groups that need not be known.
+    /// Removes the instances of other groups that need not be tracked.
     pub(super) fn prune(&self, entries: &mut Entries, now: Time) {
         if !self.is_partial_at(entries.len()) {
             return;
         }
-        // Those that fell silent do not keep out the ones that lead in their place.
+        // Silent instances must not displace the live ones that lead in their place.
         let mut kept = strongest_of_zones(entries.iter(), STRONGEST);
         let heard = entries.iter().filter(|(_, e)| e.is_live(now));
         kept.extend(strongest_of_zones(heard, STRONGEST));
@@ -88,15 +89,15 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Counts the instances of this one's group that are known, heard or not, itself among them.
+    /// Returns the number of known instances of this group, live or not, including this one.
     #[must_use]
     pub fn group_size(&self) -> usize {
         let entries = self.lock();
         1 + entries.values().filter(|e| e.zone == self.zone).count()
     }
 
-    /// Counts the instances of all groups, heard or not, this one among them: by what was told of all
-    /// lately, or by the counts of leads where these are more.
+    /// Returns the number of instances of all groups, live or not, including this one: the larger
+    /// of the recently reported number and the sum of the leads' counts.
     #[must_use]
     pub fn site_size(&self, now: Time) -> usize {
         let groups = self.groups();
@@ -108,7 +109,7 @@
         (self.group_size() + others).max(self.recent_site_size(now))
     }
 
-    /// Counts the other instances of the site, whether they are known here or not.
+    /// Returns the number of other instances of the site, whether they are tracked here or not.
     #[must_use]
     pub fn count(&self, now: Time) -> usize {
         let known = self.lock().len();
@@ -119,8 +120,8 @@
         }
     }
 
-    /// Gives the instances that are told to one of `zone`: all that are known, or of many those of its
-    /// zone and the strongest of the others.
+    /// Returns the instances to list to a peer in `zone`: all known ones, or in a partial directory
+    /// those of its zone and the most powerful ones of the others.
     #[must_use]
     pub fn peers_for_zone(&self, zone: &str) -> Vec<PeerRecord> {
         let entries = self.lock();
--- a/crates/firdock-node/src/peer/book/group.rs
+++ b/crates/firdock-node/src/peer/book/group.rs
@@ -1,9 +1,9 @@
-//! Groups of instances: who leads each of them, and what its members tell.
+//! Groups of instances, the election of their leads, and what their members report.
 //!
-//! The instances of one availability zone are a group; where all are few, they are one together.
-//! Of each group, the strongest of those that are heard leads it, the first by name among equals
-//! (`docs/design/peers.md`). Names say nothing of machines: on a site where one in sixteen has four
-//! times the processor of the others, the first by name would be a weak one nearly always.
+//! The instances of an availability zone form a group; on a small site, all instances form a single
+//! one. The live instance with the most processing power leads its group; ties are broken by name
+//! (`docs/design/peers.md`). Election by name alone would nearly always choose a weak instance on a
+//! site where one in sixteen has four times the processing power of the others.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,18 +17,19 @@
 
 use super::{Entries, Entry, Millicores, PeerDirectory, PeerRecord, known_peer};
 
-/// Silence after which an instance neither leads a group nor counts in it: six heartbeats of the
-/// deployments' 200 ms (`deploy/settings.toml`).
+/// Time without heartbeats after which an instance neither leads a group nor counts as a member of
+/// it: six heartbeats at the deployments' interval of 200 ms (`deploy/settings.toml`).
 const PRESENT_WITHIN: Duration = Duration::from_millis(1_200);
-/// Instances of each group that are told everything at once: its lead and the next one, which leads
-/// as soon as the first falls silent.
+/// Instances of each group that receive all reports at once: its lead and the successor, which
+/// takes over as soon as the lead falls silent.
 const LEADS_TOLD: usize = 2;
 
-/// Instances that ask one and the same for what is long at their start: 35 KB for each of nine are 0.36 s of
-/// a link of 10 Mbit/s, and two steps reach the 75 of a zone of 300.
+/// Children of an instance in the tree through which large content is distributed at start. Sending
+/// 35 KB to each of nine children takes 0.36 s on a link of 10 Mbit/s, of which replies use 70 %,
+/// and two levels below the first instance cover the 75 instances of a zone on a site of 300.
 const CHILDREN: usize = 9;
 
-/// How many instances the lead of a group hears and knows of, and when it told.
+/// Live and known instances of a group as its lead reported them, and when.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct GroupCount {
     pub at: Time,
@@ -36,49 +37,49 @@
     pub known: usize,
 }
 
-/// The same by availability zone.
+/// Counts of groups, by availability zone.
 pub(super) type GroupCounts = BTreeMap<ZoneId, GroupCount>;
 
-/// An instance's part in the reading of the platform's store.
+/// Role of an instance in reading the platform's store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReadRole {
     /// Reads for the whole site.
     SiteLead,
-    /// Leads its group: passes on what the site's reader read.
+    /// Leads a group: forwards to it what the site lead read.
     GroupLead,
-    /// Takes what its group's lead tells.
+    /// Receives the content from the lead of its group.
     Member,
-    /// Takes what the site's reader tells, where all instances are one group.
+    /// Receives the content from the site lead, on a site with a single group.
     SingleGroupMember,
 }
 
-/// Where another instance stands to this one.
+/// Relation of another instance to this one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerRelation {
-    /// Its number in the order of names.
+    /// Index in the order of names.
     pub at: usize,
-    /// Whether it is in this one's group.
+    /// Whether it belongs to the same group.
     pub same_group: bool,
-    /// Whether it is among the leads that were asked about.
+    /// Whether it is one of the given leads.
     pub lead: bool,
 }
 
-/// An instance's place in the order in which instances lead.
+/// Sort key of the election; the smallest one leads.
 type LeadPriority<'a> = (Reverse<Millicores>, &'a str);
 
-/// An instance's part in the reading of the platform's store, and its turn among its like.
+/// Role of an instance in reading the platform's store, and its position within its group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReadTurn {
-    /// Part.
+    /// Role.
     pub role: ReadRole,
-    /// Instances of its group that have their turn before it.
+    /// Number of instances of the group whose turn comes before.
     pub index: usize,
-    /// Instances of its group, itself among them.
+    /// Number of instances of the group, including this one.
     pub group_size: usize,
 }
 
 impl ReadTurn {
-    /// Makes the turn of an instance that hears no other.
+    /// Returns the turn of an instance without live peers.
     #[must_use]
     pub fn alone() -> Self {
         Self {
@@ -98,19 +99,19 @@
 }
 
 impl Entry {
-    /// Tells whether the instance was heard within a few heartbeats.
+    /// Returns whether the instance counts as a present member of its group.
     fn is_present(&self, now: Time) -> bool {
         self.heard_within(now, PRESENT_WITHIN)
     }
 }
 
-/// Goes over the instances that were heard within a few heartbeats, by name.
+/// Iterates over the present instances, by name.
 fn present(entries: &Entries, now: Time) -> impl Iterator<Item = (&InstanceId, &Entry)> {
     entries.iter().filter(move |(_, e)| e.is_present(now))
 }
 
 impl PeerDirectory {
-    /// Gives the demand of this one's group by pool, with `own` as this instance's.
+    /// Returns the demand of this group by pool, given the demand `own` of this instance.
     #[must_use]
     pub fn group_demand(&self, now: Time, own: &[PoolDemand]) -> Vec<PoolDemand> {
         let entries = self.lock();
@@ -127,10 +128,10 @@
         sums.into_iter().map(sum).collect()
     }
 
-    /// Gives this instance's part in the reading of the store.
+    /// Returns this instance's turn in reading the store.
     ///
-    /// The lead of each group hears of what was read and passes it on. The first of the leads reads
-    /// for the whole site.
+    /// The first of the group leads reads for the whole site. The lead of each group receives what
+    /// was read and forwards it.
     #[must_use]
     pub fn read_turn(&self, now: Time) -> ReadTurn {
         let entries = self.lock();
@@ -143,7 +144,7 @@
             let leads = before && peer.1.is_present(now);
             led_site |= leads;
             led_group |= leads && grouped;
-            // Members of a larger group hear each other every few seconds only.
+            // Members of a larger group exchange heartbeats only every few seconds.
             index += usize::from(before && grouped);
             group_size += usize::from(grouped);
         }
@@ -164,7 +165,7 @@
         (Reverse(self.millicores), self.me.as_str())
     }
 
-    /// Tells whether this instance leads its group.
+    /// Returns whether this instance leads its group.
     #[must_use]
     pub fn is_lead(&self, now: Time) -> bool {
         matches!(
@@ -173,22 +174,21 @@
         )
     }
 
-    /// Gives the first instances of each group that are heard: its lead, and the one that takes over
-    /// from it.
+    /// Returns the lead and the successor of each group, of the live instances.
     #[must_use]
     pub fn group_leads(&self, now: Time) -> BTreeSet<InstanceId> {
         let entries = self.lock();
         strongest_of_zones(entries.iter().filter(|(_, e)| e.is_live(now)), LEADS_TOLD)
     }
 
-    /// Gives the first instances of each availability zone by what is known of them, heard or not.
+    /// Returns the likely lead and successor of each availability zone, of all known instances.
     #[must_use]
     pub fn likely_group_leads(&self) -> BTreeSet<InstanceId> {
         strongest_of_zones(self.lock().iter(), LEADS_TOLD)
     }
 
-    /// Tells whether this instance tells its group of the site: its lead does, and the one that takes
-    /// over from it.
+    /// Returns whether this instance reports to its group on the whole site: its lead and the
+    /// successor do.
     #[must_use]
     pub fn is_reporter(&self, now: Time) -> bool {
         let entries = self.lock();
@@ -197,14 +197,14 @@
         before.count() < LEADS_TOLD
     }
 
-    /// Counts the instances of this one's group that are heard, itself among them.
+    /// Returns the number of present instances of this group, including this one.
     #[must_use]
     pub fn group_live(&self, now: Time) -> usize {
         let entries = self.lock();
         1 + self.present_in_zone(&entries, now).count()
     }
 
-    /// Notes how many instances of another group its lead hears, and knows of.
+    /// Records the live and known instances of another group as its lead reported them.
     pub fn record_group(&self, zone: &str, live: usize, known: usize, now: Time) {
         let count = GroupCount {
             at: now,
@@ -214,7 +214,7 @@
         self.groups().insert(zone.to_owned(), count);
     }
 
-    /// Counts the instances of all groups that their leads hear.
+    /// Returns the number of live instances of all groups, as reported by their leads.
     #[must_use]
     pub fn site_live(&self, now: Time) -> usize {
         let groups = self.groups();
@@ -225,8 +225,8 @@
         self.group_live(now) + others
     }
 
-    /// Gives the first instance of this one's group, of those that are heard and `open`, with whether
-    /// it goes before this one; this instance itself is left out.
+    /// Returns the first present instance of this group for which `open` holds, other than this
+    /// one, and whether it precedes this one.
     pub fn first_of_group(
         &self,
         now: Time,
@@ -241,8 +241,9 @@
         Some((known_peer(first), before))
     }
 
-    /// Gives whom this instance asks at its start for what is long, nearest first: those above it in the
-    /// tree that the instances of its zone make by their standing. Nobody is above the first one.
+    /// Returns the instances that this one queries for large content at start, nearest first: its
+    /// ancestors in the tree of its zone, which is built in the order of lead priority. The first
+    /// instance of a zone has none.
     #[must_use]
     pub fn ancestors(&self) -> Vec<PeerRecord> {
         let entries = self.lock();
@@ -260,26 +261,27 @@
         above
     }
 
-    /// Tells whether instances are so few that all of them are one group.
+    /// Returns whether the site is so small that all instances form a single group.
     #[must_use]
     pub fn is_single_group(&self) -> bool {
         self.is_single_group_of(&self.lock())
     }
 
-    /// Tells the same by those that are known here, if these are all.
+    /// Returns the same for the given entries.
     fn is_single_group_of(&self, entries: &Entries) -> bool {
         entries.len() < SINGLE_GROUP_LIMIT && !self.is_partial_at(entries.len())
     }
 
-    /// Tells whether an availability zone is this instance's.
+    /// Returns whether `zone` is the availability zone of this instance.
     #[must_use]
     pub fn is_own_zone(&self, zone: &str) -> bool {
         zone == self.zone
     }
 
-    /// Gives the instances that are `wanted` by their places, with those.
+    /// Returns the instances whose relation is `wanted`.
     ///
-    /// Of a thousand, few get something at any one moment; the others are not copied.
+    /// On a site with a thousand instances, only few are selected at any time; the others are not
+    /// copied.
     pub fn pick(
         &self,
         leads: &BTreeSet<InstanceId>,
@@ -301,8 +303,7 @@
             .collect()
     }
 
-    /// Goes over the instances of this one's availability zone that were heard within a few
-    /// heartbeats, by name.
+    /// Iterates over the present instances of this availability zone, by name.
     fn present_in_zone<'a>(
         &'a self,
         entries: &'a Entries,
@@ -316,7 +317,7 @@
     }
 }
 
-/// Gives so many instances of each availability zone, those that stand first.
+/// Returns the first `count` instances of each availability zone, by lead priority.
 pub(super) fn strongest_of_zones<'a>(
     peers: impl Iterator<Item = (&'a InstanceId, &'a Entry)>,
     count: usize,
--- a/crates/firdock-node/src/peer/reads.rs
+++ b/crates/firdock-node/src/peer/reads.rs
@@ -1,12 +1,13 @@
-//! Reads of the platform's store that instances share, so that not each of them has to read.
+//! Shared reads of the platform's store, so that not every instance has to read it.
 //!
-//! An instance that read tells its peers what it found, and when. A peer that knows the same records
-//! knows then that they were the newest at that time; one that knows fewer asks for them.
+//! An instance that reads the store reports to its peers what it found, and when. A peer with the
+//! same records then knows that these were the newest at that time; one with fewer records queries
+//! the rest.
 //!
-//! Times are told by the sender's clock. The receiver places them on its own by a bound from one
-//! exchange: an answer is sent after its question, so the sender's clock at the answer stands for no
-//! earlier time than that of the question. A process that stood still cannot take an old word for a
-//! new one by it (see `docs/design/sharing.md`).
+//! Times are reported by the sender's clock. The receiver converts them by a bound from one
+//! exchange: a reply is sent after its query, so the sender's clock at the reply corresponds to no
+//! earlier time than that of the query. The conversion therefore never makes a report look newer
+//! than it is, even if a process was suspended (see `docs/design/sharing.md`).
 
 mod clocks;
 mod due;
@@ -28,43 +29,44 @@
 use super::topic::{Topic, TopicRecords, TopicSnapshot};
 use crate::clock::Clock;
 
-/// Age of what is known beyond which every peer's word counts, and not that of leads alone: a read
-/// each 0.6 s, and two heartbeats on its way.
+/// Age of the read state beyond which reports of all peers are used and not those of leads alone: a
+/// read every 0.6 s, and two heartbeats to forward it.
 const AGING: Duration = Duration::from_millis(1_100);
-/// Words of peers that may wait to be taken; beyond, the store is read.
+/// Maximum number of peers' records waiting to be applied; records beyond that are dropped, and the
+/// store is read instead.
 const MAX_TOLD: usize = 64;
 
-/// What an instance knows to be the newest.
+/// Newest state of the store that an instance knows.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ReadState {
     /// Version of the configuration.
     pub version: Version,
-    /// Offset after the last record of the configuration's topic: not every record there is a new
+    /// Offset after the last record of the configuration topic; not every record there is a new
     /// version of the configuration.
     pub config_next: Offset,
     /// Offset after the last record of the list of endpoints.
     pub endpoints_next: Offset,
-    /// When the configuration was the newest.
+    /// When the configuration was known to be the newest.
     pub config_at: Time,
-    /// When the list of endpoints was the newest.
+    /// When the list of endpoints was known to be the newest.
     pub endpoints_at: Time,
-    /// Since when the list of endpoints has been read without an outage of it; zero where that was
-    /// not told.
+    /// Since when the list of endpoints has been read without an outage; zero if not reported.
     pub steady_since: Time,
 }
 
-/// What follows from a peer's word.
+/// What follows from merging a peer's report.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct MergeOutcome {
-    /// The configuration in force here was the newest at this time.
+    /// Time at which the configuration in force here was the newest, if the report confirms a later
+    /// one.
     pub fresh: Option<Time>,
-    /// The peer's clock has to be asked for before its word is of use.
+    /// The peer's clock has to be queried before its report is of use.
     pub ask_clock: bool,
-    /// The peer has something newer, and is to be asked for it.
+    /// The peer has newer content, which is to be queried.
     pub ask_state: bool,
 }
 
-/// The reads of this instance, with what its peers told of theirs.
+/// Read state of this instance, merged with the reports of its peers.
 #[derive(Debug, Default)]
 pub struct SharedReads {
     inner: Mutex<Inner>,
@@ -73,46 +75,47 @@
 }
 
 impl SharedReads {
-    /// Lets peers be asked at the start before the store is.
+    /// Sets whether peers are queried at start before the store is read.
     #[must_use]
     pub fn with_asks_peers_first(self, asks: bool) -> Self {
         self.lock().asks_peers_first = asks;
         self
     }
 
-    /// Tells whether peers are asked at the start before the store is.
+    /// Returns whether peers are queried at start before the store is read.
     #[must_use]
     pub fn asks_peers_first(&self) -> bool {
         self.lock().asks_peers_first
     }
 
-    /// Notes that what peers know of the store is so long that it comes from the own zone.
+    /// Records that the content of the store is so large that it has to be queried from the own
+    /// zone.
     pub fn note_large(&self) {
         self.lock().large = true;
         self.changed.notify_one();
         self.known.notify_one();
     }
 
-    /// Tells whether it is.
+    /// Returns whether the content has to be queried from the own zone.
     #[must_use]
     pub fn is_large(&self) -> bool {
         self.lock().large
     }
 
-    /// Notes that a peer that was asked at the start will answer, and that many asked before.
+    /// Records that a peer queried at start has announced a delayed reply.
     pub fn note_queued(&self, now: Time) {
         self.lock().queued_at = Some(now);
         self.changed.notify_one();
         self.known.notify_one();
     }
 
-    /// Gives until when the answer of a peer is waited for that many asked before, if there is one.
+    /// Returns until when a delayed reply is awaited, if one was announced.
     #[must_use]
     pub fn queued_until(&self) -> Option<Time> {
         self.lock().queued_until()
     }
 
-    /// Tells whether an instance that just started still waits for its peers' answer.
+    /// Returns whether a newly started instance still waits for the reply of a peer.
     #[must_use]
     pub fn awaits_reply(&self, now: Time) -> bool {
         let inner = self.lock();
@@ -120,7 +123,7 @@
         until.is_none_or(|until| now < until)
     }
 
-    /// Notes what this instance read; times never go back, and a time of zero stands for what was not
+    /// Records a read of the store. Times only move forward; a zero time means that a topic was not
     /// read.
     pub fn record_read(&self, now: Time, reads: ReadState) {
         let mut inner = self.lock();
@@ -131,38 +134,39 @@
         self.known.notify_one();
     }
 
-    /// Notes what this instance took from its peers' words, likewise.
+    /// Records the read state after applying records of peers, like `record_read`.
     pub fn record_from_peers(&self, reads: ReadState) {
         self.lock().take(reads);
         self.known.notify_one();
     }
 
-    /// Waits until more is known of the store than before.
+    /// Waits until the read state changes.
     pub async fn wait_for_change(&self) {
         self.known.notified().await;
     }
 
-    /// Tells whether enough is known to answer a peer: both topics were read or told.
+    /// Returns whether both topics are known, so that peers' queries can be answered.
     #[must_use]
     pub fn is_known(&self) -> bool {
         let own = self.own();
         own.config_at > Time::ZERO && own.endpoints_at > Time::ZERO
     }
 
-    /// Tells whether what is known has grown older than a peer's word lets it be in calm times.
+    /// Returns whether the read state is older than peers' reports normally let it get.
     #[must_use]
     pub fn is_aging(&self, now: Time) -> bool {
         let own = self.own();
         own.config_at.min(own.endpoints_at) + AGING < now
     }
 
-    /// Gives when the list of endpoints was first read after its last outage, if it is read at `at`.
+    /// Returns when the list of endpoints was first read after its last outage, given a read at
+    /// `at`.
     #[must_use]
     pub fn steady_since(&self, at: Time) -> Time {
         self.lock().steady_since(at)
     }
 
-    /// Keeps records as they stand in the store, to be passed on; gives what changed by them.
+    /// Stores records in the topic's snapshot and returns the changes, to be forwarded.
     pub fn apply_records(&self, new: &TopicRecords) -> Option<TopicRecords> {
         let mut inner = self.lock();
         let slot = inner.snapshots.of(new.topic);
@@ -170,7 +174,7 @@
         slot.get_or_insert_default().take(new, known)
     }
 
-    /// Gives the topics as they stand in the store, for a peer that asks.
+    /// Returns the snapshots of the topics, for a peer's query.
     #[must_use]
     pub fn snapshots(&self) -> Vec<(Topic, TopicSnapshot)> {
         let mut inner = self.lock();
@@ -184,7 +188,8 @@
         Topic::ALL.into_iter().filter_map(image).collect()
     }
 
-    /// Takes changes that a peer read, whose times are by its own clock, unless that is not known.
+    /// Queues changes that a peer read. They are dropped if there is no bound on its clock, since
+    /// their times cannot be converted then.
     pub fn merge_changes(&self, teller: &PeerProcess, changes: TopicRecords) {
         let inner = self.lock();
         let Some(bound) = inner.clocks.get(&teller.name, teller.incarnation) else {
@@ -194,7 +199,7 @@
         self.queue(inner, vec![TopicRecords { read_at, ..changes }]);
     }
 
-    /// Takes a peer's answer to a question.
+    /// Queues the records of a peer's reply.
     pub fn merge_reply(&self, answer: StateReply) {
         let PeerProcess { name, incarnation } = &answer.teller;
         self.take_clock(name, *incarnation, answer.asked, answer.clock);
@@ -218,8 +223,8 @@
         self.changed.notify_one();
     }
 
-    /// Notes that changes that were told do not follow on what is known here, so that peers are asked
-    /// for the whole.
+    /// Records that a peer's changes are not contiguous with the known records, so that a complete
+    /// snapshot is queried.
     pub fn record_gap(&self, now: Time, topic: Topic) {
         let mut inner = self.lock();
         match topic {
@@ -230,13 +235,13 @@
         self.changed.notify_one();
     }
 
-    /// Gives what peers told, to be taken.
+    /// Takes the queued records of peers.
     #[must_use]
     pub fn take_peer_records(&self) -> Vec<TopicRecords> {
         std::mem::take(&mut self.lock().told)
     }
 
-    /// Notes that a read failed, and for how long nothing is read again.
+    /// Records a failed read; the store is not read again during `pause`.
     pub fn record_failure(&self, now: Time, pause: Duration) {
         let mut inner = self.lock();
         inner.read_at = now;
@@ -244,19 +249,19 @@
         inner.held_until = now + pause;
     }
 
-    /// Gives what this instance knows.
+    /// Returns the read state of this instance.
     #[must_use]
     pub fn own(&self) -> ReadState {
         self.lock().own
     }
 
-    /// Takes a peer's word, whose times are by its own clock.
+    /// Merges a peer's report, whose times are by the peer's clock.
     #[must_use]
     pub fn merge_report(&self, now: Time, teller: &PeerProcess, told: ReadState) -> MergeOutcome {
         let mut inner = self.lock();
         let ask_state = inner.hear_news(now, told);
         let Some(bound) = inner.clocks.get(&teller.name, teller.incarnation) else {
-            // An answer to the question for what it knows tells its clock as well.
+            // The reply to a state query contains the peer's clock as well.
             return MergeOutcome {
                 fresh: None,
                 ask_clock: !ask_state,
@@ -278,20 +283,21 @@
         }
     }
 
-    /// Takes a peer's clock, which it told after this instance asked at `asked`.
+    /// Records a peer's clock from the reply to a query that was sent at `asked`.
     pub fn take_clock(&self, peer: &str, incarnation: Uuid, asked: Time, clock: Time) {
         self.lock().clocks.take(peer, incarnation, asked, clock);
     }
 
-    /// Gives what is due now, and when to look again if nothing is and no peer tells anything.
+    /// Returns what is due now, and when to check again if nothing is due and no report arrives.
     #[must_use]
     pub fn due_at(&self, now: Time, pause: Duration, read_turn: ReadTurn) -> (DueReads, Time) {
         self.lock().due(now, pause, read_turn)
     }
 
-    /// Waits until this instance has to read, or a peer told something; tells what.
+    /// Waits until this instance has to read the store or records of peers arrive, and returns
+    /// which.
     ///
-    /// `turn` gives this instance's part in the reading.
+    /// `turn` returns this instance's turn in reading the store.
     pub async fn due(
         &self,
         clock: Clock,
--- a/crates/firdock-node/src/peer/reads/clocks.rs
+++ b/crates/firdock-node/src/peer/reads/clocks.rs
@@ -1,7 +1,7 @@
-//! Bounds on peers' clocks, by which times that they tell are placed on the own one.
+//! Bounds on peers' clocks, used to convert reported times to the local clock.
 //!
-//! An answer is sent after its question, so that the peer's clock at the answer stands for no
-//! earlier time than that of the question.
+//! A reply is sent after its query, so the peer's clock at the reply corresponds to no earlier time
+//! than that of the query.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 use firdock_policy::table::peer::MAX_PEERS;
 use uuid::Uuid;
 
-/// Bound on a peer's clock: its `theirs` stands for no earlier time than `ours`.
+/// Bound on a peer's clock: its time `theirs` corresponds to no earlier local time than `ours`.
 #[derive(Debug, Clone, Copy)]
 pub struct ClockBound {
     incarnation: Uuid,
@@ -19,13 +19,13 @@
 }
 
 impl ClockBound {
-    /// Gives an earliest time of ours for a time of theirs.
+    /// Returns the earliest local time that corresponds to a time of the peer.
     fn earliest(&self, at: Time) -> Time {
         (at + self.ours).saturating_sub(self.theirs)
     }
 
-    /// Places a time of theirs on the own clock, by the earliest that it can be; zero stands for what
-    /// never was, and stays.
+    /// Converts a time of the peer to the earliest corresponding local time. Zero means "never" and
+    /// stays zero.
     pub fn place(&self, at: Time) -> Time {
         if at == Time::ZERO {
             at
@@ -35,21 +35,21 @@
     }
 }
 
-/// Bounds on the clocks of all peers that were asked.
+/// Clock bounds of all peers that were queried.
 #[derive(Debug, Default)]
 pub struct PeerClocks {
     bounds: BTreeMap<InstanceId, ClockBound>,
 }
 
 impl PeerClocks {
-    /// Gives the bound on a peer's clock; `None` where this start of it was not asked yet.
+    /// Returns the bound on a peer's clock; `None` if this incarnation was not queried yet.
     pub fn get(&self, peer: &str, incarnation: Uuid) -> Option<ClockBound> {
         let bound = self.bounds.get(peer).copied();
         bound.filter(|b| b.incarnation == incarnation)
     }
 
-    /// Takes a peer's clock, which it told after it was asked at `asked`, where that says more than
-    /// what is known.
+    /// Records a peer's clock from the reply to a query sent at `asked`, if that tightens the known
+    /// bound.
     pub fn take(&mut self, peer: &str, incarnation: Uuid, asked: Time, clock: Time) {
         let new = ClockBound {
             incarnation,
@@ -58,7 +58,7 @@
         };
         let known = self.get(peer, incarnation);
         if self.bounds.len() >= MAX_PEERS && !self.bounds.contains_key(peer) {
-            // Most are long gone; those that live are asked once more.
+            // Most entries are of peers long gone; live peers are queried again.
             self.bounds.clear();
         }
         if known.is_none_or(|old| new.earliest(clock) > old.earliest(clock)) {
--- a/crates/firdock-node/src/peer/reads/due.rs
+++ b/crates/firdock-node/src/peer/reads/due.rs
@@ -1,9 +1,9 @@
-//! When an instance reads the platform's store for itself, and why.
+//! Decides when an instance reads the platform's store itself, and why.
 //!
-//! One instance reads for all; the others hear of it. Where that falls silent, the others take turns, so
-//! that an outage costs a few tries a second of each group, and not several of each instance: on a
-//! site of 295 instances, a store that reset connections for eight seconds was called 13,800 times a day
-//! where each tried by itself.
+//! One instance reads for the whole site and the others receive its reports. If it falls silent,
+//! the others take turns, so that an outage of the store costs a few attempts per second and group
+//! rather than several per instance: without turns, on a site of 295 instances, a store that reset
+//! all connections for eight seconds was called 13,800 times a day.
 
 use std::time::Duration;
 
@@ -11,53 +11,54 @@
 
 use crate::peer::book::{ReadRole, ReadTurn};
 
-/// Least time between two reads, however often peers tell of news.
+/// Minimum time between two reads, however often peers report newer content.
 const LEAST_PAUSE: Duration = Duration::from_millis(150);
-/// How much longer than the site's reader an instance waits before it reads for itself, as a multiple
-/// of the pause between reads: what was read comes one heartbeat later, and to members of a group
-/// by one more.
+/// Age of the read state at which other instances read themselves, as a multiple of the site lead's
+/// read interval. A report arrives one heartbeat after the read, and at members of a group another
+/// one later.
 const PATIENCE: f64 = 2.0;
-/// The same for members of a group of a larger site.
+/// The same for the members of a group on a larger site.
 const MEMBER_PATIENCE: f64 = 3.0;
-/// Time between the turns of two instances of a group whose reader fell silent: several times what a
-/// read takes, and its news the way to the next one.
+/// Time between the turns of two instances of a group whose lead fell silent: several times what a
+/// read takes, including the report of it to the next instance.
 const TURN_PAUSE: Duration = Duration::from_millis(100);
-/// Time over which the turns of all instances of a small site are spread: they have less time to take
-/// a change over, and few cost little.
+/// Time over which the turns of all instances of a small site are spread. It is short, since they
+/// have less time to pick up a change and few attempts cost little.
 const SMALL_SPREAD: Duration = Duration::from_millis(400);
-/// Time in which a peer that told of something newer is asked for it, and once more, before the store
-/// is read: two heartbeats.
+/// Time for querying a peer that reported newer content, and a second time, before the store is
+/// read: two heartbeats.
 const NEWS_PATIENCE: Duration = Duration::from_millis(400);
-/// Time for which an instance that starts waits for its peers' answer: three of them are asked, each
-/// after the other, and may have started in the same moment. After a fall of all 295 instances of a
-/// site, the last had its answer after 386 ms; half a second was too short for a third of them at the
-/// first start of all, when those that are asked have to find each other as well.
+/// Time that a starting instance waits for a reply. Three seeds are queried one after another and
+/// may have started at the same time. After a crash of all 295 instances of a site, the last reply
+/// arrived after 386 ms. At the very first start, when the seeds must find each other as well, 500
+/// ms was too short for a third of the instances.
 const START_PATIENCE: Duration = Duration::from_millis(800);
 
-/// The same where what is known of the store is long: it passes down a tree of each zone, by reckoning within
-/// 2 s for 3,000 endpoints over links of 10 Mbit/s. The store would take as long to send it to all, and is
-/// paid for each.
+/// The same if the content of the store is large. It is distributed through a tree in each zone, by
+/// calculation within 2 s for 3,000 endpoints on links of 10 Mbit/s. Sending it to all instances
+/// would take the store as long, and each call is billed.
 const LARGE_PATIENCE: Duration = Duration::from_millis(3_500);
 
-/// Time for which it waits for a peer that said that many asked before: a thousand are told the instances of
-/// their zone, 4 KB each, by three that have links of 20 Mbit/s in 0.8 s, after these read the store.
+/// Time that it waits after a peer announced a delayed reply. Three seeds with links of 20 Mbit/s
+/// send a thousand instances the list of their zone, 4 KB each, in 0.8 s, after they have read the
+/// store themselves.
 pub(super) const QUEUE_PATIENCE: Duration = Duration::from_millis(2_500);
 
-/// Why an instance reads the store for itself.
+/// Why an instance reads the store itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum ReadReason {
-    /// It just started, and no peer told it.
+    /// It has just started, and no peer replied.
     Start,
     /// It reads for the others.
     Turn,
-    /// Nothing was heard of those that read.
+    /// No report of a recent read arrived.
     Silence,
-    /// A peer has something newer, and did not pass it on.
+    /// A peer reported newer content but did not send it.
     PeerAhead,
 }
 
 impl ReadReason {
-    /// Gives the name that the line in the log and the metric have.
+    /// Returns the name used in logs and metrics.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -72,46 +73,46 @@
 /// What an instance has to read, and why.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct DueReads {
-    /// The configuration.
+    /// Configuration.
     pub config: Option<ReadReason>,
-    /// The list of endpoints.
+    /// List of endpoints.
     pub endpoints: Option<ReadReason>,
-    /// Nothing of the store's: a peer told what it knows.
+    /// Records of peers are to be applied instead of reading the store.
     pub from_peers: bool,
 }
 
 impl DueReads {
-    /// Only what a peer told.
+    /// Records of peers only.
     pub const FROM_PEERS: Self = Self {
         config: None,
         endpoints: None,
         from_peers: true,
     };
 
-    /// Everything, as at a start.
+    /// Everything, at start.
     pub(super) const START: Self = Self {
         config: Some(ReadReason::Start),
         endpoints: Some(ReadReason::Start),
         from_peers: false,
     };
 
-    /// Tells whether anything is due.
+    /// Returns whether anything is due.
     pub(super) fn any(self) -> bool {
         self.config.is_some() || self.endpoints.is_some() || self.from_peers
     }
 }
 
-/// What is known of one topic, as far as the next read of it goes by it.
+/// Age of a topic, which determines its next read.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct TopicAge {
-    /// When it was the newest.
+    /// When it was known to be the newest.
     pub fresh_at: Time,
-    /// Since when a peer has something newer.
+    /// Since when a peer has had newer content.
     pub news_since: Option<Time>,
 }
 
 impl TopicAge {
-    /// Gives when the topic is to be read, and why, if nothing else is heard until then.
+    /// Returns when and why the topic is to be read if no further report arrives.
     pub(super) fn next_read(
         &self,
         pause: Duration,
@@ -139,13 +140,13 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct LastRead {
     pub at: Time,
-    /// When it failed, if it did.
+    /// Time of the failure, if it failed.
     pub failed_at: Option<Time>,
 }
 
 impl LastRead {
-    /// Gives when an instance that hears of no read may read for itself: while all fail, each of a
-    /// larger group waits for the turns of the others.
+    /// Returns when an instance without reports may read itself. While all reads fail, each member
+    /// of a larger group waits until the others had their turns.
     fn next_turn(self, pause: Duration, read_turn: ReadTurn) -> Time {
         match self.failed_at {
             None => self.at + LEAST_PAUSE,
@@ -157,7 +158,7 @@
     }
 }
 
-/// Gives the age at which an instance reads a topic for itself.
+/// Returns the age at which an instance reads a topic itself.
 fn patience(pause: Duration, read_turn: ReadTurn) -> Duration {
     match read_turn.role {
         ReadRole::SiteLead => pause,
@@ -170,7 +171,7 @@
     }
 }
 
-/// Gives until when an instance that started at `started` waits for its peers' answer.
+/// Returns until when an instance started at `started` waits for a reply.
 pub(super) fn start_by(started: Time, asks: bool, large: bool) -> Time {
     match (asks, large) {
         (false, _) => started,
--- a/crates/firdock-node/src/peer/reads/state.rs
+++ b/crates/firdock-node/src/peer/reads/state.rs
@@ -1,4 +1,4 @@
-//! What an instance knows of the platform's store and from whom, and what is due by that.
+//! What an instance knows of the platform's store, and what is due because of that.
 
 use std::time::Duration;
 
@@ -10,13 +10,14 @@
 use crate::peer::book::ReadTurn;
 use crate::peer::topic::{Topic, TopicRecords, TopicSnapshot};
 
-/// Time in which no instance read the list of endpoints that counts as an outage of it: longer
-/// than an instance waits for its peers' words, shorter than entries live without being renewed.
+/// Time without any instance reading the list of endpoints that counts as an outage: longer than an
+/// instance waits for its peers' reports, shorter than the lifetime of entries that are not
+/// renewed.
 const OUTAGE: Duration = Duration::from_millis(2_200);
-/// Least time between two questions for what a peer has newer: its answer takes a few milliseconds,
-/// and comes to all that ask at once within some hundred.
+/// Minimum time between two queries for newer content. A reply takes a few milliseconds; if all
+/// instances query at once, the last reply arrives within some hundred.
 const ASK_PAUSE: Duration = Duration::from_millis(150);
-/// What is known of the topics, as it stands in the store.
+/// Snapshots of the topics.
 #[derive(Debug, Default)]
 pub(super) struct Snapshots {
     config: Option<TopicSnapshot>,
@@ -32,27 +33,27 @@
     }
 }
 
-/// What an instance knows, and what follows from it.
+/// State behind [`SharedReads`](super::SharedReads).
 #[derive(Debug, Default)]
 pub(super) struct Inner {
     pub(super) own: ReadState,
     pub(super) read_at: Time,
-    /// When the last read failed, if it did, and until when nothing is read again.
+    /// Time of the last read if it failed, and until when the store is not read again.
     pub(super) failed_at: Option<Time>,
     pub(super) held_until: Time,
-    /// Whether peers are asked before the store is, at the start.
+    /// Whether peers are queried at start before the store is read.
     pub(super) asks_peers_first: bool,
-    /// Whether what is known of the store is so long that it comes from the own zone at the start.
+    /// Whether the content is so large that it is queried from the own zone at start.
     pub(super) large: bool,
-    /// When a peer that was asked at the start said that many had asked before.
+    /// When a peer queried at start announced a delayed reply.
     pub(super) queued_at: Option<Time>,
-    /// When the instance began to look for what is due.
+    /// When the instance first checked what is due.
     pub(super) started: Option<Time>,
-    /// When a peer was last asked for what it has newer.
+    /// When a peer was last queried for newer content.
     pub(super) asked_at: Time,
     pub(super) config_news: Option<Time>,
     pub(super) endpoints_news: Option<Time>,
-    /// What peers told, to be taken.
+    /// Records received from peers, to be applied.
     pub(super) told: Vec<TopicRecords>,
     pub(super) snapshots: Snapshots,
     pub(super) clocks: PeerClocks,
@@ -68,10 +69,11 @@
         }
     }
 
-    /// Takes a peer's word on the last outage, by times of the own clock.
+    /// Merges a peer's report on the last outage, with times converted to the local clock.
     ///
-    /// An instance that was cut off alone saw no read for as long, while the list was read by others
-    /// and endpoints renewed their entries. What differs by less than an outage is the clocks' doing.
+    /// An instance that was disconnected by itself saw no read for the length of an outage, while
+    /// others read the list and endpoints renewed their entries. Differences shorter than an outage
+    /// come from the conversion of clocks.
     pub(super) fn hear_steady(&mut self, told: ReadState) {
         let own = self.own.steady_since;
         let known = told.steady_since > Time::ZERO;
@@ -81,7 +83,7 @@
         }
     }
 
-    /// Gives what is due now, and when to look again if nothing is.
+    /// Returns what is due now, and when to check again if nothing is.
     pub(super) fn due(
         &mut self,
         now: Time,
@@ -118,13 +120,13 @@
         (due, config_by.min(endpoints_by))
     }
 
-    /// Gives until when an instance that began at `started` waits for its peers' answer.
+    /// Returns until when an instance started at `started` waits for a reply.
     pub(super) fn start_by(&self, started: Time) -> Time {
         let by = start_by(started, self.asks_peers_first, self.large);
         by.max(self.queued_until().unwrap_or(by))
     }
 
-    /// Gives until when it waits for the answer of a peer that many asked before.
+    /// Returns until when a delayed reply is awaited.
     pub(super) fn queued_until(&self) -> Option<Time> {
         self.queued_at.map(|at| at + QUEUE_PATIENCE)
     }
@@ -143,7 +145,7 @@
         }
     }
 
-    /// Notes what a peer has newer; tells whether it is to be asked for that now.
+    /// Records newer content at a peer and returns whether to query it now.
     pub(super) fn hear_news(&mut self, now: Time, told: ReadState) -> bool {
         let config = told.version > self.own.version || told.config_next > self.own.config_next;
         let endpoints = told.endpoints_next > self.own.endpoints_next;
@@ -161,12 +163,12 @@
         asks
     }
 
-    /// Takes over when a peer found what is known here to be the newest; gives that time for the
-    /// configuration, if it is later than what was known.
+    /// Updates the times of the read state if a peer confirms the content known here. Returns the
+    /// time for the configuration if it is later than the known one.
     pub(super) fn confirm(&mut self, told: ReadState) -> Option<Time> {
         let known = self.own.endpoints_at > Time::ZERO && told.endpoints_at > Time::ZERO;
         if known && self.own.endpoints_next >= told.endpoints_next {
-            // What is known here holds all that the peer saw.
+            // All records that the peer knows are known here.
             self.see_endpoints(told.endpoints_at);
         }
         let same_config = self.own.config_at > Time::ZERO
@@ -179,7 +181,7 @@
         (self.own.version > 0).then_some(told.config_at)
     }
 
-    /// Takes what was read or told, by times of the own clock.
+    /// Merges the state after a read or after applying records, with times by the local clock.
     pub(super) fn take(&mut self, reads: ReadState) {
         self.own.version = reads.version;
         self.own.config_next = reads.config_next;
@@ -194,7 +196,7 @@
         }
     }
 
-    /// Takes it that the list of endpoints was the newest at `at`.
+    /// Records that the list of endpoints was the newest at `at`.
     fn see_endpoints(&mut self, at: Time) {
         self.own.steady_since = self.steady_since(at);
         self.own.endpoints_at = self.own.endpoints_at.max(at);
