--- a/crates/firdock-node/src/peer/dial.rs
+++ b/crates/firdock-node/src/peer/dial.rs
@@ -1,4 +1,4 @@
-//! Finding and connecting to peers.
+//! Lookup of peers' addresses and connections to them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,11 +9,11 @@
 use super::link::{Link, LinkError};
 use crate::config::Hub;
 
-/// A peer could not be connected to; nothing was asked of it.
+/// The connection to a peer failed; no request was sent to it.
 #[derive(Debug, Snafu)]
 #[snafu(display("peer {peer} was not reached"))]
 pub struct DialError {
-    /// Peer.
+    /// Peer that was dialed.
     pub peer: InstanceId,
     /// Cause.
     pub source: LinkError,
@@ -28,7 +28,7 @@
 }
 
 impl Dialer {
-    /// Makes a dialer for the instance `me`.
+    /// Creates a dialer for the instance `me`.
     #[must_use]
     pub fn new(me: InstanceId, key: &str, hub: Arc<Hub>) -> Self {
         Self {
@@ -38,31 +38,31 @@
         }
     }
 
-    /// Gives this instance's name.
+    /// Returns the name of this instance.
     #[must_use]
     pub fn me(&self) -> &str {
         &self.me
     }
 
-    /// Gives the shared key.
+    /// Returns the shared key.
     #[must_use]
     pub fn key(&self) -> &[u8] {
         &self.key
     }
 
-    /// Gives what the threads share.
+    /// Returns the state shared between threads.
     #[must_use]
     pub fn hub(&self) -> &Arc<Hub> {
         &self.hub
     }
 
-    /// Finds a peer's address in the instance list.
+    /// Returns a peer's address from the instance list.
     #[must_use]
     pub fn address(&self, peer: &str) -> Option<SocketAddr> {
         self.hub.lock().listed_row(peer)?.peers
     }
 
-    /// Gives the names and addresses of all other instances in the list.
+    /// Returns the names and addresses of all other instances in the list.
     #[must_use]
     pub fn peers(&self) -> Vec<(InstanceId, SocketAddr)> {
         let hub = self.hub.lock();
@@ -76,7 +76,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the peer is not reached or is not who it should be.
+    /// Fails if the peer cannot be reached or authenticated.
     pub async fn dial(&self, peer: &str, address: SocketAddr) -> Result<Link, DialError> {
         let link = Link::dial(address, &self.me, peer, &self.key).await;
         link.map_err(|source| DialError {
--- a/crates/firdock-node/src/peer/hand_over.rs
+++ b/crates/firdock-node/src/peer/hand_over.rs
@@ -22,22 +22,22 @@
 use crate::input::Input;
 use crate::telemetry::TraceContext;
 
-/// Order to hand a request over.
+/// A request to be handed over.
 #[derive(Debug)]
 pub struct HandOverOrder {
     /// Request.
     pub exchange: Arc<Exchange>,
-    /// Peer.
+    /// Receiving peer.
     pub peer: InstanceId,
-    /// Its address.
+    /// Address of the peer.
     pub address: SocketAddr,
-    /// Why.
+    /// Reason for the hand-over.
     pub cause: HandOverCause,
-    /// Endpoints that have had the request.
+    /// Endpoints that the request was already dispatched to.
     pub tried: Vec<EndpointId>,
-    /// Way to the scheduler.
+    /// Queue of inputs to the scheduler.
     pub inputs: mpsc::Sender<Input>,
-    /// Longest time that a caller may leave parts of the answer unread.
+    /// Maximum time that the caller may leave parts of the answer unread.
     pub caller_stall: Duration,
 }
 
@@ -65,13 +65,13 @@
     }
 }
 
-/// Hands a request over; gives a word on how it ended for the trace.
+/// Hands a request over. Returns the result as recorded in the trace.
 pub async fn hand_over(dialer: Dialer, order: HandOverOrder, trace: TraceContext) -> &'static str {
     let Ok(mut link) = dialer.dial(&order.peer, order.address).await else {
         order.refused(None, Vec::new()).await;
         return "unreachable";
     };
-    // From here on the request may reach the peer.
+    // From here on, the peer may have received the request.
     if link
         .send(Body::HandOver(message_of(&order, trace)))
         .await
@@ -91,7 +91,7 @@
     }
 }
 
-/// Takes one message of the answer; gives how the hand-over ended, if it did.
+/// Handles a message of the answer. Returns the result of the hand-over if it ended.
 async fn take(order: &HandOverOrder, body: Body) -> Option<&'static str> {
     let id = order.id();
     match body {
@@ -165,7 +165,7 @@
     }
 }
 
-/// Writes headers as messages.
+/// Encodes headers.
 pub(super) fn write_headers(headers: &HeaderMap) -> Vec<Header> {
     let header = |(name, value): (&HeaderName, &HeaderValue)| Header {
         name: name.as_str().to_owned(),
@@ -174,7 +174,7 @@
     headers.iter().map(header).collect()
 }
 
-/// Reads headers from messages; malformed ones are dropped.
+/// Decodes headers; malformed ones are dropped.
 pub(super) fn read_headers(headers: Vec<Header>) -> HeaderMap {
     let mut map = HeaderMap::new();
     for header in headers {
@@ -197,14 +197,14 @@
     }
 }
 
-/// Reads a reason; one that is unknown counts as a lost peer.
+/// Decodes a reason; an unknown one is treated as a lost peer.
 #[must_use]
 pub fn read_reason(text: &str) -> Reason {
     let text = serde_json::Value::String(text.to_owned());
     serde_json::from_value::<Reason>(text).unwrap_or(Reason::PeerLost)
 }
 
-/// Reads a verdict; an unknown reason counts as a lost peer.
+/// Decodes a verdict; an unknown reason is treated as a lost peer.
 fn read_verdict(outcome: Outcome, reason: &str, retry_seconds: u32) -> Verdict {
     let reason = read_reason(reason);
     Verdict {
@@ -214,7 +214,8 @@
     }
 }
 
-/// Sends a part of an answer as the message that [`take`] reads.
+/// Sends a part of an answer, which [`take`] receives at the other side. Returns whether it was the
+/// last part.
 pub(super) async fn send_part(link: &mut Link, part: AnswerPart) -> Result<bool, super::LinkError> {
     let (body, last) = match part {
         AnswerPart::Head(head) => {
@@ -236,7 +237,8 @@
         ),
         AnswerPart::End => (Body::AnswerEnd(message::AnswerEnd {}), true),
         AnswerPart::Cut => (Body::AnswerCut(message::AnswerCut {}), true),
-        // It is not the last part, so that the scheduler is told when the queue ends.
+        // It does not count as the last part, so that the scheduler is notified when the queue
+        // ends.
         AnswerPart::CallerStalled => (Body::AnswerCut(message::AnswerCut {}), false),
         AnswerPart::Refusal(verdict, tried) => {
             let (reason, retry_seconds) = write_verdict(verdict);
--- a/crates/firdock-node/src/peer/heartbeat.rs
+++ b/crates/firdock-node/src/peer/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats: what an instance tells its peers of itself, several times a second.
+//! Heartbeats, by which an instance reports its status to its peers several times a second.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -24,21 +24,22 @@
 use crate::backoff::Backoff;
 use crate::clock::Clock;
 
-/// Longest pause between two tries to reach a peer.
+/// Maximum delay between two attempts to connect to a peer.
 const LONGEST_PAUSE: Duration = Duration::from_secs(5);
-/// Pools told in a heartbeat, so that its size is bounded.
+/// Maximum number of pools in a heartbeat, which bounds its size.
 const MAX_POOLS: usize = 256;
-/// Ranks of tiers told in a heartbeat: as many as a `TierRank` can tell apart.
+/// Maximum number of tier ranks in a heartbeat: all values of `TierRank`.
 const MAX_RANKS: usize = 256;
-/// Accounts with work told in a heartbeat, those with most: what the others had hardly counts.
+/// Maximum number of accounts with work in a heartbeat. Accounts with the most work are included;
+/// that of the others is negligible.
 const MAX_WORK: usize = 128;
-/// Leaving endpoints told in a heartbeat.
+/// Maximum number of leaving endpoints in a heartbeat.
 const MAX_LEAVING: usize = 256;
-/// Time after which others of the requests under which endpoints ended have their turn: about what two
-/// heartbeats are apart.
+/// Time for which the same suspect requests are included before others take their turn: about the
+/// interval between two heartbeats.
 const TURN: Duration = Duration::from_millis(400);
 
-/// What this instance tells of itself.
+/// Status that this instance reports to its peers.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct SelfStatus {
     zone: ZoneId,
@@ -47,30 +48,32 @@
     pub(super) draining: bool,
     leaving: Vec<String>,
     version: u64,
-    /// What this instance let pass of the limits in use.
+    /// Use of account limits admitted by this instance.
     pub(super) used: Vec<AccountUse>,
-    /// What it knows of roll-outs.
+    /// State of roll-outs.
     pub(super) rollouts: RolloutReport,
-    /// What endpoints did lately for accounts, by what this instance placed for its group.
+    /// Recent work of endpoints for client accounts on requests that this instance placed for its
+    /// group.
     pub(super) work: Vec<AccountWork>,
-    /// Requests under which endpoints ended, as far as they are told with each heartbeat.
+    /// Requests during which endpoints exited, as many as are included in each heartbeat.
     suspects: Vec<SuspectReport>,
-    /// Those that others saw, which leads tell on.
+    /// Those reported by others, which leads forward.
     heard_suspects: Vec<SuspectReport>,
-    /// All of those that count, for who was not heard before.
+    /// All of those still in effect, for a peer on first contact.
     all_suspects: Vec<SuspectReport>,
-    /// When all of this was taken.
+    /// When this status was taken.
     taken: Time,
-    /// How often they changed, by which changes are told at once.
+    /// Revision of these requests. Changes are sent at once.
     pub(super) suspected: Revision,
 }
 
 impl SelfStatus {
-    /// Takes the news from the scheduler's tables.
+    /// Takes the status from the scheduler's tables.
     #[must_use]
     pub fn new(t: &Tables, now: Time) -> Self {
         let told = |(pool, rate)| PoolDemand { pool, rate };
-        // What the configuration lost goes last: others are about to lose it as well.
+        // Endpoints removed from the configuration come last, since the other instances are about
+        // to remove them as well.
         let rows = |present: bool| {
             let rows = t.endpoints.iter().map(|(_, e)| e);
             rows.filter(move |e| e.present == present && !e.is_replaced())
@@ -103,7 +106,7 @@
         }
     }
 
-    /// Gives the same with the requests under which endpoints ended that others saw, which leads tell on.
+    /// Returns the status including the suspect requests that others reported, which leads forward.
     #[must_use]
     pub fn as_lead(&self) -> Self {
         let heard = self.heard_suspects.iter();
@@ -112,7 +115,7 @@
         told
     }
 
-    /// Gives the same with all requests under which endpoints ended, for who was not heard before.
+    /// Returns the status with all suspect requests, for a peer on first contact.
     #[must_use]
     pub fn in_full(&self) -> Self {
         Self {
@@ -121,14 +124,15 @@
         }
     }
 
-    /// Adds what endpoints did lately for accounts.
+    /// Adds recent work of endpoints for client accounts.
     #[must_use]
     pub fn with_work(mut self, work: Vec<AccountWork>) -> Self {
         self.work = work;
         self
     }
 
-    /// Makes the message for instances far away, which the leads of their groups tell the rest.
+    /// Encodes a short status for instances of other groups, which receive the rest from the leads
+    /// of their groups.
     pub(super) fn short_message(&self) -> Heartbeat {
         Heartbeat {
             zone: self.zone.clone(),
@@ -139,13 +143,13 @@
         }
     }
 
-    /// Gives how far roll-outs are, by their orders.
+    /// Returns the stage of each roll-out, by its order.
     pub(super) fn stages(&self) -> Vec<(Offset, Stage)> {
         let words = self.rollouts.statuses.iter();
         words.map(|w| (w.order, w.stage)).collect()
     }
 
-    /// Makes the message, for the present time.
+    /// Encodes the status, with ages relative to `now`.
     #[must_use]
     pub fn message(&self, now: Time, log_next: u64) -> Heartbeat {
         let age = now.saturating_sub(self.taken);
@@ -162,12 +166,12 @@
     }
 }
 
-/// Gives a number that rises with time, by which suspects take turns.
+/// Returns the index of the current turn of suspect requests.
 fn turn_at(now: Time) -> usize {
     (now.as_millis() / TURN.as_millis()) as usize
 }
 
-/// Writes demand by pool.
+/// Encodes demand by pool.
 pub fn write_demand(demand: &[PoolDemand]) -> Vec<message::PoolDemand> {
     let told = demand.iter().take(MAX_POOLS);
     told.map(|d| message::PoolDemand {
@@ -177,7 +181,7 @@
     .collect()
 }
 
-/// Reads demand by pool; figures that are none are left out.
+/// Decodes demand by pool; entries with invalid values are left out.
 pub fn read_demand(demand: Vec<message::PoolDemand>) -> Vec<PoolDemand> {
     let told = demand.into_iter().take(MAX_POOLS);
     let finite = told.filter(|d| d.rate.is_finite() && d.rate >= 0.0);
@@ -189,7 +193,7 @@
         .collect()
 }
 
-/// Writes work of accounts.
+/// Encodes the work for accounts.
 pub fn write_work(work: &[AccountWork]) -> Vec<message::AccountWork> {
     let told = work.iter().take(MAX_WORK);
     told.map(|w| message::AccountWork {
@@ -202,7 +206,7 @@
     .collect()
 }
 
-/// Reads work of accounts; figures that are none are left out.
+/// Decodes the work for accounts; entries with invalid values are left out.
 pub fn read_work(work: Vec<message::AccountWork>) -> Vec<AccountWork> {
     let told = work.into_iter().take(MAX_WORK);
     let sane = |secs: f64| secs.is_finite() && secs >= 0.0;
@@ -217,7 +221,7 @@
         .collect()
 }
 
-/// Makes a peer's news from its message, cut to what is bounded.
+/// Decodes a peer's status, truncated to fixed limits.
 #[must_use]
 pub fn peer_news(name: &str, beat: Heartbeat) -> PeerUpdate {
     PeerUpdate {
@@ -232,7 +236,8 @@
     }
 }
 
-/// Keeps a beating link to every instance of the list, until `stop` turns true.
+/// Keeps a connection that carries heartbeats to every instance of the list, until `stop` turns
+/// true.
 pub async fn run_heartbeats(
     dialer: Dialer,
     self_status: watch::Receiver<SelfStatus>,
@@ -289,7 +294,7 @@
                 backoff.reset();
                 let mut ticks = interval(pause);
                 ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-                // The first word on a link makes up for what was missed without it.
+                // The first heartbeat of a connection includes what the peer missed without one.
                 let mut first = true;
                 loop {
                     ticks.tick().await;
--- a/crates/firdock-node/src/peer/keys.rs
+++ b/crates/firdock-node/src/peer/keys.rs
@@ -11,12 +11,13 @@
 use super::dial::Dialer;
 use crate::backoff::Backoff;
 
-/// Tries before a transfer is given up; the new owner then doubts the keys for a while.
+/// Number of attempts before a transfer is given up. The new owner then treats the keys as
+/// uncertain for a while.
 const TRIES: u32 = 8;
-/// Pauses between tries.
+/// Minimum and maximum delay between attempts.
 const PAUSES: (Duration, Duration) = (Duration::from_millis(50), Duration::from_secs(2));
 
-/// Transfers keys to a member; tells whether it took them.
+/// Transfers keys to a member and returns whether it accepted them.
 pub async fn transfer_keys(dialer: Dialer, peer: InstanceId, transfer: KeyTransfer) -> bool {
     let mut backoff = Backoff::new(PAUSES.0, PAUSES.1);
     for _ in 0..TRIES {
@@ -33,7 +34,7 @@
     link.send(Body::KeyTransfer(write_transfer(transfer)))
         .await
         .ok()?;
-    // The receiver closes the link once it has taken them.
+    // The receiver closes the connection once it has accepted the keys.
     link.receive()
         .await
         .ok()
@@ -55,7 +56,7 @@
     }
 }
 
-/// Reads a transfer; `None` for a malformed one.
+/// Decodes a transfer; `None` if it is malformed.
 pub(super) fn read_transfer(transfer: message::KeyTransfer) -> Option<KeyTransfer> {
     let known = |h: &message::KnownTransfer| {
         let from = Uuid::from_slice(&h.from).ok()?;
--- a/crates/firdock-node/src/peer/link.rs
+++ b/crates/firdock-node/src/peer/link.rs
@@ -1,4 +1,4 @@
-//! A connection between two instances that have proved to each other that they know the key.
+//! Mutually authenticated connections between two instances that share the key.
 
 use std::net::SocketAddr;
 
@@ -15,14 +15,14 @@
 
 use super::{HANDSHAKE_TIME, MAX_FRAME_BYTES};
 
-/// Largest frame before the peer has proved who it is.
+/// Maximum size of a frame before the peer is authenticated.
 const MAX_GREETING_BYTES: usize = 1 << 10;
 
-/// Why a link did not come about or broke.
+/// Why a link could not be established or failed.
 #[derive(Debug, Snafu)]
 #[non_exhaustive]
 pub enum LinkError {
-    /// No connection came about.
+    /// The connection could not be established.
     #[snafu(display("connect to {address}"))]
     Connect {
         /// Address.
@@ -30,40 +30,41 @@
         /// Cause.
         source: std::io::Error,
     },
-    /// The bytes were no messages, or the connection broke.
+    /// The connection failed, or received data could not be decoded.
     #[snafu(display("link broke"), context(false))]
     Wire {
         /// Cause.
         source: WireError,
     },
-    /// The other side closed the connection.
+    /// The peer closed the connection.
     #[snafu(display("link closed"))]
     Closed,
-    /// The handshake, or a message that was due, took too long.
+    /// The handshake or an expected message timed out.
     #[snafu(display("handshake or message took too long"))]
     TooSlow,
-    /// The other side is no peer: a stranger, or one with another key, name or protocol.
+    /// Authentication failed: the other side is no known peer, or has a different key, name or
+    /// protocol version.
     #[snafu(display("not a peer: {why}"))]
     Stranger {
-        /// What was wrong.
+        /// Reason.
         why: &'static str,
     },
 }
 
-/// A link to a known peer.
+/// A link to an authenticated peer.
 #[derive(Debug)]
 pub struct Link {
-    /// Name that the peer proved.
+    /// Authenticated name of the peer.
     pub peer: InstanceId,
     framed: Framed<TcpStream, FrameCodec>,
 }
 
 impl Link {
-    /// Connects to a peer and proves each side to the other.
+    /// Connects to a peer, with mutual authentication.
     ///
     /// # Errors
     ///
-    /// Fails if the peer is not reached or is not who it should be; nothing was asked of it then.
+    /// Fails if the peer cannot be reached or authenticated; no request was sent to it then.
     pub async fn dial(
         address: SocketAddr,
         me: &str,
@@ -81,11 +82,11 @@
             .unwrap_or_else(|_| TooSlowSnafu.fail())
     }
 
-    /// Takes a connection and proves each side to the other.
+    /// Accepts a connection, with mutual authentication.
     ///
     /// # Errors
     ///
-    /// Fails if the other side is a stranger or too slow.
+    /// Fails if the other side cannot be authenticated or the handshake times out.
     pub async fn accept(
         stream: TcpStream,
         me: &str,
@@ -102,23 +103,24 @@
     ///
     /// # Errors
     ///
-    /// Fails if the link broke.
+    /// Fails if the connection failed.
     pub async fn send(&mut self, body: Body) -> Result<(), LinkError> {
         Ok(self.framed.send(body).await?)
     }
 
-    /// Waits for a message; `None` if the peer closed the link.
+    /// Receives a message; `None` if the peer closed the connection.
     ///
     /// # Errors
     ///
-    /// Fails if the link broke or what came is no message.
+    /// Fails if the connection failed or the message cannot be decoded.
     pub async fn receive(&mut self) -> Result<Option<Body>, LinkError> {
         Ok(self.framed.next().await.transpose()?)
     }
 
     fn proved(peer: &str, greeting: Framed<TcpStream, FrameCodec>) -> Self {
         let parts = greeting.into_parts();
-        // A first message may have come with the proof; from parts, it is decoded at once.
+        // A first message may have been received together with the proof. Building the codec from
+        // its parts decodes buffered data at once.
         let mut proved = FramedParts::new::<Body>(parts.io, FrameCodec::new(MAX_FRAME_BYTES));
         proved.read_buf = parts.read_buf;
         let framed = Framed::from_parts(proved);
--- a/crates/firdock-node/src/peer/rollouts.rs
+++ b/crates/firdock-node/src/peer/rollouts.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other of roll-outs, in their heartbeats.
+//! Encoding of roll-out states and evidence in heartbeats.
 
 use std::time::Duration;
 
@@ -7,14 +7,15 @@
 
 use crate::clock::millis;
 
-/// Roll-outs told of in one heartbeat.
+/// Maximum number of roll-outs in a heartbeat.
 const MAX_ROLLOUTS: usize = 16;
-/// Tallies of one roll-out told of in one heartbeat: some five services at a dozen endpoints.
+/// Maximum number of tallies of a roll-out in a heartbeat, enough for five services at some dozen
+/// endpoints each.
 const MAX_TALLIES: usize = 256;
-/// Bands of one tally that are taken.
+/// Maximum number of bins accepted in a tally.
 const MAX_BANDS: usize = 64;
 
-/// Writes how far roll-outs are.
+/// Encodes the states of roll-outs.
 pub fn write_words(words: &[RolloutStatus]) -> Vec<message::RolloutWord> {
     let told = words.iter().take(MAX_ROLLOUTS);
     told.map(|w| message::RolloutWord {
@@ -27,7 +28,8 @@
     .collect()
 }
 
-/// Reads how far roll-outs are; words of stages that this version does not know are left out.
+/// Decodes the states of roll-outs; those with stages that this version does not support are left
+/// out.
 pub fn read_words(words: Vec<message::RolloutWord>) -> Vec<RolloutStatus> {
     let told = words.into_iter().take(MAX_ROLLOUTS);
     told.filter_map(|w| {
@@ -42,7 +44,7 @@
     .collect()
 }
 
-/// Writes what was seen of roll-outs.
+/// Encodes roll-out evidence.
 pub fn write_seen(seen: &[Evidence]) -> Vec<message::RolloutEvidence> {
     let told = seen.iter().take(MAX_ROLLOUTS);
     told.map(|e| message::RolloutEvidence {
@@ -67,7 +69,7 @@
     .collect()
 }
 
-/// Reads what was seen of roll-outs.
+/// Decodes roll-out evidence.
 pub fn read_seen(seen: Vec<message::RolloutEvidence>) -> Vec<Evidence> {
     let told = seen.into_iter().take(MAX_ROLLOUTS);
     told.map(|e| {
--- a/crates/firdock-node/src/peer/serve.rs
+++ b/crates/firdock-node/src/peer/serve.rs
@@ -1,4 +1,4 @@
-//! What an instance does for its peers: takes heartbeats and requests, and gives its state.
+//! Server for peers' connections: heartbeats, request hand-over, key transfer and state transfer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -29,23 +29,23 @@
 use crate::input::Input;
 use crate::telemetry::TraceContext;
 
-/// Silence after which a peer's link counts as cut.
+/// Time without messages after which a peer's connection is considered lost.
 const LINK_SILENCE: Duration = Duration::from_secs(10);
-/// Connections from peers at once.
+/// Maximum number of concurrent connections from peers.
 const MAX_LINKS: usize = 4_096;
 
-/// What serving peers needs.
+/// Serves connections from peers.
 #[derive(Debug, Clone)]
 pub struct PeerServer {
-    /// Name, key and shared state.
+    /// Name, key and shared state of this instance.
     pub dialer: Dialer,
-    /// Way to the scheduler.
+    /// Queue of inputs to the scheduler.
     pub inputs: mpsc::Sender<Input>,
     /// Clock.
     pub clock: Clock,
     /// Logger.
     pub log: Logger,
-    /// Where answers wait for the peers that asked.
+    /// Buffers for answers until the querying peers have read them.
     pub answer_budget: AnswerBudget,
 }
 
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Takes keys that a member transfers; closing the link shows that they were taken.
+    /// Accepts keys that a member transfers. Closing the connection acknowledges them.
     async fn take_transfer(&self, transfer: message::KeyTransfer) -> Result<(), LinkError> {
         let Some(transfer) = read_transfer(transfer) else {
             return Err(LinkError::Stranger {
@@ -108,7 +108,7 @@
         Ok(())
     }
 
-    /// Takes heartbeats until the link breaks.
+    /// Receives heartbeats until the connection fails.
     async fn hear(&self, mut link: Link, first: message::Heartbeat) -> Result<(), LinkError> {
         let mut next = Some(Body::Heartbeat(first));
         while let Some(Body::Heartbeat(beat)) = next {
@@ -134,7 +134,7 @@
         Ok(())
     }
 
-    /// Notes a heartbeat; news of the log is read at once.
+    /// Records a peer's status, and wakes the log reader if the peer has read further in the log.
     fn note(&self, peer: &str, beat: &message::Heartbeat) {
         let status = PeerStatus {
             zone: beat.zone.clone(),
@@ -159,7 +159,7 @@
             .await;
     }
 
-    /// Serves a request that a peer hands over, and streams the answer back.
+    /// Serves a request that a peer hands over and streams the answer back.
     async fn take_over(&self, mut link: Link, order: message::HandOver) -> Result<(), LinkError> {
         let Some((exchange, parts, tried)) = read_order(order, &self.answer_budget) else {
             return Err(LinkError::Stranger {
@@ -185,14 +185,14 @@
     }
 }
 
-/// Waits for a message that must come soon, since a link that was cut may not show it.
+/// Receives a message that is expected soon. The timeout detects a connection that failed silently.
 async fn receive_soon(link: &mut Link) -> Result<Option<Body>, LinkError> {
     timeout(LINK_SILENCE, link.receive())
         .await
         .unwrap_or(Err(LinkError::TooSlow))
 }
 
-/// Streams parts back; tells whether the last one was sent.
+/// Streams the parts of an answer back. Returns whether the last one was sent.
 async fn stream_back(link: &mut Link, mut parts: AnswerReceiver) -> Result<bool, LinkError> {
     loop {
         tokio::select! {
@@ -202,7 +202,8 @@
                     return Ok(true);
                 }
             }
-            // The peer sends nothing more; whatever comes means that it gave the request up.
+            // The peer sends nothing more, so anything received, or the end of the connection,
+            // means that it abandoned the request.
             _ = link.receive() => return Ok(false),
         }
     }
--- a/crates/firdock-node/src/peer/state.rs
+++ b/crates/firdock-node/src/peer/state.rs
@@ -1,4 +1,4 @@
-//! The folded state, given to an instance that cannot get it from the log.
+//! Transfer of the folded state to an instance that cannot read it from the log.
 
 use firdock_state::State;
 use firdock_wire::Body;
@@ -9,9 +9,9 @@
 use super::link::{Link, LinkError};
 use super::{HANDSHAKE_TIME, MAX_FRAME_BYTES};
 
-/// Bytes of state in one frame.
+/// Size of the state's parts, each sent in one frame.
 const PART_BYTES: usize = 1 << 20;
-/// Largest state that is taken.
+/// Maximum size of a received state.
 const MAX_STATE_BYTES: usize = 4 * MAX_FRAME_BYTES;
 
 /// Sends the state in parts.
@@ -29,7 +29,7 @@
     Ok(())
 }
 
-/// Asks the peers for their state, one after another; gives the newest of the first two.
+/// Queries the peers one after another and returns the newest of the first two states received.
 pub async fn fetch_state(dialer: &Dialer) -> Option<State> {
     const ENOUGH: usize = 2;
     let mut states = Vec::new();
--- a/crates/firdock-node/src/peer/suspects.rs
+++ b/crates/firdock-node/src/peer/suspects.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other of requests under which endpoints ended, in their heartbeats.
+//! Encoding of suspect requests, during which endpoints exited, in heartbeats.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,15 +10,15 @@
 
 use crate::clock::millis;
 
-/// Suspects told of in one heartbeat, of which each takes some 200 bytes.
+/// Maximum number of suspect requests in a heartbeat; each takes about 200 bytes.
 pub const MAX_SUSPECTS: usize = 128;
-/// Bytes that they take in all: a heartbeat that is too long for a datagram is not sent at all, and its
-/// instance would pass for silent.
+/// Maximum size of all of them. A heartbeat that exceeds a datagram is not sent at all, and its
+/// sender would be considered silent.
 const MAX_BYTES: usize = 20 << 10;
-/// Ends of one suspect that are taken.
+/// Maximum number of exits accepted for a suspect request.
 const MAX_ENDS: usize = 16;
 
-/// Writes suspects whose ages were taken so long ago, as many as have room.
+/// Encodes as many suspect requests as fit. Their ages were taken `age` ago.
 pub fn write_suspects(told: &[SuspectReport], age: Duration) -> Vec<message::Suspect> {
     let mut room = MAX_BYTES;
     let told = told.iter().take(MAX_SUSPECTS);
@@ -42,7 +42,7 @@
     }
 }
 
-/// Reads suspects; those without an identity are left out.
+/// Decodes suspect requests; those without a valid identity are left out.
 pub fn read_suspects(told: Vec<message::Suspect>) -> Vec<SuspectReport> {
     let told = told.into_iter().take(MAX_SUSPECTS);
     told.filter_map(|s| {
