--- a/crates/firdock-node/src/peer/beacon.rs
+++ b/crates/firdock-node/src/peer/beacon.rs
@@ -148,7 +148,7 @@
                             self.tell_queued(from).await;
                         }
                     }
-                    Err(e) => debug!(self.log, "heartbeat not taken"; "error" => e.to_string()),
+                    Err(e) => debug!(self.log, "could not receive a datagram"; "error" => e.to_string()),
                 },
                 _ = ticks.tick() => {
                     tick += 1;
@@ -302,7 +302,7 @@
 
     async fn send_to(&self, sealed: &[u8], name: &str, address: SocketAddr) {
         if let Err(e) = self.socket.send_to(sealed, address).await {
-            debug!(self.log, "heartbeat not sent"; "peer" => name, "error" => e.to_string());
+            debug!(self.log, "could not send a datagram"; "peer" => name, "error" => e.to_string());
         }
     }
 
--- a/crates/firdock-node/src/peer/beacon/answer.rs
+++ b/crates/firdock-node/src/peer/beacon/answer.rs
@@ -224,7 +224,7 @@
         let (state, large) = self.make(question, now).unwrap_or_default();
         let parts = count_parts(state.len());
         if parts.is_none() {
-            warn!(self.log, "what is known is too long to be told"; "version" => reads.version,
+            warn!(self.log, "store content is too large for a reply to peers"; "version" => reads.version,
                 "bytes" => state.len());
         }
         answers.count += 1;
--- a/crates/firdock-node/src/peer/beacon/take.rs
+++ b/crates/firdock-node/src/peer/beacon/take.rs
@@ -51,7 +51,7 @@
                 let reply = PlacementInput::Reply(read_reply(told));
                 self.pass(Input::Placement(reply)).await;
             }
-            None => warn!(self.log, "heartbeat of a stranger"; "from" => from.to_string()),
+            None => warn!(self.log, "dropped an invalid datagram"; "from" => from.to_string()),
         }
         None
     }
@@ -72,7 +72,7 @@
     }
 
     fn drop_malformed(&self, what: &str, from: SocketAddr) {
-        warn!(self.log, "word of a peer not taken"; "what" => what, "from" => from.to_string());
+        warn!(self.log, "dropped a malformed message of a peer"; "what" => what, "from" => from.to_string());
     }
 
     /// Applies a complete reply: the list of instances and the content of the store.
@@ -96,7 +96,7 @@
     fn add_reported(&self, peers: Vec<PeerAddress>, now: Time) {
         for peer in peers {
             let Ok(address) = peer.address.parse() else {
-                warn!(self.log, "address of an instance not taken"; "instance" => peer.instance);
+                warn!(self.log, "ignored an instance with an invalid address"; "instance" => peer.instance);
                 continue;
             };
             let known = PeerRecord {
--- a/crates/firdock-node/src/peer/dial.rs
+++ b/crates/firdock-node/src/peer/dial.rs
@@ -11,7 +11,7 @@
 
 /// The connection to a peer failed; no request was sent to it.
 #[derive(Debug, Snafu)]
-#[snafu(display("peer {peer} was not reached"))]
+#[snafu(display("could not connect to peer {peer}"))]
 pub struct DialError {
     /// Peer that was dialed.
     pub peer: InstanceId,
--- a/crates/firdock-node/src/peer/heartbeat.rs
+++ b/crates/firdock-node/src/peer/heartbeat.rs
@@ -311,7 +311,7 @@
                     }
                 }
             }
-            Err(e) => debug!(log, "peer not reached"; "peer" => &peer.0,
+            Err(e) => debug!(log, "could not connect to peer"; "peer" => &peer.0,
                 "error" => e.source.to_string()),
         }
         tokio::time::sleep(backoff.next_pause()).await;
--- a/crates/firdock-node/src/peer/link.rs
+++ b/crates/firdock-node/src/peer/link.rs
@@ -23,7 +23,7 @@
 #[non_exhaustive]
 pub enum LinkError {
     /// The connection could not be established.
-    #[snafu(display("connect to {address}"))]
+    #[snafu(display("could not connect to {address}"))]
     Connect {
         /// Address.
         address: SocketAddr,
@@ -31,23 +31,23 @@
         source: std::io::Error,
     },
     /// The connection failed, or received data could not be decoded.
-    #[snafu(display("link broke"), context(false))]
+    #[snafu(display("connection failed"), context(false))]
     Wire {
         /// Cause.
         source: WireError,
     },
     /// The peer closed the connection.
-    #[snafu(display("link closed"))]
+    #[snafu(display("connection closed by the peer"))]
     Closed,
     /// The handshake or an expected message timed out.
-    #[snafu(display("handshake or message took too long"))]
-    TooSlow,
-    /// Authentication failed: the other side is no known peer, or has a different key, name or
-    /// protocol version.
-    #[snafu(display("not a peer: {why}"))]
-    Stranger {
+    #[snafu(display("handshake or message timed out"))]
+    TimedOut,
+    /// The other side is no known peer, failed authentication, has a different protocol version, or
+    /// sent an unexpected or malformed message.
+    #[snafu(display("peer rejected: {reason}"))]
+    Rejected {
         /// Reason.
-        why: &'static str,
+        reason: &'static str,
     },
 }
 
@@ -79,7 +79,7 @@
         };
         timeout(HANDSHAKE_TIME, dialing)
             .await
-            .unwrap_or_else(|_| TooSlowSnafu.fail())
+            .unwrap_or_else(|_| TimedOutSnafu.fail())
     }
 
     /// Accepts a connection, with mutual authentication.
@@ -96,7 +96,7 @@
         let accepting = welcome(stream, me, key, known);
         timeout(HANDSHAKE_TIME, accepting)
             .await
-            .unwrap_or_else(|_| TooSlowSnafu.fail())
+            .unwrap_or_else(|_| TimedOutSnafu.fail())
     }
 
     /// Sends a message.
@@ -148,11 +148,14 @@
     };
     framed.send(Body::Hello(hello)).await?;
     let Some(Body::Welcome(theirs)) = framed.next().await.transpose()? else {
-        return StrangerSnafu { why: "no welcome" }.fail();
+        return RejectedSnafu {
+            reason: "no welcome message received",
+        }
+        .fail();
     };
     if theirs.protocol != PROTOCOL || theirs.instance != peer {
-        return StrangerSnafu {
-            why: "another protocol or name",
+        return RejectedSnafu {
+            reason: "different protocol version or name",
         }
         .fail();
     }
@@ -163,7 +166,10 @@
         acceptor_nonce: &theirs.nonce,
     };
     if !auth::check(key, Side::Acceptor, &parties, &theirs.proof) {
-        return StrangerSnafu { why: "another key" }.fail();
+        return RejectedSnafu {
+            reason: "different key",
+        }
+        .fail();
     }
     let proof = auth::prove(key, Side::Dialer, &parties);
     framed.send(Body::Proof(Proof { proof })).await?;
@@ -179,11 +185,14 @@
     let _ = stream.set_nodelay(true);
     let mut framed = Framed::new(stream, FrameCodec::new(MAX_GREETING_BYTES));
     let Some(Body::Hello(hello)) = framed.next().await.transpose()? else {
-        return StrangerSnafu { why: "no hello" }.fail();
+        return RejectedSnafu {
+            reason: "no hello message received",
+        }
+        .fail();
     };
     if hello.protocol != PROTOCOL {
-        return StrangerSnafu {
-            why: "another protocol",
+        return RejectedSnafu {
+            reason: "different protocol version",
         }
         .fail();
     }
@@ -203,14 +212,20 @@
     };
     framed.send(Body::Welcome(answer)).await?;
     let Some(Body::Proof(theirs)) = framed.next().await.transpose()? else {
-        return StrangerSnafu { why: "no proof" }.fail();
+        return RejectedSnafu {
+            reason: "no proof received",
+        }
+        .fail();
     };
     if !auth::check(key, Side::Dialer, &parties, &theirs.proof) {
-        return StrangerSnafu { why: "another key" }.fail();
+        return RejectedSnafu {
+            reason: "different key",
+        }
+        .fail();
     }
     if !known(&hello.instance) {
-        return StrangerSnafu {
-            why: "not in the instance list",
+        return RejectedSnafu {
+            reason: "not in the instance list",
         }
         .fail();
     }
--- a/crates/firdock-node/src/peer/serve.rs
+++ b/crates/firdock-node/src/peer/serve.rs
@@ -87,8 +87,8 @@
                 let state = Arc::clone(&self.dialer.hub().lock().state);
                 send_state(&mut link, &state).await
             }
-            Some(_) => Err(LinkError::Stranger {
-                why: "unexpected message",
+            Some(_) => Err(LinkError::Rejected {
+                reason: "unexpected message",
             }),
             None => Ok(()),
         }
@@ -97,8 +97,8 @@
     /// Accepts keys that a member transfers. Closing the connection acknowledges them.
     async fn take_transfer(&self, transfer: message::KeyTransfer) -> Result<(), LinkError> {
         let Some(transfer) = read_transfer(transfer) else {
-            return Err(LinkError::Stranger {
-                why: "malformed transfer",
+            return Err(LinkError::Rejected {
+                reason: "malformed transfer",
             });
         };
         let _ = self
@@ -162,8 +162,8 @@
     /// Serves a request that a peer hands over and streams the answer back.
     async fn take_over(&self, mut link: Link, order: message::HandOver) -> Result<(), LinkError> {
         let Some((exchange, parts, tried)) = read_order(order, &self.answer_budget) else {
-            return Err(LinkError::Stranger {
-                why: "malformed request",
+            return Err(LinkError::Rejected {
+                reason: "malformed request",
             });
         };
         let id = exchange.id;
@@ -189,7 +189,7 @@
 async fn receive_soon(link: &mut Link) -> Result<Option<Body>, LinkError> {
     timeout(LINK_SILENCE, link.receive())
         .await
-        .unwrap_or(Err(LinkError::TooSlow))
+        .unwrap_or(Err(LinkError::TimedOut))
 }
 
 /// Streams the parts of an answer back. Returns whether the last one was sent.
