--- a/crates/firdock-node/src/peer.rs
+++ b/crates/firdock-node/src/peer.rs
@@ -31,7 +31,7 @@
 pub use hand_over::{HandOverOrder, hand_over, read_reason};
 pub use heartbeat::{SelfStatus, run_heartbeats};
 pub use keys::transfer_keys;
-pub use known::{KnownState, PeerProcess, StateQuery, StateReply};
+pub use known::{PeerProcess, StateQuery, StateReply, StoreSnapshot};
 pub use link::{Link, LinkError};
 pub use parts::{
     InvalidPart, MissingParts, PART_BYTES, PartialReplies, StateId, count_parts, state_part,
--- a/crates/firdock-node/src/peer/beacon.rs
+++ b/crates/firdock-node/src/peer/beacon.rs
@@ -31,8 +31,8 @@
 use tokio::time::{MissedTickBehavior, interval, sleep};
 
 use self::answer::ReplyQueue;
-use self::due::PeersDue;
-use self::meet::Meeting;
+use self::due::BeaconTargets;
+use self::meet::Bootstrap;
 use self::usage::ToldUse;
 use super::book::{PeerDirectory, PeerRecord, ReadRole};
 use super::datagram::{seal, write_address, write_reads, write_uses};
@@ -131,8 +131,8 @@
         let mut self_status = self.self_status.clone();
         let mut steps = Steps::default();
         let mut tick = 0;
-        let mut answers = ReplyQueue::default();
-        let mut meeting = Meeting::new(
+        let mut replies = ReplyQueue::default();
+        let mut bootstrap = Bootstrap::new(
             self.clock.now(),
             self.reads.asks_peers_first(),
             self.seeds.clone(),
@@ -143,9 +143,9 @@
             tokio::select! {
                 received = self.socket.recv_from(&mut buffer) => match received {
                     Ok((len, from)) => {
-                        let question = self.take(&buffer[..len], from).await;
-                        if question.is_some_and(|question| answers.ask(from, question)) {
-                            self.tell_queued(from).await;
+                        let query = self.take(&buffer[..len], from).await;
+                        if query.is_some_and(|query| replies.enqueue(from, query)) {
+                            self.send_delay_notice(from).await;
                         }
                     }
                     Err(e) => debug!(self.log, "could not receive a datagram"; "error" => e.to_string()),
@@ -163,11 +163,11 @@
                     known = self.count(known).await;
                     self.send_at_once().await;
                 }
-                () = sleep_until_due(meeting.next(now, &self.reads, &self.directory), now) => {
-                    self.ask_seed(&mut meeting).await;
+                () = sleep_until_due(bootstrap.next(now, &self.reads, &self.directory), now) => {
+                    self.send_query(&mut bootstrap).await;
                 }
-                () = sleep_until_due(answers.next(&self.reads, &self.directory), now) => {
-                    self.answer_next(&mut answers).await;
+                () = sleep_until_due(replies.next(&self.reads, &self.directory), now) => {
+                    self.send_next_reply(&mut replies).await;
                 }
                 Some(new) = new_steps(&mut self_status, &steps) => {
                     let own = new.suspected.own != steps.suspected.own;
@@ -194,7 +194,7 @@
     /// Sends the beacons that are due at a tick.
     async fn send(&self, tick: usize) {
         let now = self.clock.now();
-        let due = PeersDue::at(tick, &self.directory, now);
+        let due = BeaconTargets::at(tick, &self.directory, now);
         let heard = if tick.is_multiple_of(TELL_EVERY) {
             self.directory.live_peers(now)
         } else {
@@ -222,7 +222,7 @@
 
     /// Announces a start or a stop at once to the peers that depend on it.
     async fn send_at_once(&self) {
-        let due = PeersDue::at_once(&self.directory, self.clock.now());
+        let due = BeaconTargets::at_once(&self.directory, self.clock.now());
         self.send_all(&due.same_group, &[], &ToldUse::Nothing).await;
         self.send_all(&due.leads, &[], &ToldUse::Nothing).await;
     }
--- a/crates/firdock-node/src/peer/beacon/due.rs
+++ b/crates/firdock-node/src/peer/beacon/due.rs
@@ -11,20 +11,20 @@
 
 /// Peers of the own group that receive a beacon at each tick. With more of them, each one's turn
 /// comes every few ticks.
-const NEAR_PEERS_A_TICK: usize = 16;
+const NEAR_PEERS_PER_TICK: usize = 16;
 /// The same for peers in other availability zones. Leads report for their groups, and traffic
 /// between zones is billed.
-const FAR_PEERS_A_TICK: usize = 2;
+const FAR_PEERS_PER_TICK: usize = 2;
 /// Ticks after the start during which peers of other zones receive beacons at the rate of near
 /// ones: all instances may have started at the same time, and the first beacons may be lost.
-const MEETING_TICKS: usize = 25;
+const STARTUP_TICKS: usize = 25;
 /// Maximum number of ticks between two beacons to the same peer, well below the time after which
 /// the peer would forget this instance.
-const MAX_FAR_PACE: usize = 50;
+const MAX_FAR_INTERVAL: usize = 50;
 
 /// Peers that receive a beacon at a tick.
 #[derive(Debug, Default)]
-pub struct PeersDue {
+pub struct BeaconTargets {
     /// Peers of the own group.
     pub same_group: Vec<PeerRecord>,
     /// Leads of other groups, if this instance reports for its own group.
@@ -33,22 +33,22 @@
     pub far: Vec<PeerRecord>,
 }
 
-impl PeersDue {
+impl BeaconTargets {
     /// Selects the peers that receive a beacon at a tick. If there are many, each one's turn comes
     /// every few ticks, but leads of groups are selected at each tick.
     pub fn at(tick: usize, directory: &PeerDirectory, now: Time) -> Self {
         let known = directory.count(now);
         let leads = directory.group_leads(now);
-        let i_lead = directory.is_reporter(now);
-        let near_pace = (known / NEAR_PEERS_A_TICK).max(1);
-        let far_pace = far_pace(tick, known);
+        let is_reporter = directory.is_reporter(now);
+        let near_interval = (known / NEAR_PEERS_PER_TICK).max(1);
+        let far_interval = far_interval(tick, known);
         let wanted = |relation: PeerRelation| {
-            let turn = |pace: usize| (tick + relation.at + 1).is_multiple_of(pace);
-            let led = i_lead && relation.lead;
+            let is_turn = |interval: usize| (tick + relation.at + 1).is_multiple_of(interval);
+            let notify_lead = is_reporter && relation.lead;
             if relation.same_group {
-                i_lead || relation.lead || turn(near_pace)
+                is_reporter || relation.lead || is_turn(near_interval)
             } else {
-                led || turn(far_pace)
+                notify_lead || is_turn(far_interval)
             }
         };
         let mut due = Self::default();
@@ -57,7 +57,7 @@
                 PeerRelation {
                     same_group: true, ..
                 } => due.same_group.push(peer),
-                PeerRelation { lead: true, .. } if i_lead => due.leads.push(peer),
+                PeerRelation { lead: true, .. } if is_reporter => due.leads.push(peer),
                 _ => due.far.push(peer),
             }
         }
@@ -88,11 +88,11 @@
 }
 
 /// Returns the number of ticks between two beacons to the same peer in another availability zone.
-fn far_pace(tick: usize, peers: usize) -> usize {
-    let a_tick = if tick < MEETING_TICKS {
-        NEAR_PEERS_A_TICK
+fn far_interval(tick: usize, peers: usize) -> usize {
+    let per_tick = if tick < STARTUP_TICKS {
+        NEAR_PEERS_PER_TICK
     } else {
-        FAR_PEERS_A_TICK
+        FAR_PEERS_PER_TICK
     };
-    (peers / a_tick).clamp(1, MAX_FAR_PACE)
+    (peers / per_tick).clamp(1, MAX_FAR_INTERVAL)
 }
--- a/crates/firdock-node/src/peer/beacon/meet.rs
+++ b/crates/firdock-node/src/peer/beacon/meet.rs
@@ -19,49 +19,49 @@
 
 /// Delay before the next instance is queried: many round trips, and enough for one that started at
 /// the same time to read the store.
-const NEXT_PAUSE: Duration = Duration::from_millis(200);
+const QUERY_DELAY: Duration = Duration::from_millis(200);
 /// Maximum number of queries to the seeds; by then the store has been read.
-const TRIES: usize = 6;
+const MAX_SEED_QUERIES: usize = 6;
 /// Time after the start at which the list of instances is queried again. If all instances started
 /// at the same time, the first replies contained few of them. The seeds query each other earlier.
-const AGAIN_AFTER: Duration = Duration::from_secs(2);
+const REQUERY_AFTER: Duration = Duration::from_secs(2);
 /// The same at a seed itself.
-const SEED_AGAIN_AFTER: Duration = Duration::from_millis(1_200);
+const SEED_REQUERY_AFTER: Duration = Duration::from_millis(1_200);
 
 /// Queries to each ancestor in the own zone before the next one is queried; an ancestor may still
 /// be waiting for its own reply.
-const TRIES_EACH: usize = 6;
+const QUERIES_PER_ANCESTOR: usize = 6;
 
 /// Whom an instance queries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Asked {
+enum QueryTarget {
     /// The seeds that the platform names.
     Seeds,
     /// The instance's ancestors in the tree of its zone, for large content.
-    Zone,
+    Ancestors,
 }
 
 /// Progress of an instance's discovery at start.
 #[derive(Debug)]
-pub(super) struct Meeting {
+pub(super) struct Bootstrap {
     seeds: Vec<SocketAddr>,
-    asks: Asked,
+    target: QueryTarget,
     /// When it began to query these.
     started: Time,
-    asked: usize,
+    query_count: usize,
     /// When the list of instances is queried again; `None` after that.
-    again_at: Option<Time>,
+    requery_at: Option<Time>,
 }
 
 /// The next query: its receiver and what it asks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Next {
+struct NextQuery {
     to: SocketAddr,
     instances: bool,
     whole: bool,
 }
 
-impl Meeting {
+impl Bootstrap {
     /// Creates the discovery state of an instance that starts now. A hash of its name selects the
     /// first seed.
     ///
@@ -76,17 +76,17 @@
             let first = rendezvous::hash_key(me.as_bytes()) % seeds.len() as u64;
             seeds.rotate_left(first as usize);
         }
-        let again_after = if asks_peers_first {
-            AGAIN_AFTER
+        let requery_after = if asks_peers_first {
+            REQUERY_AFTER
         } else {
-            SEED_AGAIN_AFTER
+            SEED_REQUERY_AFTER
         };
         Self {
             seeds,
-            asks: Asked::Seeds,
+            target: QueryTarget::Seeds,
             started: now,
-            asked: 0,
-            again_at: Some(now + again_after),
+            query_count: 0,
+            requery_at: Some(now + requery_after),
         }
     }
 
@@ -100,59 +100,66 @@
         if self.seeds.is_empty() {
             return None;
         }
-        if self.asks == Asked::Seeds && reads.is_large() && directory.is_listed() {
-            self.asks = Asked::Zone;
+        if self.target == QueryTarget::Seeds && reads.is_large() && directory.is_listed() {
+            self.target = QueryTarget::Ancestors;
             self.started = now;
-            self.asked = 0;
+            self.query_count = 0;
         }
         let missing = !reads.is_known() || !directory.is_listed();
-        let tries = match self.asks {
-            Asked::Seeds => TRIES,
-            Asked::Zone => usize::MAX,
+        let max_queries = match self.target {
+            QueryTarget::Seeds => MAX_SEED_QUERIES,
+            QueryTarget::Ancestors => usize::MAX,
         };
-        if missing && self.asked < tries {
-            let turn = self.started + NEXT_PAUSE * self.asked as u32;
-            return Some(turn.max(reads.queued_until().unwrap_or(turn)));
+        if missing && self.query_count < max_queries {
+            let due = self.started + QUERY_DELAY * self.query_count as u32;
+            return Some(due.max(reads.queued_until().unwrap_or(due)));
         }
-        self.again_at
+        self.requery_at
     }
 
     /// Returns the next query. For large content this is to an ancestor in the own zone. An
     /// instance without ancestors, or whose ancestors do not reply, queries the seeds.
-    fn take_next(&mut self, now: Time, reads: &SharedReads, directory: &PeerDirectory) -> Next {
-        let again = self.again_at.is_some_and(|at| at <= now);
-        if again {
-            self.again_at = None;
+    fn take_next(
+        &mut self,
+        now: Time,
+        reads: &SharedReads,
+        directory: &PeerDirectory,
+    ) -> NextQuery {
+        let requery = self.requery_at.is_some_and(|at| at <= now);
+        if requery {
+            self.requery_at = None;
         }
-        let turn = self.asked;
-        self.asked += 1;
-        let seed = self.seeds[turn % self.seeds.len()];
-        if self.asks == Asked::Seeds || reads.is_known() {
-            if again {
-                self.asked = self.asked.max(TRIES);
+        let index = self.query_count;
+        self.query_count += 1;
+        let seed = self.seeds[index % self.seeds.len()];
+        if self.target == QueryTarget::Seeds || reads.is_known() {
+            if requery {
+                self.query_count = self.query_count.max(MAX_SEED_QUERIES);
             }
-            return Next {
+            return NextQuery {
                 to: seed,
                 instances: true,
                 whole: false,
             };
         }
-        let above = directory.ancestors();
-        let above = above.get(turn / TRIES_EACH).map(|peer| peer.address);
-        Next {
-            to: above.unwrap_or(seed),
+        let ancestors = directory.ancestors();
+        let ancestor = ancestors
+            .get(index / QUERIES_PER_ANCESTOR)
+            .map(|peer| peer.address);
+        NextQuery {
+            to: ancestor.unwrap_or(seed),
             instances: false,
-            whole: above.is_none(),
+            whole: ancestor.is_none(),
         }
     }
 }
 
 impl BeaconService {
     /// Queries the next seed or ancestor.
-    pub(super) async fn ask_seed(&self, meeting: &mut Meeting) {
+    pub(super) async fn send_query(&self, bootstrap: &mut Bootstrap) {
         let now = self.clock.now();
-        let next = meeting.take_next(now, &self.reads, &self.directory);
-        let question = StateQuery {
+        let next = bootstrap.take_next(now, &self.reads, &self.directory);
+        let query = StateQuery {
             asked: now,
             topics: !self.reads.is_known(),
             instances: next.instances,
@@ -160,7 +167,7 @@
             missing: self.partial_replies().missing(next.to),
             zone: self.directory.zone().to_owned(),
         };
-        self.send_to(&seal(&self.key, question.body()), "", next.to)
+        self.send_to(&seal(&self.key, query.body()), "", next.to)
             .await;
     }
 }
--- a/crates/firdock-node/src/peer/beacon/take.rs
+++ b/crates/firdock-node/src/peer/beacon/take.rs
@@ -62,7 +62,7 @@
             self.reads.note_queued(self.clock.now());
             return;
         }
-        let taken = self.partial_replies().take(self.clock.now(), from, told);
+        let taken = self.partial_replies().add(self.clock.now(), from, told);
         let whole = taken.map(|whole| whole.map(StateReply::read));
         match whole {
             Ok(Some(Some(answer))) => self.take_answer(answer),
--- a/crates/firdock-node/src/peer/known.rs
+++ b/crates/firdock-node/src/peer/known.rs
@@ -85,14 +85,14 @@
 
 /// Content of the platform's store as this instance knows it.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct KnownState {
+pub struct StoreSnapshot {
     /// Snapshots of the topics.
     pub topics: Vec<(Topic, TopicSnapshot)>,
     /// List of instances.
     pub instances: Vec<PeerAddress>,
 }
 
-impl KnownState {
+impl StoreSnapshot {
     /// Encodes and compresses the snapshot.
     pub(super) fn deflate(self) -> Option<Vec<u8>> {
         let image = |(topic, image): (Topic, TopicSnapshot)| message::TopicImage {
@@ -165,7 +165,7 @@
 
 /// A part of a reply, which may be all of it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct ToldPart {
+pub(super) struct ReplyPart {
     /// Read state of the store at the time of the reply.
     pub reads: ReadState,
     /// ID of the state, index of the part and number of parts.
@@ -181,11 +181,11 @@
 }
 
 /// Encodes a part of the reply to the query sent at `asked`.
-pub(super) fn answer_body(
+pub(super) fn reply_body(
     member: &Member,
     asked: Time,
     clock: Time,
-    told: ToldPart,
+    told: ReplyPart,
 ) -> datagram::Body {
     datagram::Body::StateAnswer(message::StateAnswer {
         instance: member.name.clone(),
@@ -204,7 +204,7 @@
 }
 
 /// Encodes the notice that a reply is delayed by the queue.
-pub(super) fn queued_body(member: &Member) -> datagram::Body {
+pub(super) fn delay_notice_body(member: &Member) -> datagram::Body {
     datagram::Body::StateAnswer(message::StateAnswer {
         instance: member.name.clone(),
         incarnation: member.incarnation.as_bytes().to_vec(),
--- a/crates/firdock-node/src/peer/parts.rs
+++ b/crates/firdock-node/src/peer/parts.rs
@@ -17,10 +17,10 @@
 /// Maximum number of parts, 3 MB in total. Larger content is read from the store.
 const MAX_PARTS: usize = 64;
 /// Maximum number of replies reassembled at a time; only the few seeds queried at a start send any.
-const MAX_PARTIAL: usize = 4;
+const MAX_PARTIAL_REPLIES: usize = 4;
 /// Time without new parts after which an incomplete reply is dropped: many times what sending all
 /// of it takes.
-const GIVE_UP_AFTER: Duration = Duration::from_secs(10);
+const REPLY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// ID of a state, unique within the process that built it.
 pub type StateId = u64;
@@ -51,31 +51,31 @@
 
 /// An incomplete reply.
 #[derive(Debug)]
-struct Partial {
+struct PartialReply {
     state: StateId,
     incarnation: Vec<u8>,
     parts: Vec<Option<Vec<u8>>>,
-    heard: Time,
+    last_received: Time,
 }
 
-impl Partial {
-    fn new(now: Time, told: &StateAnswer) -> Self {
+impl PartialReply {
+    fn new(now: Time, reply: &StateAnswer) -> Self {
         Self {
-            state: told.state_id,
-            incarnation: told.incarnation.clone(),
-            parts: vec![None; told.parts as usize],
-            heard: now,
+            state: reply.state_id,
+            incarnation: reply.incarnation.clone(),
+            parts: vec![None; reply.parts as usize],
+            last_received: now,
         }
     }
 
-    fn is_of(&self, told: &StateAnswer) -> bool {
-        self.state == told.state_id
-            && self.incarnation == told.incarnation
-            && self.parts.len() == told.parts as usize
+    fn matches(&self, reply: &StateAnswer) -> bool {
+        self.state == reply.state_id
+            && self.incarnation == reply.incarnation
+            && self.parts.len() == reply.parts as usize
     }
 
     /// Returns the complete state, once no part is missing.
-    fn whole(&self) -> Option<Vec<u8>> {
+    fn complete(&self) -> Option<Vec<u8>> {
         let parts: Option<Vec<&[u8]>> = self.parts.iter().map(Option::as_deref).collect();
         parts.map(|parts| parts.concat())
     }
@@ -88,7 +88,7 @@
 /// Incomplete replies, by their sender.
 #[derive(Debug, Default)]
 pub struct PartialReplies {
-    by_teller: BTreeMap<SocketAddr, Partial>,
+    by_sender: BTreeMap<SocketAddr, PartialReply>,
 }
 
 impl PartialReplies {
@@ -100,42 +100,42 @@
     /// # Errors
     ///
     /// Fails if the index or the number of parts is invalid.
-    pub fn take(
+    pub fn add(
         &mut self,
         now: Time,
         from: SocketAddr,
-        told: StateAnswer,
+        reply: StateAnswer,
     ) -> Result<Option<StateAnswer>, InvalidPart> {
-        if told.parts <= 1 {
-            return Ok(Some(told));
+        if reply.parts <= 1 {
+            return Ok(Some(reply));
         }
-        if told.parts as usize > MAX_PARTS || told.part >= told.parts {
+        if reply.parts as usize > MAX_PARTS || reply.part >= reply.parts {
             return Err(InvalidPart);
         }
-        self.by_teller
-            .retain(|_, partial| partial.heard + GIVE_UP_AFTER > now);
-        self.make_room(from);
+        self.by_sender
+            .retain(|_, partial| partial.last_received + REPLY_TIMEOUT > now);
+        self.evict_if_full(from);
         let partial = self
-            .by_teller
+            .by_sender
             .entry(from)
-            .or_insert_with(|| Partial::new(now, &told));
-        if !partial.is_of(&told) {
-            *partial = Partial::new(now, &told);
+            .or_insert_with(|| PartialReply::new(now, &reply));
+        if !partial.matches(&reply) {
+            *partial = PartialReply::new(now, &reply);
         }
-        partial.heard = now;
-        let (part, state) = (told.part as usize, told.state.clone());
+        partial.last_received = now;
+        let (part, state) = (reply.part as usize, reply.state.clone());
         partial.parts[part] = Some(state);
-        let Some(state) = partial.whole() else {
+        let Some(state) = partial.complete() else {
             return Ok(None);
         };
-        self.by_teller.remove(&from);
-        Ok(Some(StateAnswer { state, ..told }))
+        self.by_sender.remove(&from);
+        Ok(Some(StateAnswer { state, ..reply }))
     }
 
     /// Returns the missing parts of a peer's reply; `None` if no part of it was received.
     #[must_use]
     pub fn missing(&self, from: SocketAddr) -> Option<MissingParts> {
-        let partial = self.by_teller.get(&from)?;
+        let partial = self.by_sender.get(&from)?;
         let absent = partial.parts.iter().enumerate();
         let absent = absent.filter(|(_, part)| part.is_none());
         Some(MissingParts {
@@ -145,13 +145,13 @@
     }
 
     /// Drops the reply whose last part is the oldest if there is no capacity for another one.
-    fn make_room(&mut self, from: SocketAddr) {
-        if self.by_teller.len() < MAX_PARTIAL || self.by_teller.contains_key(&from) {
+    fn evict_if_full(&mut self, from: SocketAddr) {
+        if self.by_sender.len() < MAX_PARTIAL_REPLIES || self.by_sender.contains_key(&from) {
             return;
         }
-        let oldest = self.by_teller.iter().min_by_key(|(_, p)| p.heard);
+        let oldest = self.by_sender.iter().min_by_key(|(_, p)| p.last_received);
         if let Some(oldest) = oldest.map(|(at, _)| *at) {
-            self.by_teller.remove(&oldest);
+            self.by_sender.remove(&oldest);
         }
     }
 }
--- a/crates/firdock-node/tests/node/parts.rs
+++ b/crates/firdock-node/tests/node/parts.rs
@@ -36,7 +36,7 @@
     let mut answers = PartialReplies::default();
     assert_eq!(answers.missing(teller(1)), None);
     for n in [0, 2] {
-        assert_eq!(answers.take(NOW, teller(1), part(9, &told, n)), Ok(None));
+        assert_eq!(answers.add(NOW, teller(1), part(9, &told, n)), Ok(None));
     }
     let missing = MissingParts {
         state: 9,
@@ -44,7 +44,7 @@
     };
     assert_eq!(answers.missing(teller(1)), Some(missing));
     assert_eq!(answers.missing(teller(2)), None);
-    let whole = answers.take(NOW, teller(1), part(9, &told, 1));
+    let whole = answers.add(NOW, teller(1), part(9, &told, 1));
     assert_eq!(whole.map(|w| w.map(|w| w.state)), Ok(Some(told)));
     assert_eq!(answers.missing(teller(1)), None);
 }
@@ -53,17 +53,17 @@
 fn parts_of_a_state_that_was_made_anew_replace_those_before() {
     let (old, new) = (state(PART_BYTES + 1), state(PART_BYTES + 9));
     let mut answers = PartialReplies::default();
-    assert_eq!(answers.take(NOW, teller(1), part(1, &old, 0)), Ok(None));
-    assert_eq!(answers.take(NOW, teller(1), part(2, &new, 1)), Ok(None));
-    let whole = answers.take(NOW, teller(1), part(2, &new, 0));
+    assert_eq!(answers.add(NOW, teller(1), part(1, &old, 0)), Ok(None));
+    assert_eq!(answers.add(NOW, teller(1), part(2, &new, 1)), Ok(None));
+    let whole = answers.add(NOW, teller(1), part(2, &new, 0));
     assert_eq!(whole.map(|w| w.map(|w| w.state)), Ok(Some(new.clone())));
     // The same number by another start of the teller is another state.
-    assert_eq!(answers.take(NOW, teller(1), part(2, &new, 0)), Ok(None));
+    assert_eq!(answers.add(NOW, teller(1), part(2, &new, 0)), Ok(None));
     let restarted = StateAnswer {
         incarnation: vec![2; 16],
         ..part(2, &new, 1)
     };
-    assert_eq!(answers.take(NOW, teller(1), restarted), Ok(None));
+    assert_eq!(answers.add(NOW, teller(1), restarted), Ok(None));
 }
 
 #[test]
@@ -76,12 +76,12 @@
         ..part(1, &told, 0)
     };
     for (part_no, parts) in [(2, 2), (0, u32::MAX), (u32::MAX, 3)] {
-        let taken = answers.take(NOW, teller(1), hostile(part_no, parts));
+        let taken = answers.add(NOW, teller(1), hostile(part_no, parts));
         assert_eq!(taken, Err(InvalidPart), "{part_no} of {parts}");
     }
     for n in 1..=200 {
         let now = NOW + Duration::from_millis(n.into());
-        assert_eq!(answers.take(now, teller(n), part(1, &told, 0)), Ok(None));
+        assert_eq!(answers.add(now, teller(n), part(1, &told, 0)), Ok(None));
     }
     let kept = (1..=200).filter(|n| answers.missing(teller(*n)).is_some());
     assert_eq!(kept.count(), 4);
@@ -105,7 +105,7 @@
         let mut whole = None;
         for n in order.into_iter().map(|n| n % parts).chain(0..parts) {
             if whole.is_none() {
-                whole = answers.take(NOW, teller(1), part(1, &told, n)).expect("a part");
+                whole = answers.add(NOW, teller(1), part(1, &told, n)).expect("a part");
             }
         }
         prop_assert_eq!(whole.map(|w| w.state), Some(told));
