--- a/crates/firdock-node/src/peer/beacon.rs
+++ b/crates/firdock-node/src/peer/beacon.rs
@@ -49,12 +49,12 @@
 const MAX_DATAGRAM_BYTES: usize = 60 << 10;
 /// Maximum number of other instances listed in one beacon. The selection is random, so that all are
 /// listed over several beacons.
-const MAX_TOLD: usize = 16;
+const MAX_LISTED_PEERS: usize = 16;
 /// Ticks between two beacons that list other instances. Membership changes rarely, and traffic
 /// between availability zones is billed.
-const TELL_EVERY: usize = 5;
+const LIST_PEERS_EVERY: usize = 5;
 /// Ticks after which the known instances are assumed to be complete even if no list was received.
-const LIST_TICKS: usize = 10;
+const ASSUME_LISTED_TICKS: usize = 10;
 
 /// Store records that this instance applied, to be forwarded to its peers.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -154,7 +154,7 @@
                     tick += 1;
                     decides = self.tell_decides(decides).await;
                     self.send(tick).await;
-                    if tick >= LIST_TICKS || self.directory.is_listed() {
+                    if tick >= ASSUME_LISTED_TICKS || self.directory.is_listed() {
                         known = self.count(known).await;
                     }
                 }
@@ -195,7 +195,7 @@
     async fn send(&self, tick: usize) {
         let now = self.clock.now();
         let due = BeaconTargets::at(tick, &self.directory, now);
-        let heard = if tick.is_multiple_of(TELL_EVERY) {
+        let heard = if tick.is_multiple_of(LIST_PEERS_EVERY) {
             self.directory.live_peers(now)
         } else {
             Vec::new()
@@ -294,7 +294,7 @@
         let sealed = seal(&self.key, body);
         for (peer, _) in self
             .directory
-            .pick(&leads, |relation| relation.same_group || relation.lead)
+            .select(&leads, |relation| relation.same_group || relation.lead)
         {
             self.send_to(&sealed, &peer.name, peer.address).await;
         }
@@ -324,7 +324,7 @@
             incarnation: self.member.incarnation.as_bytes().to_vec(),
             heartbeat: Some(heartbeat),
             used: write_uses(&self_status.used),
-            peers: told.take(MAX_TOLD).map(write_address).collect(),
+            peers: told.take(MAX_LISTED_PEERS).map(write_address).collect(),
             reads: Some(write_reads(self.reads.own())),
             group_heard: lead.group_live as u32,
             site_heard: lead.site_live as u32,
--- a/crates/firdock-node/src/peer/beacon/answer.rs
+++ b/crates/firdock-node/src/peer/beacon/answer.rs
@@ -113,7 +113,7 @@
     /// An instance that receives an incomplete list of instances would take too large a share of
     /// the accounts' limits.
     pub(super) fn next(&self, reads: &SharedReads, directory: &PeerDirectory) -> Option<Time> {
-        let can_answer = reads.is_known() && directory.is_listed();
+        let can_answer = reads.is_complete() && directory.is_listed();
         let due = can_answer && !self.queue.is_empty();
         due.then_some(self.next_at)
     }
--- a/crates/firdock-node/src/peer/beacon/due.rs
+++ b/crates/firdock-node/src/peer/beacon/due.rs
@@ -52,7 +52,7 @@
             }
         };
         let mut due = Self::default();
-        for (peer, relation) in directory.pick(&leads, wanted) {
+        for (peer, relation) in directory.select(&leads, wanted) {
             match relation {
                 PeerRelation {
                     same_group: true, ..
@@ -75,7 +75,7 @@
         leads.extend(directory.likely_group_leads());
         let mut due = Self::default();
         for (peer, relation) in
-            directory.pick(&leads, |relation| relation.same_group || relation.lead)
+            directory.select(&leads, |relation| relation.same_group || relation.lead)
         {
             if relation.same_group {
                 due.same_group.push(peer);
--- a/crates/firdock-node/src/peer/beacon/meet.rs
+++ b/crates/firdock-node/src/peer/beacon/meet.rs
@@ -105,14 +105,14 @@
             self.started = now;
             self.query_count = 0;
         }
-        let missing = !reads.is_known() || !directory.is_listed();
+        let missing = !reads.is_complete() || !directory.is_listed();
         let max_queries = match self.target {
             QueryTarget::Seeds => MAX_SEED_QUERIES,
             QueryTarget::Ancestors => usize::MAX,
         };
         if missing && self.query_count < max_queries {
             let due = self.started + QUERY_DELAY * self.query_count as u32;
-            return Some(due.max(reads.queued_until().unwrap_or(due)));
+            return Some(due.max(reads.delayed_until().unwrap_or(due)));
         }
         self.requery_at
     }
@@ -132,7 +132,7 @@
         let index = self.query_count;
         self.query_count += 1;
         let seed = self.seeds[index % self.seeds.len()];
-        if self.target == QueryTarget::Seeds || reads.is_known() {
+        if self.target == QueryTarget::Seeds || reads.is_complete() {
             if requery {
                 self.query_count = self.query_count.max(MAX_SEED_QUERIES);
             }
@@ -161,7 +161,7 @@
         let next = bootstrap.take_next(now, &self.reads, &self.directory);
         let query = StateQuery {
             asked: now,
-            topics: !self.reads.is_known(),
+            topics: !self.reads.is_complete(),
             instances: next.instances,
             whole: next.whole,
             missing: self.partial_replies().missing(next.to),
--- a/crates/firdock-node/src/peer/beacon/take.rs
+++ b/crates/firdock-node/src/peer/beacon/take.rs
@@ -11,7 +11,7 @@
 };
 use slog::warn;
 
-use super::{BeaconService, MAX_TOLD};
+use super::{BeaconService, MAX_LISTED_PEERS};
 use crate::clock::millis;
 use crate::input::Input;
 use crate::peer::book::{HeartbeatOutcome, PeerInfo, PeerRecord};
@@ -59,7 +59,7 @@
     /// Handles a part of a reply; incomplete replies are kept until the other parts arrive.
     fn take_part(&self, told: StateAnswer, from: SocketAddr) {
         if told.queued {
-            self.reads.note_queued(self.clock.now());
+            self.reads.record_delay(self.clock.now());
             return;
         }
         let taken = self.partial_replies().add(self.clock.now(), from, told);
@@ -87,7 +87,7 @@
             }
         }
         if answer.large {
-            self.reads.note_large();
+            self.reads.mark_large();
         }
         self.reads.merge_reply(answer);
     }
@@ -246,7 +246,7 @@
         if let Some(at) = merged.fresh {
             self.tell(Event::ConfigConfirmed(at)).await;
         }
-        let starts = self.reads.is_large() && !self.reads.is_known();
+        let starts = self.reads.is_large() && !self.reads.is_complete();
         let question = if merged.ask_state && !starts {
             let question = StateQuery {
                 asked: now,
@@ -273,7 +273,7 @@
     /// Otherwise each of hundreds of instances would query the clocks of all others after a start.
     fn counts(&self, name: &str, now: Time) -> bool {
         self.directory.is_single_group()
-            || self.reads.is_aging(now)
+            || self.reads.is_outdated(now)
             || self.directory.group_leads(now).contains(name)
     }
 
@@ -297,7 +297,15 @@
             };
             Some(outcome)
         };
-        self.add_reported(beacon.peers.iter().take(MAX_TOLD).cloned().collect(), now);
+        self.add_reported(
+            beacon
+                .peers
+                .iter()
+                .take(MAX_LISTED_PEERS)
+                .cloned()
+                .collect(),
+            now,
+        );
         outcome
     }
 }
--- a/crates/firdock-node/src/peer/beacon/usage.rs
+++ b/crates/firdock-node/src/peer/beacon/usage.rs
@@ -8,7 +8,7 @@
 use firdock_wire::message::Beacon;
 use uuid::Uuid;
 
-use super::{BeaconService, TELL_EVERY};
+use super::{BeaconService, LIST_PEERS_EVERY};
 use crate::peer::datagram::write_uses;
 
 /// Limit use that is included in a beacon.
@@ -54,7 +54,7 @@
             sums.start(Uuid::now_v7);
             sums.add_member_report(now, &self.own_use());
             sums.sweep(now);
-            if !self.directory.is_lead(now) && !tick.is_multiple_of(TELL_EVERY) {
+            if !self.directory.is_lead(now) && !tick.is_multiple_of(LIST_PEERS_EVERY) {
                 return Default::default();
             }
             (sums.report_for_leads(me), sums.report_for_group(me))
--- a/crates/firdock-node/src/peer/book.rs
+++ b/crates/firdock-node/src/peer/book.rs
@@ -20,7 +20,7 @@
 pub use self::group::{PeerRelation, ReadRole, ReadTurn};
 
 /// Time without heartbeats after which an instance is forgotten, as it was replaced or removed.
-const FORGET_AFTER: Duration = Duration::from_mins(1);
+const EXPIRE_AFTER: Duration = Duration::from_mins(1);
 /// Time without heartbeats after which an instance no longer counts as live.
 const LIVE_WITHIN: Duration = Duration::from_secs(5);
 
@@ -70,21 +70,21 @@
     millicores: Millicores,
     /// When its last heartbeat was received, or when it was first listed by others if there was
     /// none.
-    since: Time,
-    heard: bool,
+    last_seen: Time,
+    has_heartbeat: bool,
     /// Demand that it reported last.
     demand: Vec<PoolDemand>,
 }
 
 impl Entry {
     /// Returns whether a heartbeat was received within `time`.
-    fn heard_within(&self, now: Time, time: Duration) -> bool {
-        self.heard && self.since + time > now
+    fn seen_within(&self, now: Time, time: Duration) -> bool {
+        self.has_heartbeat && self.last_seen + time > now
     }
 
     /// Returns whether the instance is live.
     fn is_live(&self, now: Time) -> bool {
-        self.heard_within(now, LIVE_WITHIN)
+        self.seen_within(now, LIVE_WITHIN)
     }
 }
 
@@ -171,7 +171,7 @@
         }
         let mut entries = self.lock();
         if let Some(entry) = entries.get_mut(&peer.name) {
-            if !entry.heard && peer.millicores > 0 {
+            if !entry.has_heartbeat && peer.millicores > 0 {
                 entry.millicores = peer.millicores;
             }
             return;
@@ -183,8 +183,8 @@
             address: peer.address,
             zone: peer.zone,
             millicores: peer.millicores,
-            since: now,
-            heard: false,
+            last_seen: now,
+            has_heartbeat: false,
             demand: Vec::new(),
         };
         entries.insert(peer.name, entry);
@@ -250,13 +250,13 @@
             address,
             zone: word.zone.to_owned(),
             millicores: word.millicores,
-            since: now,
-            heard: true,
+            last_seen: now,
+            has_heartbeat: true,
             demand: Vec::new(),
         };
         let before = entries.insert(word.name.to_owned(), entry);
         match before {
-            Some(before) if before.heard => HeartbeatOutcome::Repeated,
+            Some(before) if before.has_heartbeat => HeartbeatOutcome::Repeated,
             _ => HeartbeatOutcome::First,
         }
     }
@@ -279,9 +279,9 @@
     pub fn sweep(&self, now: Time) -> usize {
         self.departed().retain(|_, at| *at + LIVE_WITHIN > now);
         self.reported_size()
-            .take_if(|(at, _)| *at + FORGET_AFTER <= now);
+            .take_if(|(at, _)| *at + EXPIRE_AFTER <= now);
         let mut entries = self.lock();
-        entries.retain(|_, e| e.since + FORGET_AFTER > now);
+        entries.retain(|_, e| e.last_seen + EXPIRE_AFTER > now);
         self.prune(&mut entries, now);
         drop(entries);
         self.count(now)
--- a/crates/firdock-node/src/peer/book/fleet.rs
+++ b/crates/firdock-node/src/peer/book/fleet.rs
@@ -7,18 +7,18 @@
 use firdock_core::InstanceId;
 use firdock_policy::Time;
 
-use super::group::{lead_priority_of, strongest_of_zones};
-use super::{Entries, Entry, FORGET_AFTER, Millicores, PeerDirectory, PeerRecord, known_peer};
+use super::group::{first_of_zones, lead_priority_of};
+use super::{EXPIRE_AFTER, Entries, Entry, Millicores, PeerDirectory, PeerRecord, known_peer};
 
 /// Number of instances from which directories are partial. An instance then tracks its own group
 /// and the most powerful instances of each other group, which report for the rest, so that memory
 /// and traffic grow with the size of its group only.
-const FULL_BOOK: usize = 400;
+const FULL_DIRECTORY_LIMIT: usize = 400;
 /// Number of tracked instances of each other group: its lead, the successor, and two spares.
-const STRONGEST: usize = 4;
+const TRACKED_PER_ZONE: usize = 4;
 /// Time for which an instance that read the platform's list keeps all listed instances, to serve
 /// the list to others. Instances that start at the same time have queried it by then.
-const TELL_LISTED: Duration = Duration::from_secs(10);
+const KEEP_LISTED: Duration = Duration::from_secs(10);
 
 /// Reported number of instances, and when it was reported.
 pub(super) type ReportedSize = Option<(Time, usize)>;
@@ -33,7 +33,7 @@
     /// Returns the number of instances that was reported recently; zero if there is none.
     fn recent_site_size(&self, now: Time) -> usize {
         let told = *self.reported_size();
-        let told = told.filter(|(at, _)| *at + FORGET_AFTER > now);
+        let told = told.filter(|(at, _)| *at + EXPIRE_AFTER > now);
         told.map_or(0, |(_, count)| count)
     }
 
@@ -46,7 +46,7 @@
 
     pub(super) fn is_partial_at(&self, known: usize) -> bool {
         let told = self.reported_size().map_or(0, |(_, count)| count);
-        known.max(told) >= FULL_BOOK
+        known.max(told) >= FULL_DIRECTORY_LIMIT
     }
 
     /// Returns whether an instance is to be tracked here.
@@ -64,7 +64,7 @@
         let before = entries.iter().filter(|(other, e)| {
             e.zone == zone && lead_priority_of(e.millicores, other) < lead_priority
         });
-        before.count() < STRONGEST
+        before.count() < TRACKED_PER_ZONE
     }
 
     /// Removes the instances of other groups that need not be tracked.
@@ -73,12 +73,12 @@
             return;
         }
         // Silent instances must not displace the live ones that lead in their place.
-        let mut kept = strongest_of_zones(entries.iter(), STRONGEST);
+        let mut kept = first_of_zones(entries.iter(), TRACKED_PER_ZONE);
         let heard = entries.iter().filter(|(_, e)| e.is_live(now));
-        kept.extend(strongest_of_zones(heard, STRONGEST));
+        kept.extend(first_of_zones(heard, TRACKED_PER_ZONE));
         let own = &self.zone;
         entries.retain(|name, e| {
-            let new = !e.heard && e.since + TELL_LISTED > now;
+            let new = !e.has_heartbeat && e.last_seen + KEEP_LISTED > now;
             new || e.zone == *own || e.zone.is_empty() || kept.contains(name)
         });
     }
@@ -103,7 +103,7 @@
         let groups = self.groups();
         let fresh = groups
             .iter()
-            .filter(|(zone, count)| **zone != self.zone && count.at + FORGET_AFTER > now);
+            .filter(|(zone, count)| **zone != self.zone && count.at + EXPIRE_AFTER > now);
         let others: usize = fresh.map(|(_, count)| count.known).sum();
         drop(groups);
         (self.group_size() + others).max(self.recent_site_size(now))
@@ -126,7 +126,7 @@
     pub fn peers_for_zone(&self, zone: &str) -> Vec<PeerRecord> {
         let entries = self.lock();
         let all = zone.is_empty() || !self.is_partial_at(entries.len());
-        let strongest = strongest_of_zones(entries.iter(), STRONGEST);
+        let strongest = first_of_zones(entries.iter(), TRACKED_PER_ZONE);
         let wanted = |(name, e): &(&InstanceId, &Entry)| {
             all || e.zone == zone || e.zone.is_empty() || strongest.contains(*name)
         };
--- a/crates/firdock-node/src/peer/book/group.rs
+++ b/crates/firdock-node/src/peer/book/group.rs
@@ -22,7 +22,7 @@
 const PRESENT_WITHIN: Duration = Duration::from_millis(1_200);
 /// Instances of each group that receive all reports at once: its lead and the successor, which
 /// takes over as soon as the lead falls silent.
-const LEADS_TOLD: usize = 2;
+const LEADS_PER_GROUP: usize = 2;
 
 /// Children of an instance in the tree through which large content is distributed at start. Sending
 /// 35 KB to each of nine children takes 0.36 s on a link of 10 Mbit/s, of which replies use 70 %,
@@ -101,7 +101,7 @@
 impl Entry {
     /// Returns whether the instance counts as a present member of its group.
     fn is_present(&self, now: Time) -> bool {
-        self.heard_within(now, PRESENT_WITHIN)
+        self.seen_within(now, PRESENT_WITHIN)
     }
 }
 
@@ -135,12 +135,12 @@
     #[must_use]
     pub fn read_turn(&self, now: Time) -> ReadTurn {
         let entries = self.lock();
-        let few = self.is_single_group_of(&entries);
+        let single_group = self.is_single_group_of(&entries);
         let me = self.lead_priority();
         let (mut led_site, mut led_group, mut index, mut group_size) = (false, false, 0, 1);
         for peer in entries.iter().filter(|(_, e)| e.is_live(now)) {
             let before = lead_priority(&peer) < me;
-            let grouped = few || peer.1.zone == self.zone;
+            let grouped = single_group || peer.1.zone == self.zone;
             let leads = before && peer.1.is_present(now);
             led_site |= leads;
             led_group |= leads && grouped;
@@ -148,7 +148,7 @@
             index += usize::from(before && grouped);
             group_size += usize::from(grouped);
         }
-        let role = match (led_site, led_group, few) {
+        let role = match (led_site, led_group, single_group) {
             (false, _, _) => ReadRole::SiteLead,
             (_, false, _) => ReadRole::GroupLead,
             (_, _, true) => ReadRole::SingleGroupMember,
@@ -178,13 +178,16 @@
     #[must_use]
     pub fn group_leads(&self, now: Time) -> BTreeSet<InstanceId> {
         let entries = self.lock();
-        strongest_of_zones(entries.iter().filter(|(_, e)| e.is_live(now)), LEADS_TOLD)
+        first_of_zones(
+            entries.iter().filter(|(_, e)| e.is_live(now)),
+            LEADS_PER_GROUP,
+        )
     }
 
     /// Returns the likely lead and successor of each availability zone, of all known instances.
     #[must_use]
     pub fn likely_group_leads(&self) -> BTreeSet<InstanceId> {
-        strongest_of_zones(self.lock().iter(), LEADS_TOLD)
+        first_of_zones(self.lock().iter(), LEADS_PER_GROUP)
     }
 
     /// Returns whether this instance reports to its group on the whole site: its lead and the
@@ -194,7 +197,7 @@
         let entries = self.lock();
         let near = self.present_in_zone(&entries, now);
         let before = near.filter(|peer| lead_priority(peer) < self.lead_priority());
-        before.count() < LEADS_TOLD
+        before.count() < LEADS_PER_GROUP
     }
 
     /// Returns the number of present instances of this group, including this one.
@@ -233,9 +236,9 @@
         open: impl Fn(&str) -> bool,
     ) -> Option<(PeerRecord, bool)> {
         let entries = self.lock();
-        let few = self.is_single_group_of(&entries);
-        let group =
-            present(&entries, now).filter(|(name, e)| (few || e.zone == self.zone) && open(name));
+        let single_group = self.is_single_group_of(&entries);
+        let group = present(&entries, now)
+            .filter(|(name, e)| (single_group || e.zone == self.zone) && open(name));
         let first = group.min_by(|a, b| lead_priority(a).cmp(&lead_priority(b)))?;
         let before = lead_priority(&first) < self.lead_priority();
         Some((known_peer(first), before))
@@ -253,12 +256,12 @@
             .collect();
         before.sort_by(|a, b| lead_priority(a).cmp(&lead_priority(b)));
         let mut index = before.len();
-        let mut above = Vec::new();
+        let mut ancestors = Vec::new();
         while index > 0 {
             index = (index - 1) / CHILDREN;
-            above.push(known_peer(before[index]));
+            ancestors.push(known_peer(before[index]));
         }
-        above
+        ancestors
     }
 
     /// Returns whether the site is so small that all instances form a single group.
@@ -282,17 +285,17 @@
     ///
     /// On a site with a thousand instances, only few are selected at any time; the others are not
     /// copied.
-    pub fn pick(
+    pub fn select(
         &self,
         leads: &BTreeSet<InstanceId>,
         wanted: impl Fn(PeerRelation) -> bool,
     ) -> Vec<(PeerRecord, PeerRelation)> {
         let entries = self.lock();
-        let few = self.is_single_group_of(&entries);
+        let single_group = self.is_single_group_of(&entries);
         let placed = entries.iter().enumerate().map(|(at, peer)| {
             let relation = PeerRelation {
                 at,
-                same_group: few || peer.1.zone == self.zone,
+                same_group: single_group || peer.1.zone == self.zone,
                 lead: leads.contains(peer.0),
             };
             (peer, relation)
@@ -318,7 +321,7 @@
 }
 
 /// Returns the first `count` instances of each availability zone, by lead priority.
-pub(super) fn strongest_of_zones<'a>(
+pub(super) fn first_of_zones<'a>(
     peers: impl Iterator<Item = (&'a InstanceId, &'a Entry)>,
     count: usize,
 ) -> BTreeSet<InstanceId> {
--- a/crates/firdock-node/src/peer/keys.rs
+++ b/crates/firdock-node/src/peer/keys.rs
@@ -13,14 +13,14 @@
 
 /// Number of attempts before a transfer is given up. The new owner then treats the keys as
 /// uncertain for a while.
-const TRIES: u32 = 8;
+const MAX_ATTEMPTS: u32 = 8;
 /// Minimum and maximum delay between attempts.
-const PAUSES: (Duration, Duration) = (Duration::from_millis(50), Duration::from_secs(2));
+const RETRY_DELAYS: (Duration, Duration) = (Duration::from_millis(50), Duration::from_secs(2));
 
 /// Transfers keys to a member and returns whether it accepted them.
 pub async fn transfer_keys(dialer: Dialer, peer: InstanceId, transfer: KeyTransfer) -> bool {
-    let mut backoff = Backoff::new(PAUSES.0, PAUSES.1);
-    for _ in 0..TRIES {
+    let mut backoff = Backoff::new(RETRY_DELAYS.0, RETRY_DELAYS.1);
+    for _ in 0..MAX_ATTEMPTS {
         if send_once(&dialer, &peer, &transfer).await.is_some() {
             return true;
         }
--- a/crates/firdock-node/src/peer/link.rs
+++ b/crates/firdock-node/src/peer/link.rs
@@ -16,7 +16,7 @@
 use super::{HANDSHAKE_TIME, MAX_FRAME_BYTES};
 
 /// Maximum size of a frame before the peer is authenticated.
-const MAX_GREETING_BYTES: usize = 1 << 10;
+const MAX_HANDSHAKE_FRAME_BYTES: usize = 1 << 10;
 
 /// Why a link could not be established or failed.
 #[derive(Debug, Snafu)]
@@ -75,7 +75,7 @@
             let stream = TcpStream::connect(address)
                 .await
                 .context(ConnectSnafu { address })?;
-            greet(stream, me, peer, key).await
+            handshake_as_dialer(stream, me, peer, key).await
         };
         timeout(HANDSHAKE_TIME, dialing)
             .await
@@ -93,7 +93,7 @@
         key: &[u8],
         known: impl Fn(&str) -> bool,
     ) -> Result<Self, LinkError> {
-        let accepting = welcome(stream, me, key, known);
+        let accepting = handshake_as_acceptor(stream, me, key, known);
         timeout(HANDSHAKE_TIME, accepting)
             .await
             .unwrap_or_else(|_| TimedOutSnafu.fail())
@@ -117,13 +117,14 @@
         Ok(self.framed.next().await.transpose()?)
     }
 
-    fn proved(peer: &str, greeting: Framed<TcpStream, FrameCodec>) -> Self {
+    fn authenticated(peer: &str, greeting: Framed<TcpStream, FrameCodec>) -> Self {
         let parts = greeting.into_parts();
         // A first message may have been received together with the proof. Building the codec from
         // its parts decodes buffered data at once.
-        let mut proved = FramedParts::new::<Body>(parts.io, FrameCodec::new(MAX_FRAME_BYTES));
-        proved.read_buf = parts.read_buf;
-        let framed = Framed::from_parts(proved);
+        let mut authenticated =
+            FramedParts::new::<Body>(parts.io, FrameCodec::new(MAX_FRAME_BYTES));
+        authenticated.read_buf = parts.read_buf;
+        let framed = Framed::from_parts(authenticated);
         Self {
             peer: peer.to_owned(),
             framed,
@@ -137,14 +138,19 @@
     bytes
 }
 
-async fn greet(stream: TcpStream, me: &str, peer: &str, key: &[u8]) -> Result<Link, LinkError> {
+async fn handshake_as_dialer(
+    stream: TcpStream,
+    me: &str,
+    peer: &str,
+    key: &[u8],
+) -> Result<Link, LinkError> {
     let _ = stream.set_nodelay(true);
-    let mut framed = Framed::new(stream, FrameCodec::new(MAX_GREETING_BYTES));
-    let mine = nonce();
+    let mut framed = Framed::new(stream, FrameCodec::new(MAX_HANDSHAKE_FRAME_BYTES));
+    let own_nonce = nonce();
     let hello = Hello {
         protocol: PROTOCOL,
         instance: me.to_owned(),
-        nonce: mine.clone(),
+        nonce: own_nonce.clone(),
     };
     framed.send(Body::Hello(hello)).await?;
     let Some(Body::Welcome(theirs)) = framed.next().await.transpose()? else {
@@ -161,7 +167,7 @@
     }
     let parties = Parties {
         dialer: me,
-        dialer_nonce: &mine,
+        dialer_nonce: &own_nonce,
         acceptor: peer,
         acceptor_nonce: &theirs.nonce,
     };
@@ -173,17 +179,17 @@
     }
     let proof = auth::prove(key, Side::Dialer, &parties);
     framed.send(Body::Proof(Proof { proof })).await?;
-    Ok(Link::proved(peer, framed))
+    Ok(Link::authenticated(peer, framed))
 }
 
-async fn welcome(
+async fn handshake_as_acceptor(
     stream: TcpStream,
     me: &str,
     key: &[u8],
     known: impl Fn(&str) -> bool,
 ) -> Result<Link, LinkError> {
     let _ = stream.set_nodelay(true);
-    let mut framed = Framed::new(stream, FrameCodec::new(MAX_GREETING_BYTES));
+    let mut framed = Framed::new(stream, FrameCodec::new(MAX_HANDSHAKE_FRAME_BYTES));
     let Some(Body::Hello(hello)) = framed.next().await.transpose()? else {
         return RejectedSnafu {
             reason: "no hello message received",
@@ -196,18 +202,18 @@
         }
         .fail();
     }
-    let mine = nonce();
+    let own_nonce = nonce();
     let parties = Parties {
         dialer: &hello.instance,
         dialer_nonce: &hello.nonce,
         acceptor: me,
-        acceptor_nonce: &mine,
+        acceptor_nonce: &own_nonce,
     };
     let proof = auth::prove(key, Side::Acceptor, &parties);
     let answer = Welcome {
         protocol: PROTOCOL,
         instance: me.to_owned(),
-        nonce: mine.clone(),
+        nonce: own_nonce.clone(),
         proof,
     };
     framed.send(Body::Welcome(answer)).await?;
@@ -229,5 +235,5 @@
         }
         .fail();
     }
-    Ok(Link::proved(&hello.instance, framed))
+    Ok(Link::authenticated(&hello.instance, framed))
 }
--- a/crates/firdock-node/src/peer/reads.rs
+++ b/crates/firdock-node/src/peer/reads.rs
@@ -23,7 +23,7 @@
 use uuid::Uuid;
 
 pub use self::due::{DueReads, ReadReason};
-use self::state::Inner;
+use self::state::SharedState;
 use super::book::ReadTurn;
 use super::known::{PeerProcess, StateReply};
 use super::topic::{Topic, TopicRecords, TopicSnapshot};
@@ -31,10 +31,10 @@
 
 /// Age of the read state beyond which reports of all peers are used and not those of leads alone: a
 /// read every 0.6 s, and two heartbeats to forward it.
-const AGING: Duration = Duration::from_millis(1_100);
+const OUTDATED_AFTER: Duration = Duration::from_millis(1_100);
 /// Maximum number of peers' records waiting to be applied; records beyond that are dropped, and the
 /// store is read instead.
-const MAX_TOLD: usize = 64;
+const MAX_QUEUED_RECORDS: usize = 64;
 
 /// Newest state of the store that an instance knows.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -69,7 +69,7 @@
 /// Read state of this instance, merged with the reports of its peers.
 #[derive(Debug, Default)]
 pub struct SharedReads {
-    inner: Mutex<Inner>,
+    inner: Mutex<SharedState>,
     changed: Notify,
     known: Notify,
 }
@@ -90,7 +90,7 @@
 
     /// Records that the content of the store is so large that it has to be queried from the own
     /// zone.
-    pub fn note_large(&self) {
+    pub fn mark_large(&self) {
         self.lock().large = true;
         self.changed.notify_one();
         self.known.notify_one();
@@ -103,23 +103,23 @@
     }
 
     /// Records that a peer queried at start has announced a delayed reply.
-    pub fn note_queued(&self, now: Time) {
-        self.lock().queued_at = Some(now);
+    pub fn record_delay(&self, now: Time) {
+        self.lock().delay_announced_at = Some(now);
         self.changed.notify_one();
         self.known.notify_one();
     }
 
     /// Returns until when a delayed reply is awaited, if one was announced.
     #[must_use]
-    pub fn queued_until(&self) -> Option<Time> {
-        self.lock().queued_until()
+    pub fn delayed_until(&self) -> Option<Time> {
+        self.lock().delayed_until()
     }
 
     /// Returns whether a newly started instance still waits for the reply of a peer.
     #[must_use]
     pub fn awaits_reply(&self, now: Time) -> bool {
         let inner = self.lock();
-        let until = inner.started.map(|at| inner.start_by(at));
+        let until = inner.started.map(|at| inner.start_deadline(at));
         until.is_none_or(|until| now < until)
     }
 
@@ -129,14 +129,14 @@
         let mut inner = self.lock();
         inner.read_at = now;
         inner.failed_at = None;
-        inner.take(reads);
+        inner.merge_own(reads);
         drop(inner);
         self.known.notify_one();
     }
 
     /// Records the read state after applying records of peers, like `record_read`.
     pub fn record_from_peers(&self, reads: ReadState) {
-        self.lock().take(reads);
+        self.lock().merge_own(reads);
         self.known.notify_one();
     }
 
@@ -147,16 +147,16 @@
 
     /// Returns whether both topics are known, so that peers' queries can be answered.
     #[must_use]
-    pub fn is_known(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         let own = self.own();
         own.config_at > Time::ZERO && own.endpoints_at > Time::ZERO
     }
 
     /// Returns whether the read state is older than peers' reports normally let it get.
     #[must_use]
-    pub fn is_aging(&self, now: Time) -> bool {
+    pub fn is_outdated(&self, now: Time) -> bool {
         let own = self.own();
-        own.config_at.min(own.endpoints_at) + AGING < now
+        own.config_at.min(own.endpoints_at) + OUTDATED_AFTER < now
     }
 
     /// Returns when the list of endpoints was first read after its last outage, given a read at
@@ -195,7 +195,7 @@
         let Some(bound) = inner.clocks.get(&teller.name, teller.incarnation) else {
             return;
         };
-        let read_at = bound.place(changes.read_at);
+        let read_at = bound.local_time(changes.read_at);
         self.queue(inner, vec![TopicRecords { read_at, ..changes }]);
     }
 
@@ -207,17 +207,17 @@
         let Some(bound) = inner.clocks.get(name, *incarnation) else {
             return;
         };
-        let by_own_clock = |told: TopicRecords| TopicRecords {
-            read_at: bound.place(told.read_at),
-            ..told
+        let by_own_clock = |reported: TopicRecords| TopicRecords {
+            read_at: bound.local_time(reported.read_at),
+            ..reported
         };
-        let told = answer.topics.into_iter().map(by_own_clock).collect();
-        self.queue(inner, told);
+        let records = answer.topics.into_iter().map(by_own_clock).collect();
+        self.queue(inner, records);
     }
 
-    fn queue(&self, mut inner: MutexGuard<'_, Inner>, told: Vec<TopicRecords>) {
-        if inner.told.len() < MAX_TOLD {
-            inner.told.extend(told);
+    fn queue(&self, mut inner: MutexGuard<'_, SharedState>, records: Vec<TopicRecords>) {
+        if inner.peer_records.len() < MAX_QUEUED_RECORDS {
+            inner.peer_records.extend(records);
         }
         drop(inner);
         self.changed.notify_one();
@@ -228,8 +228,8 @@
     pub fn record_gap(&self, now: Time, topic: Topic) {
         let mut inner = self.lock();
         match topic {
-            Topic::Config => inner.config_news.get_or_insert(now),
-            Topic::Endpoints => inner.endpoints_news.get_or_insert(now),
+            Topic::Config => inner.config_newer_since.get_or_insert(now),
+            Topic::Endpoints => inner.endpoints_newer_since.get_or_insert(now),
         };
         drop(inner);
         self.changed.notify_one();
@@ -238,7 +238,7 @@
     /// Takes the queued records of peers.
     #[must_use]
     pub fn take_peer_records(&self) -> Vec<TopicRecords> {
-        std::mem::take(&mut self.lock().told)
+        std::mem::take(&mut self.lock().peer_records)
     }
 
     /// Records a failed read; the store is not read again during `pause`.
@@ -246,7 +246,7 @@
         let mut inner = self.lock();
         inner.read_at = now;
         inner.failed_at = Some(now);
-        inner.held_until = now + pause;
+        inner.paused_until = now + pause;
     }
 
     /// Returns the read state of this instance.
@@ -257,9 +257,14 @@
 
     /// Merges a peer's report, whose times are by the peer's clock.
     #[must_use]
-    pub fn merge_report(&self, now: Time, teller: &PeerProcess, told: ReadState) -> MergeOutcome {
+    pub fn merge_report(
+        &self,
+        now: Time,
+        teller: &PeerProcess,
+        reported: ReadState,
+    ) -> MergeOutcome {
         let mut inner = self.lock();
-        let ask_state = inner.hear_news(now, told);
+        let ask_state = inner.record_newer(now, reported);
         let Some(bound) = inner.clocks.get(&teller.name, teller.incarnation) else {
             // The reply to a state query contains the peer's clock as well.
             return MergeOutcome {
@@ -268,14 +273,14 @@
                 ask_state,
             };
         };
-        let told = ReadState {
-            config_at: bound.place(told.config_at),
-            endpoints_at: bound.place(told.endpoints_at),
-            steady_since: bound.place(told.steady_since),
-            ..told
+        let reported = ReadState {
+            config_at: bound.local_time(reported.config_at),
+            endpoints_at: bound.local_time(reported.endpoints_at),
+            steady_since: bound.local_time(reported.steady_since),
+            ..reported
         };
-        let fresh = inner.confirm(told);
-        inner.hear_steady(told);
+        let fresh = inner.confirm(reported);
+        inner.merge_steady_since(reported);
         MergeOutcome {
             fresh,
             ask_clock: false,
@@ -285,7 +290,7 @@
 
     /// Records a peer's clock from the reply to a query that was sent at `asked`.
     pub fn take_clock(&self, peer: &str, incarnation: Uuid, asked: Time, clock: Time) {
-        self.lock().clocks.take(peer, incarnation, asked, clock);
+        self.lock().clocks.record(peer, incarnation, asked, clock);
     }
 
     /// Returns what is due now, and when to check again if nothing is due and no report arrives.
@@ -317,7 +322,7 @@
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Inner> {
+    fn lock(&self) -> MutexGuard<'_, SharedState> {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/firdock-node/src/peer/reads/clocks.rs
+++ b/crates/firdock-node/src/peer/reads/clocks.rs
@@ -26,7 +26,7 @@
 
     /// Converts a time of the peer to the earliest corresponding local time. Zero means "never" and
     /// stays zero.
-    pub fn place(&self, at: Time) -> Time {
+    pub fn local_time(&self, at: Time) -> Time {
         if at == Time::ZERO {
             at
         } else {
@@ -50,7 +50,7 @@
 
     /// Records a peer's clock from the reply to a query sent at `asked`, if that tightens the known
     /// bound.
-    pub fn take(&mut self, peer: &str, incarnation: Uuid, asked: Time, clock: Time) {
+    pub fn record(&mut self, peer: &str, incarnation: Uuid, asked: Time, clock: Time) {
         let new = ClockBound {
             incarnation,
             ours: asked,
--- a/crates/firdock-node/src/peer/reads/due.rs
+++ b/crates/firdock-node/src/peer/reads/due.rs
@@ -12,37 +12,37 @@
 use crate::peer::book::{ReadRole, ReadTurn};
 
 /// Minimum time between two reads, however often peers report newer content.
-const LEAST_PAUSE: Duration = Duration::from_millis(150);
+const MIN_READ_INTERVAL: Duration = Duration::from_millis(150);
 /// Age of the read state at which other instances read themselves, as a multiple of the site lead's
 /// read interval. A report arrives one heartbeat after the read, and at members of a group another
 /// one later.
-const PATIENCE: f64 = 2.0;
+const MAX_AGE_FACTOR: f64 = 2.0;
 /// The same for the members of a group on a larger site.
-const MEMBER_PATIENCE: f64 = 3.0;
+const MEMBER_MAX_AGE_FACTOR: f64 = 3.0;
 /// Time between the turns of two instances of a group whose lead fell silent: several times what a
 /// read takes, including the report of it to the next instance.
-const TURN_PAUSE: Duration = Duration::from_millis(100);
+const TURN_INTERVAL: Duration = Duration::from_millis(100);
 /// Time over which the turns of all instances of a small site are spread. It is short, since they
 /// have less time to pick up a change and few attempts cost little.
-const SMALL_SPREAD: Duration = Duration::from_millis(400);
+const SINGLE_GROUP_SPREAD: Duration = Duration::from_millis(400);
 /// Time for querying a peer that reported newer content, and a second time, before the store is
 /// read: two heartbeats.
-const NEWS_PATIENCE: Duration = Duration::from_millis(400);
+const NEWER_QUERY_TIME: Duration = Duration::from_millis(400);
 /// Time that a starting instance waits for a reply. Three seeds are queried one after another and
 /// may have started at the same time. After a crash of all 295 instances of a site, the last reply
 /// arrived after 386 ms. At the very first start, when the seeds must find each other as well, 500
 /// ms was too short for a third of the instances.
-const START_PATIENCE: Duration = Duration::from_millis(800);
+const START_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// The same if the content of the store is large. It is distributed through a tree in each zone, by
 /// calculation within 2 s for 3,000 endpoints on links of 10 Mbit/s. Sending it to all instances
 /// would take the store as long, and each call is billed.
-const LARGE_PATIENCE: Duration = Duration::from_millis(3_500);
+const LARGE_START_TIMEOUT: Duration = Duration::from_millis(3_500);
 
 /// Time that it waits after a peer announced a delayed reply. Three seeds with links of 20 Mbit/s
 /// send a thousand instances the list of their zone, 4 KB each, in 0.8 s, after they have read the
 /// store themselves.
-pub(super) const QUEUE_PATIENCE: Duration = Duration::from_millis(2_500);
+pub(super) const DELAYED_REPLY_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// Why an instance reads the store itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -108,7 +108,7 @@
     /// When it was known to be the newest.
     pub fresh_at: Time,
     /// Since when a peer has had newer content.
-    pub news_since: Option<Time>,
+    pub newer_since: Option<Time>,
 }
 
 impl TopicAge {
@@ -119,8 +119,8 @@
         read_turn: ReadTurn,
         last: LastRead,
     ) -> (Time, ReadReason) {
-        let earliest = last.at + LEAST_PAUSE;
-        let old = self.fresh_at + patience(pause, read_turn);
+        let earliest = last.at + MIN_READ_INTERVAL;
+        let old = self.fresh_at + max_age(pause, read_turn);
         let (old, reason) = match read_turn.role {
             ReadRole::SiteLead => (old.max(earliest), ReadReason::Turn),
             _ => (
@@ -128,8 +128,8 @@
                 ReadReason::Silence,
             ),
         };
-        let news = self.news_since.map(|since| since + NEWS_PATIENCE);
-        match news.map(|by| by.max(earliest)) {
+        let newer_by = self.newer_since.map(|since| since + NEWER_QUERY_TIME);
+        match newer_by.map(|by| by.max(earliest)) {
             Some(by) if by < old => (by, ReadReason::PeerAhead),
             _ => (old, reason),
         }
@@ -149,9 +149,9 @@
     /// of a larger group waits until the others had their turns.
     fn next_turn(self, pause: Duration, read_turn: ReadTurn) -> Time {
         match self.failed_at {
-            None => self.at + LEAST_PAUSE,
+            None => self.at + MIN_READ_INTERVAL,
             Some(at) if read_turn.role == ReadRole::Member => {
-                at + pause.max(TURN_PAUSE * read_turn.group_size as u32)
+                at + pause.max(TURN_INTERVAL * read_turn.group_size as u32)
             }
             Some(at) => at + pause,
         }
@@ -159,23 +159,25 @@
 }
 
 /// Returns the age at which an instance reads a topic itself.
-fn patience(pause: Duration, read_turn: ReadTurn) -> Duration {
+fn max_age(pause: Duration, read_turn: ReadTurn) -> Duration {
     match read_turn.role {
         ReadRole::SiteLead => pause,
-        ReadRole::GroupLead => pause.mul_f64(PATIENCE),
+        ReadRole::GroupLead => pause.mul_f64(MAX_AGE_FACTOR),
         ReadRole::SingleGroupMember => {
-            pause.mul_f64(PATIENCE)
-                + SMALL_SPREAD * read_turn.index as u32 / read_turn.group_size as u32
+            pause.mul_f64(MAX_AGE_FACTOR)
+                + SINGLE_GROUP_SPREAD * read_turn.index as u32 / read_turn.group_size as u32
+        }
+        ReadRole::Member => {
+            pause.mul_f64(MEMBER_MAX_AGE_FACTOR) + TURN_INTERVAL * read_turn.index as u32
         }
-        ReadRole::Member => pause.mul_f64(MEMBER_PATIENCE) + TURN_PAUSE * read_turn.index as u32,
     }
 }
 
 /// Returns until when an instance started at `started` waits for a reply.
-pub(super) fn start_by(started: Time, asks: bool, large: bool) -> Time {
+pub(super) fn start_deadline(started: Time, asks: bool, large: bool) -> Time {
     match (asks, large) {
         (false, _) => started,
-        (true, false) => started + START_PATIENCE,
-        (true, true) => started + LARGE_PATIENCE,
+        (true, false) => started + START_TIMEOUT,
+        (true, true) => started + LARGE_START_TIMEOUT,
     }
 }
--- a/crates/firdock-node/src/peer/reads/state.rs
+++ b/crates/firdock-node/src/peer/reads/state.rs
@@ -6,17 +6,17 @@
 
 use super::ReadState;
 use super::clocks::PeerClocks;
-use super::due::{DueReads, LastRead, QUEUE_PATIENCE, TopicAge, start_by};
+use super::due::{DELAYED_REPLY_TIMEOUT, DueReads, LastRead, TopicAge, start_deadline};
 use crate::peer::book::ReadTurn;
 use crate::peer::topic::{Topic, TopicRecords, TopicSnapshot};
 
 /// Time without any instance reading the list of endpoints that counts as an outage: longer than an
 /// instance waits for its peers' reports, shorter than the lifetime of entries that are not
 /// renewed.
-const OUTAGE: Duration = Duration::from_millis(2_200);
+const OUTAGE_AFTER: Duration = Duration::from_millis(2_200);
 /// Minimum time between two queries for newer content. A reply takes a few milliseconds; if all
 /// instances query at once, the last reply arrives within some hundred.
-const ASK_PAUSE: Duration = Duration::from_millis(150);
+const QUERY_INTERVAL: Duration = Duration::from_millis(150);
 /// Snapshots of the topics.
 #[derive(Debug, Default)]
 pub(super) struct Snapshots {
@@ -35,34 +35,34 @@
 
 /// State behind [`SharedReads`](super::SharedReads).
 #[derive(Debug, Default)]
-pub(super) struct Inner {
+pub(super) struct SharedState {
     pub(super) own: ReadState,
     pub(super) read_at: Time,
     /// Time of the last read if it failed, and until when the store is not read again.
     pub(super) failed_at: Option<Time>,
-    pub(super) held_until: Time,
+    pub(super) paused_until: Time,
     /// Whether peers are queried at start before the store is read.
     pub(super) asks_peers_first: bool,
     /// Whether the content is so large that it is queried from the own zone at start.
     pub(super) large: bool,
     /// When a peer queried at start announced a delayed reply.
-    pub(super) queued_at: Option<Time>,
+    pub(super) delay_announced_at: Option<Time>,
     /// When the instance first checked what is due.
     pub(super) started: Option<Time>,
     /// When a peer was last queried for newer content.
     pub(super) asked_at: Time,
-    pub(super) config_news: Option<Time>,
-    pub(super) endpoints_news: Option<Time>,
+    pub(super) config_newer_since: Option<Time>,
+    pub(super) endpoints_newer_since: Option<Time>,
     /// Records received from peers, to be applied.
-    pub(super) told: Vec<TopicRecords>,
+    pub(super) peer_records: Vec<TopicRecords>,
     pub(super) snapshots: Snapshots,
     pub(super) clocks: PeerClocks,
 }
 
-impl Inner {
+impl SharedState {
     pub(super) fn steady_since(&self, at: Time) -> Time {
         let first = self.own.endpoints_at == Time::ZERO;
-        if first || self.own.endpoints_at + OUTAGE < at {
+        if first || self.own.endpoints_at + OUTAGE_AFTER < at {
             at
         } else {
             self.own.steady_since
@@ -74,12 +74,14 @@
     /// An instance that was disconnected by itself saw no read for the length of an outage, while
     /// others read the list and endpoints renewed their entries. Differences shorter than an outage
     /// come from the conversion of clocks.
-    pub(super) fn hear_steady(&mut self, told: ReadState) {
+    pub(super) fn merge_steady_since(&mut self, reported: ReadState) {
         let own = self.own.steady_since;
-        let known = told.steady_since > Time::ZERO;
-        let spans = known && told.steady_since + OUTAGE < own && own <= told.endpoints_at + OUTAGE;
+        let known = reported.steady_since > Time::ZERO;
+        let spans = known
+            && reported.steady_since + OUTAGE_AFTER < own
+            && own <= reported.endpoints_at + OUTAGE_AFTER;
         if spans {
-            self.own.steady_since = told.steady_since;
+            self.own.steady_since = reported.steady_since;
         }
     }
 
@@ -90,15 +92,15 @@
         pause: Duration,
         read_turn: ReadTurn,
     ) -> (DueReads, Time) {
-        if !self.told.is_empty() {
+        if !self.peer_records.is_empty() {
             return (DueReads::FROM_PEERS, now);
         }
-        if now < self.held_until {
-            return (DueReads::default(), self.held_until);
+        if now < self.paused_until {
+            return (DueReads::default(), self.paused_until);
         }
         let started = *self.started.get_or_insert(now);
         if self.own.config_at == Time::ZERO {
-            let by = self.start_by(started);
+            let by = self.start_deadline(started);
             let due = if by <= now {
                 DueReads::START
             } else {
@@ -121,42 +123,44 @@
     }
 
     /// Returns until when an instance started at `started` waits for a reply.
-    pub(super) fn start_by(&self, started: Time) -> Time {
-        let by = start_by(started, self.asks_peers_first, self.large);
-        by.max(self.queued_until().unwrap_or(by))
+    pub(super) fn start_deadline(&self, started: Time) -> Time {
+        let by = start_deadline(started, self.asks_peers_first, self.large);
+        by.max(self.delayed_until().unwrap_or(by))
     }
 
     /// Returns until when a delayed reply is awaited.
-    pub(super) fn queued_until(&self) -> Option<Time> {
-        self.queued_at.map(|at| at + QUEUE_PATIENCE)
+    pub(super) fn delayed_until(&self) -> Option<Time> {
+        self.delay_announced_at.map(|at| at + DELAYED_REPLY_TIMEOUT)
     }
 
     fn config_age(&self) -> TopicAge {
         TopicAge {
             fresh_at: self.own.config_at,
-            news_since: self.config_news,
+            newer_since: self.config_newer_since,
         }
     }
 
     fn endpoints_age(&self) -> TopicAge {
         TopicAge {
             fresh_at: self.own.endpoints_at,
-            news_since: self.endpoints_news,
+            newer_since: self.endpoints_newer_since,
         }
     }
 
     /// Records newer content at a peer and returns whether to query it now.
-    pub(super) fn hear_news(&mut self, now: Time, told: ReadState) -> bool {
-        let config = told.version > self.own.version || told.config_next > self.own.config_next;
-        let endpoints = told.endpoints_next > self.own.endpoints_next;
+    pub(super) fn record_newer(&mut self, now: Time, reported: ReadState) -> bool {
+        let config =
+            reported.version > self.own.version || reported.config_next > self.own.config_next;
+        let endpoints = reported.endpoints_next > self.own.endpoints_next;
         if config {
-            self.config_news.get_or_insert(now);
+            self.config_newer_since.get_or_insert(now);
         }
         if endpoints {
-            self.endpoints_news.get_or_insert(now);
+            self.endpoints_newer_since.get_or_insert(now);
         }
-        let asks =
-            (config || endpoints) && self.told.is_empty() && self.asked_at + ASK_PAUSE <= now;
+        let asks = (config || endpoints)
+            && self.peer_records.is_empty()
+            && self.asked_at + QUERY_INTERVAL <= now;
         if asks {
             self.asked_at = now;
         }
@@ -165,39 +169,39 @@
 
     /// Updates the times of the read state if a peer confirms the content known here. Returns the
     /// time for the configuration if it is later than the known one.
-    pub(super) fn confirm(&mut self, told: ReadState) -> Option<Time> {
-        let known = self.own.endpoints_at > Time::ZERO && told.endpoints_at > Time::ZERO;
-        if known && self.own.endpoints_next >= told.endpoints_next {
+    pub(super) fn confirm(&mut self, reported: ReadState) -> Option<Time> {
+        let known = self.own.endpoints_at > Time::ZERO && reported.endpoints_at > Time::ZERO;
+        if known && self.own.endpoints_next >= reported.endpoints_next {
             // All records that the peer knows are known here.
-            self.see_endpoints(told.endpoints_at);
+            self.confirm_endpoints(reported.endpoints_at);
         }
         let same_config = self.own.config_at > Time::ZERO
-            && self.own.version == told.version
-            && self.own.config_next >= told.config_next;
-        if !same_config || told.config_at <= self.own.config_at {
+            && self.own.version == reported.version
+            && self.own.config_next >= reported.config_next;
+        if !same_config || reported.config_at <= self.own.config_at {
             return None;
         }
-        self.own.config_at = told.config_at;
-        (self.own.version > 0).then_some(told.config_at)
+        self.own.config_at = reported.config_at;
+        (self.own.version > 0).then_some(reported.config_at)
     }
 
     /// Merges the state after a read or after applying records, with times by the local clock.
-    pub(super) fn take(&mut self, reads: ReadState) {
+    pub(super) fn merge_own(&mut self, reads: ReadState) {
         self.own.version = reads.version;
         self.own.config_next = reads.config_next;
         self.own.endpoints_next = reads.endpoints_next;
         if reads.config_at > Time::ZERO {
             self.own.config_at = self.own.config_at.max(reads.config_at);
-            self.config_news = None;
+            self.config_newer_since = None;
         }
         if reads.endpoints_at > Time::ZERO {
-            self.see_endpoints(reads.endpoints_at);
-            self.endpoints_news = None;
+            self.confirm_endpoints(reads.endpoints_at);
+            self.endpoints_newer_since = None;
         }
     }
 
     /// Records that the list of endpoints was the newest at `at`.
-    fn see_endpoints(&mut self, at: Time) {
+    fn confirm_endpoints(&mut self, at: Time) {
         self.own.steady_since = self.steady_since(at);
         self.own.endpoints_at = self.own.endpoints_at.max(at);
     }
--- a/crates/firdock-node/tests/node/fleet.rs
+++ b/crates/firdock-node/tests/node/fleet.rs
@@ -163,7 +163,7 @@
     let pause = Duration::from_millis(600);
     let (due, _) = reads.due_at(START, pause, ReadTurn::alone());
     assert_eq!(due.config, None);
-    reads.note_queued(START + Duration::from_millis(700));
+    reads.record_delay(START + Duration::from_millis(700));
     let due = |millis: u64| {
         let (due, _) = reads.due_at(
             START + Duration::from_millis(millis),
