--- a/crates/firdock-node/src/peer/beacon/answer.rs
+++ b/crates/firdock-node/src/peer/beacon/answer.rs
@@ -52,7 +52,7 @@
     topics: bool,
     /// Availability zone whose instances are included; `None` if none are.
     instances: Option<ZoneId>,
-    whole: bool,
+    any_size: bool,
     version: u64,
     config_next: Offset,
     endpoints_next: Offset,
@@ -68,9 +68,9 @@
     reads: ReadState,
     state: Vec<u8>,
     /// Whether the topics are left out because they are too large.
-    large: bool,
+    topics_omitted: bool,
     /// Number of instances of the site.
-    known: usize,
+    site_size: usize,
     /// Number of parts in which it is sent; `None` if it is too large to be sent.
     parts: Option<u32>,
 }
@@ -99,8 +99,8 @@
     ///
     /// Returns whether the queue is so long that the peer should be told of the delay.
     pub(super) fn enqueue(&mut self, from: SocketAddr, query: StateQuery) -> bool {
-        if let Some(known) = self.queue.iter_mut().find(|w| w.from == from) {
-            known.query = query;
+        if let Some(queued) = self.queue.iter_mut().find(|w| w.from == from) {
+            queued.query = query;
         } else if self.queue.len() < MAX_QUEUED {
             self.queue.push_back(QueuedQuery { from, query });
         }
@@ -168,11 +168,11 @@
             part,
             parts,
             bytes: state_part(&built.state, part).to_vec(),
-            large: built.large,
-            known: built.known,
+            topics_omitted: built.topics_omitted,
+            site_size: built.site_size,
         };
         replies.next_at = now + self.send_time(part_message.bytes.len());
-        let asked = query.asked;
+        let query_sent_at = query.sent_at;
         if !missing.is_empty() {
             // The remaining parts go before the replies to others, since an incomplete reply is of
             // no use.
@@ -182,7 +182,7 @@
             });
             replies.queue.push_front(QueuedQuery { from, query });
         }
-        let body = reply_body(&self.member, asked, now, part_message);
+        let body = reply_body(&self.member, query_sent_at, now, part_message);
         self.send_to(&seal(&self.key, body), "", from).await;
     }
 
@@ -210,18 +210,18 @@
         let key = StateKey {
             topics: query.topics,
             instances: query.instances.then(|| query.zone.clone()),
-            whole: query.whole,
+            any_size: query.any_size,
             version: reads.version,
             config_next: reads.config_next,
             endpoints_next: reads.endpoints_next,
         };
-        let known = replies.states.iter_mut();
-        let mut known = known.enumerate().filter(|(_, m)| m.key == key);
-        if let Some((at, built)) = known.find(|(_, m)| m.at + REUSE_STATE > now) {
+        let states = replies.states.iter_mut();
+        let mut states = states.enumerate().filter(|(_, m)| m.key == key);
+        if let Some((at, built)) = states.find(|(_, m)| m.at + REUSE_STATE > now) {
             built.reads = reads;
             return at;
         }
-        let (state, large) = self.build_state(query, now).unwrap_or_default();
+        let (state, topics_omitted) = self.build_state(query, now).unwrap_or_default();
         let parts = count_parts(state.len());
         if parts.is_none() {
             warn!(self.log, "store content is too large for a reply to peers"; "version" => reads.version,
@@ -234,8 +234,8 @@
             id: replies.built_count,
             reads,
             state,
-            large,
-            known: 1 + self.directory.count(now),
+            topics_omitted,
+            site_size: 1 + self.directory.count(now),
             parts,
         })
     }
@@ -244,9 +244,9 @@
     /// instance that also queries the list of instances learns from that where else to query large
     /// topics.
     fn build_state(&self, query: &StateQuery, now: Time) -> Option<(Vec<u8>, bool)> {
-        let any_size = query.whole || !query.instances || !query.topics;
+        let any_size = query.any_size || !query.instances || !query.topics;
         if any_size || !self.directory.is_partial() {
-            let all = self.snapshot(query, now).deflate()?;
+            let all = self.snapshot(query, now).compress()?;
             if any_size || all.len() <= MAX_DIRECT_BYTES || self.directory.is_single_group() {
                 return Some((all, false));
             }
@@ -255,7 +255,7 @@
             topics: false,
             ..query.clone()
         };
-        let state = self.snapshot(&instances, now).deflate()?;
+        let state = self.snapshot(&instances, now).compress()?;
         Some((state, true))
     }
 
@@ -266,7 +266,7 @@
             Vec::new()
         };
         let instances = if query.instances {
-            self.known_instances(&query.zone, now)
+            self.listed_instances(&query.zone, now)
         } else {
             Vec::new()
         };
@@ -274,17 +274,17 @@
     }
 
     /// Returns the instances listed to a peer in `zone`, including this one.
-    fn known_instances(&self, zone: &str, now: Time) -> Vec<PeerAddress> {
+    fn listed_instances(&self, zone: &str, now: Time) -> Vec<PeerAddress> {
         self.directory.sweep(now);
-        let mut known = self.directory.peers_for_zone(zone);
+        let mut listed = self.directory.peers_for_zone(zone);
         if let Ok(address) = self.socket.local_addr() {
-            known.push(PeerRecord {
+            listed.push(PeerRecord {
                 name: self.member.name.clone(),
                 address,
                 zone: self.directory.zone().to_owned(),
                 millicores: self.directory.millicores(),
             });
         }
-        known.iter().map(write_address).collect()
+        listed.iter().map(write_address).collect()
     }
 }
--- a/crates/firdock-node/src/peer/beacon/meet.rs
+++ b/crates/firdock-node/src/peer/beacon/meet.rs
@@ -58,7 +58,7 @@
 struct NextQuery {
     to: SocketAddr,
     instances: bool,
-    whole: bool,
+    any_size: bool,
 }
 
 impl Bootstrap {
@@ -139,7 +139,7 @@
             return NextQuery {
                 to: seed,
                 instances: true,
-                whole: false,
+                any_size: false,
             };
         }
         let ancestors = directory.ancestors();
@@ -149,7 +149,7 @@
         NextQuery {
             to: ancestor.unwrap_or(seed),
             instances: false,
-            whole: ancestor.is_none(),
+            any_size: ancestor.is_none(),
         }
     }
 }
@@ -160,10 +160,10 @@
         let now = self.clock.now();
         let next = bootstrap.take_next(now, &self.reads, &self.directory);
         let query = StateQuery {
-            asked: now,
+            sent_at: now,
             topics: !self.reads.is_complete(),
             instances: next.instances,
-            whole: next.whole,
+            any_size: next.any_size,
             missing: self.partial_replies().missing(next.to),
             zone: self.directory.zone().to_owned(),
         };
--- a/crates/firdock-node/src/peer/beacon/take.rs
+++ b/crates/firdock-node/src/peer/beacon/take.rs
@@ -82,11 +82,11 @@
         if !instances.is_empty() {
             self.add_reported(instances, now);
             self.directory.mark_listed();
-            if answer.known > 0 {
-                self.directory.set_site_size(answer.known, now);
+            if answer.site_size > 0 {
+                self.directory.set_site_size(answer.site_size, now);
             }
         }
-        if answer.large {
+        if answer.topics_omitted {
             self.reads.mark_large();
         }
         self.reads.merge_reply(answer);
@@ -249,10 +249,10 @@
         let starts = self.reads.is_large() && !self.reads.is_complete();
         let question = if merged.ask_state && !starts {
             let question = StateQuery {
-                asked: now,
+                sent_at: now,
                 topics: true,
                 instances: !self.directory.is_listed(),
-                whole: false,
+                any_size: false,
                 missing: self.partial_replies().missing(from),
                 zone: self.directory.zone().to_owned(),
             };
--- a/crates/firdock-node/src/peer/known.rs
+++ b/crates/firdock-node/src/peer/known.rs
@@ -23,7 +23,7 @@
 use crate::clock::millis;
 
 /// Maximum size of compressed changes in a datagram; larger ones are not sent.
-const MAX_DEFLATED_BYTES: usize = 52 << 10;
+const MAX_COMPRESSED_BYTES: usize = 52 << 10;
 /// Maximum size of decompressed content accepted from a peer; 1,400 endpoints take about 300 KB.
 const MAX_CONTENT_BYTES: u64 = 8 << 20;
 
@@ -40,13 +40,13 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StateQuery {
     /// When the query was sent.
-    pub asked: Time,
+    pub sent_at: Time,
     /// Whether the topics are queried.
     pub topics: bool,
     /// Whether the list of instances is queried.
     pub instances: bool,
     /// Whether the topics are to be included regardless of their size.
-    pub whole: bool,
+    pub any_size: bool,
     /// Missing parts of an earlier reply; `None` to query everything.
     pub missing: Option<MissingParts>,
     /// Availability zone of the querying instance.
@@ -58,27 +58,27 @@
         let missing = self.missing.unwrap_or_default();
         let all = || Topic::ALL.map(|t| i32::from(t.write())).to_vec();
         datagram::Body::StateQuestion(message::StateQuestion {
-            asked: millis(self.asked),
+            asked: millis(self.sent_at),
             topics: if self.topics { all() } else { Vec::new() },
             instances: self.instances,
-            whole: self.whole,
+            whole: self.any_size,
             state_id: missing.state,
             lacking: missing.parts,
             zone: self.zone,
         })
     }
 
-    pub(super) fn read(told: &message::StateQuestion) -> Self {
+    pub(super) fn read(query: &message::StateQuestion) -> Self {
         Self {
-            asked: Duration::from_millis(told.asked),
-            topics: !told.topics.is_empty(),
-            instances: told.instances,
-            whole: told.whole,
-            missing: (!told.lacking.is_empty()).then(|| MissingParts {
-                state: told.state_id,
-                parts: told.lacking.clone(),
+            sent_at: Duration::from_millis(query.asked),
+            topics: !query.topics.is_empty(),
+            instances: query.instances,
+            any_size: query.whole,
+            missing: (!query.lacking.is_empty()).then(|| MissingParts {
+                state: query.state_id,
+                parts: query.lacking.clone(),
             }),
-            zone: told.zone.clone(),
+            zone: query.zone.clone(),
         }
     }
 }
@@ -94,14 +94,14 @@
 
 impl StoreSnapshot {
     /// Encodes and compresses the snapshot.
-    pub(super) fn deflate(self) -> Option<Vec<u8>> {
-        let image = |(topic, image): (Topic, TopicSnapshot)| message::TopicImage {
+    pub(super) fn compress(self) -> Option<Vec<u8>> {
+        let encode_topic = |(topic, snapshot): (Topic, TopicSnapshot)| message::TopicImage {
             topic: topic.write().into(),
-            next: image.next(),
-            entries: image.records().map(write_record).collect(),
+            next: snapshot.next(),
+            entries: snapshot.records().map(write_record).collect(),
         };
-        deflate(&message::KnownState {
-            topics: self.topics.into_iter().map(image).collect(),
+        compress(&message::KnownState {
+            topics: self.topics.into_iter().map(encode_topic).collect(),
             instances: self.instances,
         })
     }
@@ -111,9 +111,9 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct StateReply {
     /// Process that sent it.
-    pub teller: PeerProcess,
+    pub sender: PeerProcess,
     /// When the query was sent, by this instance's clock.
-    pub asked: Time,
+    pub query_sent_at: Time,
     /// The peer's clock at the time of the reply.
     pub clock: Time,
     /// Read state of the store at the peer.
@@ -123,18 +123,18 @@
     /// List of instances.
     pub instances: Vec<PeerAddress>,
     /// Whether the topics are left out because they are too large.
-    pub large: bool,
+    pub topics_omitted: bool,
     /// Number of instances of the site; 0 if unknown.
-    pub known: usize,
+    pub site_size: usize,
 }
 
 impl StateReply {
     /// Decodes a reply; `None` if it is malformed.
-    pub(super) fn read(told: message::StateAnswer) -> Option<Self> {
-        let reads = read_reads(told.reads?);
-        let state: message::KnownState = inflate(&told.state)?;
-        let whole = |image: message::TopicImage| {
-            let topic = Topic::read(image.topic)?;
+    pub(super) fn read(reply: message::StateAnswer) -> Option<Self> {
+        let reads = read_reads(reply.reads?);
+        let state: message::KnownState = decompress(&reply.state)?;
+        let read_topic = |snapshot: message::TopicImage| {
+            let topic = Topic::read(snapshot.topic)?;
             let read_at = match topic {
                 Topic::Config => reads.config_at,
                 Topic::Endpoints => reads.endpoints_at,
@@ -142,23 +142,23 @@
             Some(TopicRecords {
                 topic,
                 from: None,
-                next: image.next,
+                next: snapshot.next,
                 read_at,
-                records: image.entries.into_iter().map(read_record).collect(),
+                records: snapshot.entries.into_iter().map(read_record).collect(),
             })
         };
         Some(Self {
-            teller: PeerProcess {
-                name: told.instance,
-                incarnation: read_incarnation(&told.incarnation),
+            sender: PeerProcess {
+                name: reply.instance,
+                incarnation: read_incarnation(&reply.incarnation),
             },
-            asked: Duration::from_millis(told.asked),
-            clock: Duration::from_millis(told.clock),
+            query_sent_at: Duration::from_millis(reply.asked),
+            clock: Duration::from_millis(reply.clock),
             reads,
-            topics: state.topics.into_iter().filter_map(whole).collect(),
+            topics: state.topics.into_iter().filter_map(read_topic).collect(),
             instances: state.instances,
-            large: told.large,
-            known: told.known as usize,
+            topics_omitted: reply.large,
+            site_size: reply.known as usize,
         })
     }
 }
@@ -175,30 +175,30 @@
     /// Content of the part.
     pub bytes: Vec<u8>,
     /// Whether the topics are left out because they are too large.
-    pub large: bool,
+    pub topics_omitted: bool,
     /// Number of instances of the site.
-    pub known: usize,
+    pub site_size: usize,
 }
 
-/// Encodes a part of the reply to the query sent at `asked`.
+/// Encodes a part of the reply to the query sent at `query_sent_at`.
 pub(super) fn reply_body(
     member: &Member,
-    asked: Time,
+    query_sent_at: Time,
     clock: Time,
-    told: ReplyPart,
+    part: ReplyPart,
 ) -> datagram::Body {
     datagram::Body::StateAnswer(message::StateAnswer {
         instance: member.name.clone(),
         incarnation: member.incarnation.as_bytes().to_vec(),
-        asked: millis(asked),
+        asked: millis(query_sent_at),
         clock: millis(clock),
-        reads: Some(write_reads(told.reads)),
-        state: told.bytes,
-        large: told.large,
-        state_id: told.state,
-        part: told.part,
-        parts: told.parts,
-        known: told.known as u32,
+        reads: Some(write_reads(part.reads)),
+        state: part.bytes,
+        large: part.topics_omitted,
+        state_id: part.state,
+        part: part.part,
+        parts: part.parts,
+        known: part.site_size as u32,
         queued: false,
     })
 }
@@ -214,50 +214,50 @@
 }
 
 /// Encodes changes read by `member`; `None` if they exceed a datagram or are a complete snapshot.
-pub(super) fn records_body(member: &Member, told: &TopicRecords) -> Option<datagram::Body> {
-    let from = told.from?;
-    let entries = told.records.iter().cloned().map(write_record).collect();
+pub(super) fn records_body(member: &Member, changes: &TopicRecords) -> Option<datagram::Body> {
+    let from = changes.from?;
+    let entries = changes.records.iter().cloned().map(write_record).collect();
     Some(datagram::Body::TopicRecords(message::TopicRecords {
         instance: member.name.clone(),
         incarnation: member.incarnation.as_bytes().to_vec(),
-        topic: told.topic.write().into(),
+        topic: changes.topic.write().into(),
         from,
-        next: told.next,
-        read_at: millis(told.read_at),
-        entries: deflate(&message::Entries { entries })
-            .filter(|deflated| deflated.len() <= MAX_DEFLATED_BYTES)?,
+        next: changes.next,
+        read_at: millis(changes.read_at),
+        entries: compress(&message::Entries { entries })
+            .filter(|compressed| compressed.len() <= MAX_COMPRESSED_BYTES)?,
     }))
 }
 
 /// Decodes a peer's changes, with times by its clock; `None` if they are malformed.
-pub(super) fn read_records(told: message::TopicRecords) -> Option<(PeerProcess, TopicRecords)> {
-    let entries: message::Entries = inflate(&told.entries)?;
+pub(super) fn read_records(message: message::TopicRecords) -> Option<(PeerProcess, TopicRecords)> {
+    let entries: message::Entries = decompress(&message.entries)?;
     let records = TopicRecords {
-        topic: Topic::read(told.topic)?,
-        from: Some(told.from),
-        next: told.next,
-        read_at: Duration::from_millis(told.read_at),
+        topic: Topic::read(message.topic)?,
+        from: Some(message.from),
+        next: message.next,
+        read_at: Duration::from_millis(message.read_at),
         records: entries.entries.into_iter().map(read_record).collect(),
     };
-    let teller = PeerProcess {
-        name: told.instance,
-        incarnation: read_incarnation(&told.incarnation),
+    let sender = PeerProcess {
+        name: message.instance,
+        incarnation: read_incarnation(&message.incarnation),
     };
-    Some((teller, records))
+    Some((sender, records))
 }
 
-fn deflate(content: &impl prost::Message) -> Option<Vec<u8>> {
+fn compress(content: &impl prost::Message) -> Option<Vec<u8>> {
     let plain = content.encode_to_vec();
-    let mut deflated = Vec::new();
+    let mut compressed = Vec::new();
     let mut encoder = DeflateEncoder::new(plain.as_slice(), Compression::fast());
     // Reading from memory does not fail.
-    encoder.read_to_end(&mut deflated).ok()?;
-    Some(deflated)
+    encoder.read_to_end(&mut compressed).ok()?;
+    Some(compressed)
 }
 
-fn inflate<M: prost::Message + Default>(deflated: &[u8]) -> Option<M> {
+fn decompress<M: prost::Message + Default>(compressed: &[u8]) -> Option<M> {
     let mut plain = Vec::new();
-    let mut decoder = DeflateDecoder::new(deflated).take(MAX_CONTENT_BYTES);
+    let mut decoder = DeflateDecoder::new(compressed).take(MAX_CONTENT_BYTES);
     decoder.read_to_end(&mut plain).ok()?;
     M::decode(plain.as_slice()).ok()
 }
--- a/crates/firdock-node/src/peer/reads.rs
+++ b/crates/firdock-node/src/peer/reads.rs
@@ -71,7 +71,7 @@
 pub struct SharedReads {
     inner: Mutex<SharedState>,
     changed: Notify,
-    known: Notify,
+    known_changed: Notify,
 }
 
 impl SharedReads {
@@ -93,7 +93,7 @@
     pub fn mark_large(&self) {
         self.lock().large = true;
         self.changed.notify_one();
-        self.known.notify_one();
+        self.known_changed.notify_one();
     }
 
     /// Returns whether the content has to be queried from the own zone.
@@ -106,7 +106,7 @@
     pub fn record_delay(&self, now: Time) {
         self.lock().delay_announced_at = Some(now);
         self.changed.notify_one();
-        self.known.notify_one();
+        self.known_changed.notify_one();
     }
 
     /// Returns until when a delayed reply is awaited, if one was announced.
@@ -131,18 +131,18 @@
         inner.failed_at = None;
         inner.merge_own(reads);
         drop(inner);
-        self.known.notify_one();
+        self.known_changed.notify_one();
     }
 
     /// Records the read state after applying records of peers, like `record_read`.
     pub fn record_from_peers(&self, reads: ReadState) {
         self.lock().merge_own(reads);
-        self.known.notify_one();
+        self.known_changed.notify_one();
     }
 
     /// Waits until the read state changes.
     pub async fn wait_for_change(&self) {
-        self.known.notified().await;
+        self.known_changed.notified().await;
     }
 
     /// Returns whether both topics are known, so that peers' queries can be answered.
@@ -190,9 +190,9 @@
 
     /// Queues changes that a peer read. They are dropped if there is no bound on its clock, since
     /// their times cannot be converted then.
-    pub fn merge_changes(&self, teller: &PeerProcess, changes: TopicRecords) {
+    pub fn merge_changes(&self, sender: &PeerProcess, changes: TopicRecords) {
         let inner = self.lock();
-        let Some(bound) = inner.clocks.get(&teller.name, teller.incarnation) else {
+        let Some(bound) = inner.clocks.get(&sender.name, sender.incarnation) else {
             return;
         };
         let read_at = bound.local_time(changes.read_at);
@@ -200,9 +200,9 @@
     }
 
     /// Queues the records of a peer's reply.
-    pub fn merge_reply(&self, answer: StateReply) {
-        let PeerProcess { name, incarnation } = &answer.teller;
-        self.take_clock(name, *incarnation, answer.asked, answer.clock);
+    pub fn merge_reply(&self, reply: StateReply) {
+        let PeerProcess { name, incarnation } = &reply.sender;
+        self.take_clock(name, *incarnation, reply.query_sent_at, reply.clock);
         let inner = self.lock();
         let Some(bound) = inner.clocks.get(name, *incarnation) else {
             return;
@@ -211,7 +211,7 @@
             read_at: bound.local_time(reported.read_at),
             ..reported
         };
-        let records = answer.topics.into_iter().map(by_own_clock).collect();
+        let records = reply.topics.into_iter().map(by_own_clock).collect();
         self.queue(inner, records);
     }
 
@@ -260,12 +260,12 @@
     pub fn merge_report(
         &self,
         now: Time,
-        teller: &PeerProcess,
+        sender: &PeerProcess,
         reported: ReadState,
     ) -> MergeOutcome {
         let mut inner = self.lock();
         let ask_state = inner.record_newer(now, reported);
-        let Some(bound) = inner.clocks.get(&teller.name, teller.incarnation) else {
+        let Some(bound) = inner.clocks.get(&sender.name, sender.incarnation) else {
             // The reply to a state query contains the peer's clock as well.
             return MergeOutcome {
                 fresh: None,
