--- a/crates/firdock-node/src/peer.rs
+++ b/crates/firdock-node/src/peer.rs
@@ -5,39 +5,39 @@
 //! closing the connection cancels the request (see `docs/design/peers.md`).
 
 mod beacon;
-mod book;
 mod datagram;
 mod dial;
+mod directory;
 mod hand_over;
 mod heartbeat;
 mod keys;
-mod known;
 mod link;
 mod parts;
 mod reads;
 mod rollouts;
 mod serve;
+mod sharing;
 mod state;
 mod suspects;
 mod topic;
 
 pub use beacon::{AppliedRecords, BeaconService, bind_socket as bind_beacon_socket};
-pub use book::{
+pub use datagram::{read_incarnation, seal};
+pub use dial::{DialError, Dialer};
+pub use directory::{
     HeartbeatOutcome, Millicores, PeerDirectory, PeerInfo, PeerRecord, PeerRelation, ReadRole,
     ReadTurn,
 };
-pub use datagram::{read_incarnation, seal};
-pub use dial::{DialError, Dialer};
 pub use hand_over::{HandOverOrder, hand_over, read_reason};
 pub use heartbeat::{SelfStatus, run_heartbeats};
 pub use keys::transfer_keys;
-pub use known::{PeerProcess, StateQuery, StateReply, StoreSnapshot};
 pub use link::{Link, LinkError};
 pub use parts::{
     InvalidPart, MissingParts, PART_BYTES, PartialReplies, StateId, count_parts, state_part,
 };
 pub use reads::{DueReads, MergeOutcome, ReadReason, ReadState, SharedReads};
 pub use serve::{PeerServer, serve_peers};
+pub use sharing::{PeerProcess, StateQuery, StateReply, StoreSnapshot};
 pub use state::fetch_state;
 pub use topic::{KeyedRecord, Topic, TopicRecords, TopicSnapshot};
 
--- a/crates/firdock-node/src/peer/beacon.rs
+++ b/crates/firdock-node/src/peer/beacon.rs
@@ -5,10 +5,10 @@
 //! that its sender knows, so that one reachable address is enough to discover all instances (see
 //! `docs/design/peers.md`).
 
-mod answer;
-mod due;
-mod meet;
-mod take;
+mod bootstrap;
+mod receive;
+mod reply;
+mod targets;
 mod usage;
 
 use std::future::pending;
@@ -30,17 +30,17 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{MissedTickBehavior, interval, sleep};
 
-use self::answer::ReplyQueue;
-use self::due::BeaconTargets;
-use self::meet::Bootstrap;
+use self::bootstrap::Bootstrap;
+use self::reply::ReplyQueue;
+use self::targets::BeaconTargets;
 use self::usage::ToldUse;
-use super::book::{PeerDirectory, PeerRecord, ReadRole};
 use super::datagram::{seal, write_address, write_reads, write_uses};
+use super::directory::{PeerDirectory, PeerRecord, ReadRole};
 use super::heartbeat::{SelfStatus, write_demand, write_work};
-use super::known::records_body;
 use super::parts::PartialReplies;
 use super::reads::SharedReads;
 use super::rollouts::{write_seen, write_words};
+use super::sharing::records_body;
 use super::topic::TopicRecords;
 use crate::clock::Clock;
 use crate::input::Input;
--- a/crates/firdock-node/src/peer/beacon/meet.rs
+++ b/crates/firdock-node/src/peer/beacon/bootstrap.rs
@@ -12,10 +12,10 @@
 use firdock_policy::Time;
 
 use super::BeaconService;
-use crate::peer::book::PeerDirectory;
 use crate::peer::datagram::seal;
-use crate::peer::known::StateQuery;
+use crate::peer::directory::PeerDirectory;
 use crate::peer::reads::SharedReads;
+use crate::peer::sharing::StateQuery;
 
 /// Delay before the next instance is queried: many round trips, and enough for one that started at
 /// the same time to read the store.
--- a/crates/firdock-node/src/peer/beacon/take.rs
+++ b/crates/firdock-node/src/peer/beacon/receive.rs
@@ -14,13 +14,13 @@
 use super::{BeaconService, MAX_LISTED_PEERS};
 use crate::clock::millis;
 use crate::input::Input;
-use crate::peer::book::{HeartbeatOutcome, PeerInfo, PeerRecord};
 use crate::peer::datagram::{open, read_incarnation, read_reads, read_uses, seal};
+use crate::peer::directory::{HeartbeatOutcome, PeerInfo, PeerRecord};
 use crate::peer::heartbeat::{peer_news, read_demand, read_work};
-use crate::peer::known::{PeerProcess, StateQuery, StateReply, read_records};
 use crate::peer::parts::InvalidPart;
 use crate::peer::reads::ReadState;
 use crate::peer::rollouts::{read_seen, read_words};
+use crate::peer::sharing::{PeerProcess, StateQuery, StateReply, read_records};
 use crate::placement::{PlacementInput, read_reply, read_report};
 
 impl BeaconService {
--- a/crates/firdock-node/src/peer/beacon/answer.rs
+++ b/crates/firdock-node/src/peer/beacon/reply.rs
@@ -15,11 +15,11 @@
 use slog::warn;
 
 use super::BeaconService;
-use crate::peer::book::{PeerDirectory, PeerRecord};
 use crate::peer::datagram::{seal, write_address};
-use crate::peer::known::{ReplyPart, StateQuery, StoreSnapshot, delay_notice_body, reply_body};
+use crate::peer::directory::{PeerDirectory, PeerRecord};
 use crate::peer::parts::{MissingParts, StateId, count_parts, state_part};
 use crate::peer::reads::{ReadState, SharedReads};
+use crate::peer::sharing::{ReplyPart, StateQuery, StoreSnapshot, delay_notice_body, reply_body};
 
 /// Minimum delay between two replies. A reply of about 8 KB takes 3 ms on a link of 20 Mbit/s and
 /// arrives spread over the link's queue.
--- a/crates/firdock-node/src/peer/beacon/due.rs
+++ b/crates/firdock-node/src/peer/beacon/targets.rs
@@ -6,7 +6,7 @@
 
 use firdock_policy::Time;
 
-use crate::peer::book::PeerRelation;
+use crate::peer::directory::PeerRelation;
 use crate::peer::{PeerDirectory, PeerRecord};
 
 /// Peers of the own group that receive a beacon at each tick. With more of them, each one's turn
--- a/crates/firdock-node/src/peer/datagram.rs
+++ b/crates/firdock-node/src/peer/datagram.rs
@@ -10,7 +10,7 @@
 use prost::Message as _;
 use uuid::Uuid;
 
-use super::book::PeerRecord;
+use super::directory::PeerRecord;
 use super::reads::ReadState;
 use crate::clock::millis;
 
--- a/crates/firdock-node/src/peer/book.rs
+++ b/crates/firdock-node/src/peer/directory.rs
@@ -1,7 +1,7 @@
 //! Directory of the other instances: their names, addresses and last heartbeats.
 
-mod fleet;
 mod group;
+mod partial;
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,9 +15,9 @@
 use firdock_policy::table::peer::MAX_PEERS;
 use tokio::sync::Notify;
 
-use self::fleet::ReportedSize;
 use self::group::GroupCounts;
 pub use self::group::{PeerRelation, ReadRole, ReadTurn};
+use self::partial::ReportedSize;
 
 /// Time without heartbeats after which an instance is forgotten, as it was replaced or removed.
 const EXPIRE_AFTER: Duration = Duration::from_mins(1);
--- a/crates/firdock-node/src/peer/reads.rs
+++ b/crates/firdock-node/src/peer/reads.rs
@@ -10,7 +10,7 @@
 //! than it is, even if a process was suspended (see `docs/design/sharing.md`).
 
 mod clocks;
-mod due;
+mod schedule;
 mod state;
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -22,10 +22,10 @@
 use tokio::time::sleep;
 use uuid::Uuid;
 
-pub use self::due::{DueReads, ReadReason};
+pub use self::schedule::{DueReads, ReadReason};
 use self::state::SharedState;
-use super::book::ReadTurn;
-use super::known::{PeerProcess, StateReply};
+use super::directory::ReadTurn;
+use super::sharing::{PeerProcess, StateReply};
 use super::topic::{Topic, TopicRecords, TopicSnapshot};
 use crate::clock::Clock;
 
--- a/crates/firdock-node/src/peer/reads/due.rs
+++ b/crates/firdock-node/src/peer/reads/schedule.rs
@@ -9,7 +9,7 @@
 
 use firdock_policy::Time;
 
-use crate::peer::book::{ReadRole, ReadTurn};
+use crate::peer::directory::{ReadRole, ReadTurn};
 
 /// Minimum time between two reads, however often peers report newer content.
 const MIN_READ_INTERVAL: Duration = Duration::from_millis(150);
--- a/crates/firdock-node/src/peer/reads/state.rs
+++ b/crates/firdock-node/src/peer/reads/state.rs
@@ -6,8 +6,8 @@
 
 use super::ReadState;
 use super::clocks::PeerClocks;
-use super::due::{DELAYED_REPLY_TIMEOUT, DueReads, LastRead, TopicAge, start_deadline};
-use crate::peer::book::ReadTurn;
+use super::schedule::{DELAYED_REPLY_TIMEOUT, DueReads, LastRead, TopicAge, start_deadline};
+use crate::peer::directory::ReadTurn;
 use crate::peer::topic::{Topic, TopicRecords, TopicSnapshot};
 
 /// Time without any instance reading the list of endpoints that counts as an outage: longer than an
