--- a/crates/firdock-node/src/peer/beacon.rs
+++ b/crates/firdock-node/src/peer/beacon.rs
@@ -33,13 +33,13 @@
 use self::bootstrap::Bootstrap;
 use self::reply::ReplyQueue;
 use self::targets::BeaconTargets;
-use self::usage::ToldUse;
+use self::usage::ReportedUse;
 use super::datagram::{seal, write_address, write_reads, write_uses};
 use super::directory::{PeerDirectory, PeerRecord, ReadRole};
 use super::heartbeat::{SelfStatus, write_demand, write_work};
 use super::parts::PartialReplies;
 use super::reads::SharedReads;
-use super::rollouts::{write_seen, write_words};
+use super::rollouts::{write_evidence, write_statuses};
 use super::sharing::records_body;
 use super::topic::TopicRecords;
 use crate::clock::Clock;
@@ -68,7 +68,7 @@
 
 /// Group-wide totals that the lead of a group reports.
 #[derive(Debug, Default)]
-struct LeadWord {
+struct GroupTotals {
     /// Live instances of the group.
     group_live: usize,
     /// Live instances of all groups, as reported by their leads.
@@ -79,7 +79,7 @@
     /// Demand of the group, by pool.
     group_demand: Vec<PoolDemand>,
     /// Roll-out evidence that the group collected.
-    group_seen: Vec<Evidence>,
+    group_evidence: Vec<Evidence>,
     /// Work that endpoints did for client accounts on requests that the group placed.
     group_work: Vec<AccountWork>,
 }
@@ -129,7 +129,7 @@
         let mut known = None;
         let mut decides = None;
         let mut self_status = self.self_status.clone();
-        let mut steps = Steps::default();
+        let mut urgent = UrgentState::default();
         let mut tick = 0;
         let mut replies = ReplyQueue::default();
         let mut bootstrap = Bootstrap::new(
@@ -143,7 +143,7 @@
             tokio::select! {
                 received = self.socket.recv_from(&mut buffer) => match received {
                     Ok((len, from)) => {
-                        let query = self.take(&buffer[..len], from).await;
+                        let query = self.handle_datagram(&buffer[..len], from).await;
                         if query.is_some_and(|query| replies.enqueue(from, query)) {
                             self.send_delay_notice(from).await;
                         }
@@ -152,15 +152,15 @@
                 },
                 _ = ticks.tick() => {
                     tick += 1;
-                    decides = self.tell_decides(decides).await;
+                    decides = self.report_decides(decides).await;
                     self.send(tick).await;
                     if tick >= ASSUME_LISTED_TICKS || self.directory.is_listed() {
-                        known = self.count(known).await;
+                        known = self.report_known_count(known).await;
                     }
                 }
-                Some(taken) = self.changes.recv() => self.tell_changes(&taken).await,
+                Some(applied) = self.changes.recv() => self.forward_changes(&applied).await,
                 () = self.directory.wait_until_listed() => {
-                    known = self.count(known).await;
+                    known = self.report_known_count(known).await;
                     self.send_at_once().await;
                 }
                 () = sleep_until_due(bootstrap.next(now, &self.reads, &self.directory), now) => {
@@ -169,10 +169,10 @@
                 () = sleep_until_due(replies.next(&self.reads, &self.directory), now) => {
                     self.send_next_reply(&mut replies).await;
                 }
-                Some(new) = new_steps(&mut self_status, &steps) => {
-                    let own = new.suspected.own != steps.suspected.own;
-                    steps = new;
-                    self.send_step(own).await;
+                Some(new) = wait_for_urgent_change(&mut self_status, &urgent) => {
+                    let own = new.suspected.own != urgent.suspected.own;
+                    urgent = new;
+                    self.send_state_change(own).await;
                 }
                 () = self.reads.wait_for_change() => {}
                 () = stopped(&mut stop) => break,
@@ -182,11 +182,11 @@
     }
 
     /// Reports the number of known instances to the scheduler if it changed.
-    async fn count(&self, before: Option<usize>) -> Option<usize> {
+    async fn report_known_count(&self, before: Option<usize>) -> Option<usize> {
         let known = Some(self.directory.sweep(self.clock.now()));
         if let Some(count) = known.filter(|_| known != before) {
             info!(self.log, "instances known"; "count" => count, "before" => before);
-            self.tell(Event::PeersKnown(count)).await;
+            self.send_event(Event::PeersKnown(count)).await;
         }
         known
     }
@@ -195,14 +195,14 @@
     async fn send(&self, tick: usize) {
         let now = self.clock.now();
         let due = BeaconTargets::at(tick, &self.directory, now);
-        let heard = if tick.is_multiple_of(LIST_PEERS_EVERY) {
+        let listed = if tick.is_multiple_of(LIST_PEERS_EVERY) {
             self.directory.live_peers(now)
         } else {
             Vec::new()
         };
-        let (for_group, for_leads) = self.count_use(tick, now).await;
-        self.send_all(&due.same_group, &heard, &for_group).await;
-        self.send_all(&due.leads, &heard, &for_leads).await;
+        let (for_group, for_leads) = self.aggregate_use(tick, now).await;
+        self.send_all(&due.same_group, &listed, &for_group).await;
+        self.send_all(&due.leads, &listed, &for_leads).await;
         self.send_far(&due.far).await;
     }
 
@@ -213,7 +213,7 @@
             return;
         }
         let beacon = if self.directory.is_single_group() {
-            self.beacon(&[], &ToldUse::Nothing)
+            self.beacon(&[], &ReportedUse::Nothing)
         } else {
             self.short_beacon()
         };
@@ -223,16 +223,17 @@
     /// Announces a start or a stop at once to the peers that depend on it.
     async fn send_at_once(&self) {
         let due = BeaconTargets::at_once(&self.directory, self.clock.now());
-        self.send_all(&due.same_group, &[], &ToldUse::Nothing).await;
-        self.send_all(&due.leads, &[], &ToldUse::Nothing).await;
+        self.send_all(&due.same_group, &[], &ReportedUse::Nothing)
+            .await;
+        self.send_all(&due.leads, &[], &ReportedUse::Nothing).await;
     }
 
     /// Tells the scheduler whether this instance decides on roll-outs, if that changed. The site
     /// lead decides, as far as this instance can tell from the live instances.
-    async fn tell_decides(&self, before: Option<bool>) -> Option<bool> {
+    async fn report_decides(&self, before: Option<bool>) -> Option<bool> {
         let decides = self.directory.read_turn(self.clock.now()).role == ReadRole::SiteLead;
         if before != Some(decides) {
-            self.tell(Event::Decides(decides)).await;
+            self.send_event(Event::Decides(decides)).await;
         }
         Some(decides)
     }
@@ -240,7 +241,7 @@
     /// Sends beacons after a roll-out changed its stage or an endpoint exited during a request, if
     /// this instance observed that itself or reports for its group. Peers that have not learned of
     /// it yet would still dispatch to a bad version, or dispatch such a request again.
-    async fn send_step(&self, own: bool) {
+    async fn send_state_change(&self, own: bool) {
         if own || self.directory.is_reporter(self.clock.now()) {
             self.send_at_once().await;
         }
@@ -252,23 +253,28 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sends a beacon that lists `heard` and includes the use of limits; builds none if there are
+    /// Sends a beacon that lists `listed` and includes the use of limits; builds none if there are
     /// no receivers.
-    async fn send_all(&self, peers: &[PeerRecord], heard: &[PeerRecord], used: &ToldUse) {
+    async fn send_all(
+        &self,
+        peers: &[PeerRecord],
+        listed: &[PeerRecord],
+        use_report: &ReportedUse,
+    ) {
         if peers.is_empty() {
             return;
         }
-        let beacon = self.beacon(heard, used);
+        let beacon = self.beacon(listed, use_report);
         self.send_sealed(peers, beacon).await;
     }
 
     /// Sends a beacon to an instance on first contact, including the updates that it may have
     /// missed.
-    async fn send_first(&self, peer: &PeerRecord) {
+    async fn send_first_beacon(&self, peer: &PeerRecord) {
         let full = self.self_status.borrow().in_full();
         let beacon = Beacon {
             heartbeat: Some(full.message(self.clock.now(), 0)),
-            ..self.beacon(&[], &ToldUse::Nothing)
+            ..self.beacon(&[], &ReportedUse::Nothing)
         };
         self.send_sealed(std::slice::from_ref(peer), beacon).await;
     }
@@ -281,13 +287,13 @@
     }
 
     /// Forwards store changes to the peers that rely on this instance for them.
-    async fn tell_changes(&self, taken: &AppliedRecords) {
+    async fn forward_changes(&self, applied: &AppliedRecords) {
         let now = self.clock.now();
-        if !taken.read_locally && !self.directory.is_lead(now) {
+        if !applied.read_locally && !self.directory.is_lead(now) {
             return;
         }
         // Peers query changes that exceed a datagram, or read them from the store.
-        let Some(body) = records_body(&self.member, &taken.records) else {
+        let Some(body) = records_body(&self.member, &applied.records) else {
             return;
         };
         let leads = self.directory.group_leads(now);
@@ -306,39 +312,39 @@
         }
     }
 
-    fn beacon(&self, peers: &[PeerRecord], used: &ToldUse) -> Beacon {
+    fn beacon(&self, peers: &[PeerRecord], use_report: &ReportedUse) -> Beacon {
         let self_status = self.self_status.borrow();
         let now = self.clock.now();
-        let lead = self.lead_word(now, &self_status);
-        let leads = !self.directory.is_single_group() && self.directory.is_reporter(now);
-        let heartbeat = if leads {
+        let totals = self.group_totals(now, &self_status);
+        let reports = !self.directory.is_single_group() && self.directory.is_reporter(now);
+        let heartbeat = if reports {
             self_status.as_lead().message(now, 0)
         } else {
             self_status.message(now, 0)
         };
         let start = usize::from(rand::random::<u16>()) % peers.len().max(1);
-        let told = peers.iter().cycle().skip(start).take(peers.len());
+        let listed = peers.iter().cycle().skip(start).take(peers.len());
         let mut beacon = Beacon {
             protocol: PROTOCOL,
             instance: self.member.name.clone(),
             incarnation: self.member.incarnation.as_bytes().to_vec(),
             heartbeat: Some(heartbeat),
             used: write_uses(&self_status.used),
-            peers: told.take(MAX_LISTED_PEERS).map(write_address).collect(),
+            peers: listed.take(MAX_LISTED_PEERS).map(write_address).collect(),
             reads: Some(write_reads(self.reads.own())),
-            group_heard: lead.group_live as u32,
-            site_heard: lead.site_live as u32,
-            group_known: lead.group_size as u32,
-            site_known: lead.site_size as u32,
-            group_demand: write_demand(&lead.group_demand),
+            group_heard: totals.group_live as u32,
+            site_heard: totals.site_live as u32,
+            group_known: totals.group_size as u32,
+            site_known: totals.site_size as u32,
+            group_demand: write_demand(&totals.group_demand),
             power: self.directory.millicores(),
-            rollouts: write_words(&self_status.rollouts.statuses),
-            rollout_seen: write_seen(&self_status.rollouts.own),
-            group_rollout_seen: write_seen(&lead.group_seen),
-            group_work: write_work(&lead.group_work),
+            rollouts: write_statuses(&self_status.rollouts.statuses),
+            rollout_seen: write_evidence(&self_status.rollouts.own),
+            group_rollout_seen: write_evidence(&totals.group_evidence),
+            group_work: write_work(&totals.group_work),
             ..Beacon::default()
         };
-        used.write(&mut beacon);
+        use_report.write(&mut beacon);
         beacon
     }
 
@@ -358,29 +364,29 @@
 
     /// Returns the totals of this instance's group; empty if it does not report for a group or is
     /// draining.
-    fn lead_word(&self, now: Time, self_status: &SelfStatus) -> LeadWord {
+    fn group_totals(&self, now: Time, self_status: &SelfStatus) -> GroupTotals {
         if self.directory.is_single_group()
             || self_status.draining
             || !self.directory.is_reporter(now)
         {
-            return LeadWord::default();
+            return GroupTotals::default();
         }
-        LeadWord {
+        GroupTotals {
             group_live: self.directory.group_live(now),
             site_live: self.directory.site_live(now),
             group_size: self.directory.group_size(),
             site_size: self.directory.site_size(now),
             group_demand: self.directory.group_demand(now, &self_status.demand),
-            group_seen: self_status.rollouts.group.clone(),
+            group_evidence: self_status.rollouts.group.clone(),
             group_work: self_status.work.clone(),
         }
     }
 
-    async fn tell(&self, event: Event) {
-        self.pass(Input::Event(event)).await;
+    async fn send_event(&self, event: Event) {
+        self.send_input(Input::Event(event)).await;
     }
 
-    async fn pass(&self, input: Input) {
+    async fn send_input(&self, input: Input) {
         // Sending fails only if the scheduler ended, in which case this task is stopped as well.
         let _ = self.inputs.send(input).await;
     }
@@ -388,14 +394,14 @@
 
 /// State whose changes are sent at once.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-struct Steps {
+struct UrgentState {
     /// Stage of each roll-out, by its order.
     stages: Vec<(Offset, Stage)>,
     /// Revision of the requests during which endpoints exited.
     suspected: Revision,
 }
 
-impl Steps {
+impl UrgentState {
     fn new(self_status: &SelfStatus) -> Self {
         Self {
             stages: self_status.stages(),
@@ -404,12 +410,17 @@
     }
 }
 
-/// Waits until the state differs from `told` and returns the new state.
-async fn new_steps(self_status: &mut watch::Receiver<SelfStatus>, told: &Steps) -> Option<Steps> {
+/// Waits until the state differs from `previous` and returns the new state.
+async fn wait_for_urgent_change(
+    self_status: &mut watch::Receiver<SelfStatus>,
+    previous: &UrgentState,
+) -> Option<UrgentState> {
     let self_status = self_status
-        .wait_for(|self_status| Steps::new(self_status) != *told)
+        .wait_for(|self_status| UrgentState::new(self_status) != *previous)
         .await;
-    self_status.ok().map(|self_status| Steps::new(&self_status))
+    self_status
+        .ok()
+        .map(|self_status| UrgentState::new(&self_status))
 }
 
 /// Waits until `due`, or forever if it is `None`.
--- a/crates/firdock-node/src/peer/beacon/usage.rs
+++ b/crates/firdock-node/src/peer/beacon/usage.rs
@@ -13,7 +13,7 @@
 
 /// Limit use that is included in a beacon.
 #[derive(Debug, Default)]
-pub(super) enum ToldUse {
+pub(super) enum ReportedUse {
     /// None: the sender reports for no group, or not at this tick.
     #[default]
     Nothing,
@@ -23,15 +23,15 @@
     Site(UseCounts),
 }
 
-impl ToldUse {
+impl ReportedUse {
     /// Adds the totals to a beacon.
     pub fn write(&self, beacon: &mut Beacon) {
-        let (told, counts) = match self {
+        let (totals, counts) = match self {
             Self::Nothing => return,
             Self::Group(counts) => (&mut beacon.group_used, counts),
             Self::Site(counts) => (&mut beacon.site_used, counts),
         };
-        *told = write_uses(&counts.counts);
+        *totals = write_uses(&counts.counts);
         beacon.use_began = counts.began.as_bytes().to_vec();
         beacon.use_fresh = counts.fresh;
     }
@@ -42,8 +42,8 @@
     /// send to the group and to the leads of other groups.
     ///
     /// The designated successor of the lead aggregates as well, and sends its totals at every
-    /// `TELL_EVERY` ticks only, so that its counts are known when the lead fails.
-    pub(super) async fn count_use(&self, tick: usize, now: Time) -> (ToldUse, ToldUse) {
+    /// `LIST_PEERS_EVERY` ticks only, so that its counts are known when the lead fails.
+    pub(super) async fn aggregate_use(&self, tick: usize, now: Time) -> (ReportedUse, ReportedUse) {
         if self.directory.is_single_group() || !self.directory.is_reporter(now) {
             self.sums().reset();
             return Default::default();
@@ -60,10 +60,10 @@
             (sums.report_for_leads(me), sums.report_for_group(me))
         };
         if let Some(counts) = site.clone() {
-            self.tell(Event::SiteUseReported(counts)).await;
+            self.send_event(Event::SiteUseReported(counts)).await;
         }
-        let for_group = site.map_or(ToldUse::Nothing, ToldUse::Site);
-        let for_leads = group.map_or(ToldUse::Nothing, ToldUse::Group);
+        let for_group = site.map_or(ReportedUse::Nothing, ReportedUse::Site);
+        let for_leads = group.map_or(ReportedUse::Nothing, ReportedUse::Group);
         (for_group, for_leads)
     }
 
--- a/crates/firdock-node/src/peer/heartbeat.rs
+++ b/crates/firdock-node/src/peer/heartbeat.rs
@@ -25,7 +25,7 @@
 use crate::clock::Clock;
 
 /// Maximum delay between two attempts to connect to a peer.
-const LONGEST_PAUSE: Duration = Duration::from_secs(5);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(5);
 /// Maximum number of pools in a heartbeat, which bounds its size.
 const MAX_POOLS: usize = 256;
 /// Maximum number of tier ranks in a heartbeat: all values of `TierRank`.
@@ -37,7 +37,7 @@
 const MAX_LEAVING: usize = 256;
 /// Time for which the same suspect requests are included before others take their turn: about the
 /// interval between two heartbeats.
-const TURN: Duration = Duration::from_millis(400);
+const SUSPECT_TURN: Duration = Duration::from_millis(400);
 
 /// Status that this instance reports to its peers.
 #[derive(Debug, Clone, Default, PartialEq)]
@@ -58,11 +58,11 @@
     /// Requests during which endpoints exited, as many as are included in each heartbeat.
     suspects: Vec<SuspectReport>,
     /// Those reported by others, which leads forward.
-    heard_suspects: Vec<SuspectReport>,
+    forwarded_suspects: Vec<SuspectReport>,
     /// All of those still in effect, for a peer on first contact.
     all_suspects: Vec<SuspectReport>,
     /// When this status was taken.
-    taken: Time,
+    taken_at: Time,
     /// Revision of these requests. Changes are sent at once.
     pub(super) suspected: Revision,
 }
@@ -71,7 +71,7 @@
     /// Takes the status from the scheduler's tables.
     #[must_use]
     pub fn new(t: &Tables, now: Time) -> Self {
-        let told = |(pool, rate)| PoolDemand { pool, rate };
+        let demand_of = |(pool, rate)| PoolDemand { pool, rate };
         // Endpoints removed from the configuration come last, since the other instances are about
         // to remove them as well.
         let rows = |present: bool| {
@@ -87,7 +87,7 @@
             demand: pool_demand(t)
                 .into_iter()
                 .take(MAX_POOLS)
-                .map(told)
+                .map(demand_of)
                 .collect(),
             draining: t.draining,
             leaving: leaving
@@ -98,9 +98,9 @@
             used: limit_usage(t, now),
             rollouts: rollout_report(t, now),
             work: Vec::new(),
-            suspects: t.suspects.reports(now, turn_at(now)),
-            heard_suspects: t.suspects.reports_to_forward(now),
-            taken: now,
+            suspects: t.suspects.reports(now, suspect_turn(now)),
+            forwarded_suspects: t.suspects.reports_to_forward(now),
+            taken_at: now,
             all_suspects: t.suspects.all_reports(now, MAX_SUSPECTS),
             suspected: t.suspects.revision(),
         }
@@ -109,10 +109,10 @@
     /// Returns the status including the suspect requests that others reported, which leads forward.
     #[must_use]
     pub fn as_lead(&self) -> Self {
-        let heard = self.heard_suspects.iter();
-        let mut told = self.clone();
-        told.suspects.extend(heard.cloned());
-        told
+        let forwarded = self.forwarded_suspects.iter();
+        let mut status = self.clone();
+        status.suspects.extend(forwarded.cloned());
+        status
     }
 
     /// Returns the status with all suspect requests, for a peer on first contact.
@@ -145,14 +145,14 @@
 
     /// Returns the stage of each roll-out, by its order.
     pub(super) fn stages(&self) -> Vec<(Offset, Stage)> {
-        let words = self.rollouts.statuses.iter();
-        words.map(|w| (w.order, w.stage)).collect()
+        let statuses = self.rollouts.statuses.iter();
+        statuses.map(|w| (w.order, w.stage)).collect()
     }
 
     /// Encodes the status, with ages relative to `now`.
     #[must_use]
     pub fn message(&self, now: Time, log_next: u64) -> Heartbeat {
-        let age = now.saturating_sub(self.taken);
+        let age = now.saturating_sub(self.taken_at);
         Heartbeat {
             zone: self.zone.clone(),
             held: self.held.clone(),
@@ -167,24 +167,25 @@
 }
 
 /// Returns the index of the current turn of suspect requests.
-fn turn_at(now: Time) -> usize {
-    (now.as_millis() / TURN.as_millis()) as usize
+fn suspect_turn(now: Time) -> usize {
+    (now.as_millis() / SUSPECT_TURN.as_millis()) as usize
 }
 
 /// Encodes demand by pool.
 pub fn write_demand(demand: &[PoolDemand]) -> Vec<message::PoolDemand> {
-    let told = demand.iter().take(MAX_POOLS);
-    told.map(|d| message::PoolDemand {
-        pool: d.pool.clone(),
-        rate: d.rate,
-    })
-    .collect()
+    let pools = demand.iter().take(MAX_POOLS);
+    pools
+        .map(|d| message::PoolDemand {
+            pool: d.pool.clone(),
+            rate: d.rate,
+        })
+        .collect()
 }
 
 /// Decodes demand by pool; entries with invalid values are left out.
 pub fn read_demand(demand: Vec<message::PoolDemand>) -> Vec<PoolDemand> {
-    let told = demand.into_iter().take(MAX_POOLS);
-    let finite = told.filter(|d| d.rate.is_finite() && d.rate >= 0.0);
+    let pools = demand.into_iter().take(MAX_POOLS);
+    let finite = pools.filter(|d| d.rate.is_finite() && d.rate >= 0.0);
     finite
         .map(|d| PoolDemand {
             pool: d.pool,
@@ -195,22 +196,24 @@
 
 /// Encodes the work for accounts.
 pub fn write_work(work: &[AccountWork]) -> Vec<message::AccountWork> {
-    let told = work.iter().take(MAX_WORK);
-    told.map(|w| message::AccountWork {
-        account: w.account.clone(),
-        pool: w.pool.clone(),
-        rank: u32::from(w.rank),
-        asked: w.asked,
-        done: w.done,
-    })
-    .collect()
+    let accounts = work.iter().take(MAX_WORK);
+    accounts
+        .map(|w| message::AccountWork {
+            account: w.account.clone(),
+            pool: w.pool.clone(),
+            rank: u32::from(w.rank),
+            asked: w.asked,
+            done: w.done,
+        })
+        .collect()
 }
 
 /// Decodes the work for accounts; entries with invalid values are left out.
 pub fn read_work(work: Vec<message::AccountWork>) -> Vec<AccountWork> {
-    let told = work.into_iter().take(MAX_WORK);
-    let sane = |secs: f64| secs.is_finite() && secs >= 0.0;
-    told.filter(|w| sane(w.asked) && sane(w.done))
+    let accounts = work.into_iter().take(MAX_WORK);
+    let is_valid = |secs: f64| secs.is_finite() && secs >= 0.0;
+    accounts
+        .filter(|w| is_valid(w.asked) && is_valid(w.done))
         .map(|w| AccountWork {
             account: w.account,
             pool: w.pool,
@@ -223,15 +226,15 @@
 
 /// Decodes a peer's status, truncated to fixed limits.
 #[must_use]
-pub fn peer_news(name: &str, beat: Heartbeat) -> PeerUpdate {
+pub fn read_status(name: &str, heartbeat: Heartbeat) -> PeerUpdate {
     PeerUpdate {
         name: name.to_owned(),
-        zone: beat.zone,
-        held: beat.held.into_iter().take(MAX_RANKS).collect(),
-        demand: read_demand(beat.demand),
-        draining: beat.draining,
-        leaving: beat.leaving.into_iter().take(MAX_LEAVING).collect(),
-        suspects: read_suspects(beat.suspects),
+        zone: heartbeat.zone,
+        held: heartbeat.held.into_iter().take(MAX_RANKS).collect(),
+        demand: read_demand(heartbeat.demand),
+        draining: heartbeat.draining,
+        leaving: heartbeat.leaving.into_iter().take(MAX_LEAVING).collect(),
+        suspects: read_suspects(heartbeat.suspects),
         ..PeerUpdate::default()
     }
 }
@@ -287,7 +290,7 @@
     clock: Clock,
     log: Logger,
 ) {
-    let mut backoff = Backoff::new(pause, LONGEST_PAUSE);
+    let mut backoff = Backoff::new(pause, MAX_RETRY_DELAY);
     loop {
         match dialer.dial(&peer.0, peer.1).await {
             Ok(mut link) => {
@@ -298,14 +301,14 @@
                 let mut first = true;
                 loop {
                     ticks.tick().await;
-                    let told = if std::mem::take(&mut first) {
+                    let status = if std::mem::take(&mut first) {
                         self_status.borrow().in_full()
                     } else {
                         self_status.borrow().clone()
                     };
                     let log_next = dialer.hub().lock().state.next;
-                    let beat = told.message(clock.now(), log_next);
-                    let sent = timeout(HANDSHAKE_TIME, link.send(Body::Heartbeat(beat))).await;
+                    let heartbeat = status.message(clock.now(), log_next);
+                    let sent = timeout(HANDSHAKE_TIME, link.send(Body::Heartbeat(heartbeat))).await;
                     if !matches!(sent, Ok(Ok(()))) {
                         break;
                     }
--- a/crates/firdock-node/src/peer/rollouts.rs
+++ b/crates/firdock-node/src/peer/rollouts.rs
@@ -9,86 +9,91 @@
 
 /// Maximum number of roll-outs in a heartbeat.
 const MAX_ROLLOUTS: usize = 16;
-/// Maximum number of tallies of a roll-out in a heartbeat, enough for five services at some dozen
-/// endpoints each.
+/// Maximum number of tallies of a roll-out in a heartbeat, enough for about five services
+/// at a dozen endpoints.
 const MAX_TALLIES: usize = 256;
 /// Maximum number of bins accepted in a tally.
-const MAX_BANDS: usize = 64;
+const MAX_BINS: usize = 64;
 
 /// Encodes the states of roll-outs.
-pub fn write_words(words: &[RolloutStatus]) -> Vec<message::RolloutWord> {
-    let told = words.iter().take(MAX_ROLLOUTS);
-    told.map(|w| message::RolloutWord {
-        pool: w.pool.clone(),
-        order: w.order,
-        stage: write_stage(w.stage).into(),
-        age: millis(w.age),
-        ratio: w.ratio,
-    })
-    .collect()
+pub fn write_statuses(statuses: &[RolloutStatus]) -> Vec<message::RolloutWord> {
+    let entries = statuses.iter().take(MAX_ROLLOUTS);
+    entries
+        .map(|w| message::RolloutWord {
+            pool: w.pool.clone(),
+            order: w.order,
+            stage: write_stage(w.stage).into(),
+            age: millis(w.age),
+            ratio: w.ratio,
+        })
+        .collect()
 }
 
 /// Decodes the states of roll-outs; those with stages that this version does not support are left
 /// out.
-pub fn read_words(words: Vec<message::RolloutWord>) -> Vec<RolloutStatus> {
-    let told = words.into_iter().take(MAX_ROLLOUTS);
-    told.filter_map(|w| {
-        Some(RolloutStatus {
-            stage: read_stage(w.stage)?,
-            pool: w.pool,
-            order: w.order,
-            age: Duration::from_millis(w.age),
-            ratio: if w.ratio.is_finite() { w.ratio } else { 0.0 },
+pub fn read_statuses(statuses: Vec<message::RolloutWord>) -> Vec<RolloutStatus> {
+    let entries = statuses.into_iter().take(MAX_ROLLOUTS);
+    entries
+        .filter_map(|w| {
+            Some(RolloutStatus {
+                stage: read_stage(w.stage)?,
+                pool: w.pool,
+                order: w.order,
+                age: Duration::from_millis(w.age),
+                ratio: if w.ratio.is_finite() { w.ratio } else { 0.0 },
+            })
         })
-    })
-    .collect()
+        .collect()
 }
 
 /// Encodes roll-out evidence.
-pub fn write_seen(seen: &[Evidence]) -> Vec<message::RolloutEvidence> {
-    let told = seen.iter().take(MAX_ROLLOUTS);
-    told.map(|e| message::RolloutEvidence {
-        pool: e.pool.clone(),
-        order: e.order,
-        sent: e.sent,
-        exposed: e.exposed,
-        tallies: write_tallies(e),
-    })
-    .collect()
+pub fn write_evidence(evidence: &[Evidence]) -> Vec<message::RolloutEvidence> {
+    let entries = evidence.iter().take(MAX_ROLLOUTS);
+    entries
+        .map(|e| message::RolloutEvidence {
+            pool: e.pool.clone(),
+            order: e.order,
+            sent: e.sent,
+            exposed: e.exposed,
+            tallies: write_tallies(e),
+        })
+        .collect()
 }
 
-fn write_tallies(seen: &Evidence) -> Vec<message::RolloutTally> {
-    let told = seen.tallies.iter().take(MAX_TALLIES);
-    told.map(|((service, endpoint), tally)| message::RolloutTally {
-        service: service.clone(),
-        endpoint: endpoint.clone(),
-        failed: tally.failed,
-        lost: tally.lost,
-        bands: tally.bins.clone(),
-    })
-    .collect()
+fn write_tallies(evidence: &Evidence) -> Vec<message::RolloutTally> {
+    let entries = evidence.tallies.iter().take(MAX_TALLIES);
+    entries
+        .map(|((service, endpoint), tally)| message::RolloutTally {
+            service: service.clone(),
+            endpoint: endpoint.clone(),
+            failed: tally.failed,
+            lost: tally.lost,
+            bands: tally.bins.clone(),
+        })
+        .collect()
 }
 
 /// Decodes roll-out evidence.
-pub fn read_seen(seen: Vec<message::RolloutEvidence>) -> Vec<Evidence> {
-    let told = seen.into_iter().take(MAX_ROLLOUTS);
-    told.map(|e| {
-        let mut evidence = Evidence::new(e.pool, e.order);
-        evidence.sent = e.sent;
-        evidence.exposed = e.exposed;
-        for told in e.tallies.into_iter().take(MAX_TALLIES) {
-            let tally = Tally {
-                failed: told.failed,
-                lost: told.lost,
-                bins: told.bands.into_iter().take(MAX_BANDS).collect(),
-            };
+pub fn read_evidence(evidence: Vec<message::RolloutEvidence>) -> Vec<Evidence> {
+    let entries = evidence.into_iter().take(MAX_ROLLOUTS);
+    entries
+        .map(|e| {
+            let mut evidence = Evidence::new(e.pool, e.order);
+            evidence.sent = e.sent;
+            evidence.exposed = e.exposed;
+            for entry in e.tallies.into_iter().take(MAX_TALLIES) {
+                let tally = Tally {
+                    failed: entry.failed,
+                    lost: entry.lost,
+                    bins: entry.bands.into_iter().take(MAX_BINS).collect(),
+                };
+                evidence
+                    .tallies
+                    .insert((entry.service, entry.endpoint), tally);
+            }
             evidence
-                .tallies
-                .insert((told.service, told.endpoint), tally);
-        }
-        evidence
-    })
-    .collect()
+        })
+        .collect()
 }
 
 fn write_stage(stage: Stage) -> message::RolloutStage {
--- a/crates/firdock-node/src/peer/serve.rs
+++ b/crates/firdock-node/src/peer/serve.rs
@@ -17,7 +17,7 @@
 
 use super::dial::Dialer;
 use super::hand_over::{read_headers, send_part};
-use super::heartbeat::peer_news;
+use super::heartbeat::read_status;
 use super::keys::read_transfer;
 use super::link::{Link, LinkError};
 use super::state::send_state;
@@ -113,7 +113,7 @@
         let mut next = Some(Body::Heartbeat(first));
         while let Some(Body::Heartbeat(beat)) = next {
             self.note(&link.peer, &beat);
-            let news = peer_news(&link.peer, beat);
+            let news = read_status(&link.peer, beat);
             if self
                 .inputs
                 .send(Input::Event(Event::Peer(news)))
--- a/crates/firdock-node/src/peer/suspects.rs
+++ b/crates/firdock-node/src/peer/suspects.rs
@@ -16,62 +16,63 @@
 /// sender would be considered silent.
 const MAX_BYTES: usize = 20 << 10;
 /// Maximum number of exits accepted for a suspect request.
-const MAX_ENDS: usize = 16;
+const MAX_EXITS: usize = 16;
 
 /// Encodes as many suspect requests as fit. Their ages were taken `age` ago.
-pub fn write_suspects(told: &[SuspectReport], age: Duration) -> Vec<message::Suspect> {
-    let mut room = MAX_BYTES;
-    let told = told.iter().take(MAX_SUSPECTS);
-    let written = told.map(|s| write_suspect(s, age));
+pub fn write_suspects(reports: &[SuspectReport], age: Duration) -> Vec<message::Suspect> {
+    let mut capacity = MAX_BYTES;
+    let reports = reports.iter().take(MAX_SUSPECTS);
+    let written = reports.map(|s| write_suspect(s, age));
     written
         .take_while(|suspect| {
-            let fits = suspect.encoded_len() <= room;
-            room = room.saturating_sub(suspect.encoded_len());
+            let fits = suspect.encoded_len() <= capacity;
+            capacity = capacity.saturating_sub(suspect.encoded_len());
             fits
         })
         .collect()
 }
 
-fn write_suspect(told: &SuspectReport, age: Duration) -> message::Suspect {
+fn write_suspect(report: &SuspectReport, age: Duration) -> message::Suspect {
     message::Suspect {
-        content: told.content.id.as_bytes().to_vec(),
-        path: told.content.path.to_string(),
-        account: told.account.clone(),
-        service: told.service.clone(),
-        ends: told.exits.iter().map(|e| write_end(e, age)).collect(),
+        content: report.content.id.as_bytes().to_vec(),
+        path: report.content.path.to_string(),
+        account: report.account.clone(),
+        service: report.service.clone(),
+        ends: report.exits.iter().map(|e| write_exit(e, age)).collect(),
     }
 }
 
 /// Decodes suspect requests; those without a valid identity are left out.
-pub fn read_suspects(told: Vec<message::Suspect>) -> Vec<SuspectReport> {
-    let told = told.into_iter().take(MAX_SUSPECTS);
-    told.filter_map(|s| {
-        let id = ContentId::from_bytes(&s.content)?;
-        let path = s.path.into();
-        Some(SuspectReport {
-            content: Arc::new(Content { id, path }),
-            account: s.account,
-            service: s.service,
-            exits: s.ends.into_iter().take(MAX_ENDS).map(read_end).collect(),
+pub fn read_suspects(reports: Vec<message::Suspect>) -> Vec<SuspectReport> {
+    let reports = reports.into_iter().take(MAX_SUSPECTS);
+    reports
+        .filter_map(|s| {
+            let id = ContentId::from_bytes(&s.content)?;
+            let path = s.path.into();
+            Some(SuspectReport {
+                content: Arc::new(Content { id, path }),
+                account: s.account,
+                service: s.service,
+                exits: s.ends.into_iter().take(MAX_EXITS).map(read_exit).collect(),
+            })
         })
-    })
-    .collect()
+        .collect()
 }
 
-fn write_end(end: &ReportedExit, age: Duration) -> message::SuspectEnd {
+fn write_exit(exit: &ReportedExit, age: Duration) -> message::SuspectEnd {
     message::SuspectEnd {
-        start: end.start.clone(),
-        sent_ago: millis(end.sent_ago + age),
-        ended_ago: millis(end.ended_ago + age),
-        void: end.void,
+        start: exit.start.clone(),
+        sent_ago: millis(exit.sent_ago + age),
+        ended_ago: millis(exit.ended_ago + age),
+        void: exit.void,
     }
 }
 
-fn read_end(end: message::SuspectEnd) -> ReportedExit {
+fn read_exit(exit: message::SuspectEnd) -> ReportedExit {
     ReportedExit {
-        start: end.start,
-        sent_ago: Duration::from_millis(end.sent_ago),
-        ended_ago: Duration::from_millis(end.ended_ago),
-        void: end.void,
+        start: exit.start,
+        sent_ago: Duration::from_millis(exit.sent_ago),
+        ended_ago: Duration::from_millis(exit.ended_ago),
+        void: exit.void,
     }
 }
