--- a/crates/firdock-node/src/peer/datagram.rs
+++ b/crates/firdock-node/src/peer/datagram.rs
@@ -69,22 +69,23 @@
 
 /// Encodes the use of account limits.
 pub fn write_uses(uses: &[AccountUse]) -> Vec<message::AccountUse> {
-    let told = uses.iter().take(MAX_REPORTED_ACCOUNTS);
-    told.map(|u| message::AccountUse {
-        account: u.account.clone(),
-        units: u.units,
-        asked: u.asked,
-        units_before: u.before.units,
-        asked_before: u.before.asked,
-    })
-    .collect()
+    let entries = uses.iter().take(MAX_REPORTED_ACCOUNTS);
+    entries
+        .map(|u| message::AccountUse {
+            account: u.account.clone(),
+            units: u.units,
+            asked: u.asked,
+            units_before: u.before.units,
+            asked_before: u.before.asked,
+        })
+        .collect()
 }
 
 /// Decodes the use of account limits reported by a peer; entries with non-finite values are left
 /// out.
 pub fn read_uses(uses: Vec<message::AccountUse>) -> Vec<AccountUse> {
-    let told = uses.into_iter().take(MAX_REPORTED_ACCOUNTS);
-    let finite = told.filter(|u| {
+    let entries = uses.into_iter().take(MAX_REPORTED_ACCOUNTS);
+    let finite = entries.filter(|u| {
         let figures = [u.units, u.asked, u.units_before, u.asked_before];
         figures.iter().all(|figure| figure.is_finite())
     });
--- a/crates/firdock-node/src/peer/directory.rs
+++ b/crates/firdock-node/src/peer/directory.rs
@@ -220,15 +220,15 @@
     /// Records a heartbeat.
     pub fn record_heartbeat(
         &self,
-        word: PeerInfo<'_>,
+        info: PeerInfo<'_>,
         address: SocketAddr,
         now: Time,
     ) -> HeartbeatOutcome {
-        let kept = self.should_track(&self.lock(), word.name, word.zone, word.millicores);
+        let kept = self.should_track(&self.lock(), info.name, info.zone, info.millicores);
         if kept {
-            self.record_lead_heartbeat(word, address, now)
+            self.record_lead_heartbeat(info, address, now)
         } else {
-            self.lock().remove(word.name);
+            self.lock().remove(info.name);
             HeartbeatOutcome::Untracked
         }
     }
@@ -237,24 +237,24 @@
     /// lead priority, since the instances before it must have failed.
     pub fn record_lead_heartbeat(
         &self,
-        word: PeerInfo<'_>,
+        info: PeerInfo<'_>,
         address: SocketAddr,
         now: Time,
     ) -> HeartbeatOutcome {
         let mut entries = self.lock();
-        let known = entries.contains_key(word.name) || entries.len() < MAX_PEERS;
-        if word.name == self.me || !known {
+        let known = entries.contains_key(info.name) || entries.len() < MAX_PEERS;
+        if info.name == self.me || !known {
             return HeartbeatOutcome::Untracked;
         }
         let entry = Entry {
             address,
-            zone: word.zone.to_owned(),
-            millicores: word.millicores,
+            zone: info.zone.to_owned(),
+            millicores: info.millicores,
             last_seen: now,
             has_heartbeat: true,
             demand: Vec::new(),
         };
-        let before = entries.insert(word.name.to_owned(), entry);
+        let before = entries.insert(info.name.to_owned(), entry);
         match before {
             Some(before) if before.has_heartbeat => HeartbeatOutcome::Repeated,
             _ => HeartbeatOutcome::First,
--- a/crates/firdock-node/src/peer/hand_over.rs
+++ b/crates/firdock-node/src/peer/hand_over.rs
@@ -46,7 +46,7 @@
         self.exchange.id
     }
 
-    async fn tell(&self, event: HandOverEvent) {
+    async fn send_event(&self, event: HandOverEvent) {
         let _ = self.inputs.send(Input::Event(Event::HandOver(event))).await;
     }
 
@@ -56,10 +56,10 @@
             verdict,
             tried,
         };
-        self.tell(HandOverEvent::Refused(refusal)).await;
+        self.send_event(HandOverEvent::Refused(refusal)).await;
     }
 
-    async fn pass(&self, part: AnswerPart) -> bool {
+    async fn forward(&self, part: AnswerPart) -> bool {
         let sending = timeout(self.caller_stall, self.exchange.reply.send(part)).await;
         matches!(sending, Ok(Ok(())))
     }
@@ -73,49 +73,51 @@
     };
     // From here on, the peer may have received the request.
     if link
-        .send(Body::HandOver(message_of(&order, trace)))
+        .send(Body::HandOver(write_hand_over(&order, trace)))
         .await
         .is_err()
     {
-        order.tell(HandOverEvent::Broke(order.id())).await;
+        order.send_event(HandOverEvent::Broke(order.id())).await;
         return "broke";
     }
     loop {
         let Ok(Some(body)) = link.receive().await else {
-            order.tell(HandOverEvent::Broke(order.id())).await;
+            order.send_event(HandOverEvent::Broke(order.id())).await;
             return "broke";
         };
-        if let Some(result) = take(&order, body).await {
+        if let Some(result) = handle_message(&order, body).await {
             return result;
         }
     }
 }
 
 /// Handles a message of the answer. Returns the result of the hand-over if it ended.
-async fn take(order: &HandOverOrder, body: Body) -> Option<&'static str> {
+async fn handle_message(order: &HandOverOrder, body: Body) -> Option<&'static str> {
     let id = order.id();
     match body {
         Body::AnswerHead(head) => {
-            order.tell(HandOverEvent::Started(id)).await;
-            let passed = order.pass(AnswerPart::Head(read_head(head))).await;
-            if passed {
+            order.send_event(HandOverEvent::Started(id)).await;
+            let forwarded = order.forward(AnswerPart::Head(read_head(head))).await;
+            if forwarded {
                 None
             } else {
-                caller_left(order).await
+                report_caller_left(order).await
             }
         }
         Body::AnswerData(data) => {
-            let passed = order.pass(AnswerPart::Data(Bytes::from(data.data))).await;
-            if passed {
+            let forwarded = order
+                .forward(AnswerPart::Data(Bytes::from(data.data)))
+                .await;
+            if forwarded {
                 None
             } else {
-                caller_left(order).await
+                report_caller_left(order).await
             }
         }
         Body::AnswerEnd(_) => {
             order.exchange.reply.mark_complete();
-            order.tell(HandOverEvent::Ended(id)).await;
-            let _ = order.pass(AnswerPart::End).await;
+            order.send_event(HandOverEvent::Ended(id)).await;
+            let _ = order.forward(AnswerPart::End).await;
             Some("answered")
         }
         Body::Refusal(refusal) => {
@@ -125,17 +127,17 @@
         }
         Body::UnknownOutcome(unknown) => {
             let verdict = read_verdict(Outcome::Unknown, &unknown.reason, unknown.retry_seconds);
-            order.tell(HandOverEvent::Unknown(id, verdict)).await;
+            order.send_event(HandOverEvent::Unknown(id, verdict)).await;
             Some("unknown")
         }
         _ => {
-            order.tell(HandOverEvent::Broke(id)).await;
+            order.send_event(HandOverEvent::Broke(id)).await;
             Some("broke")
         }
     }
 }
 
-async fn caller_left(order: &HandOverOrder) -> Option<&'static str> {
+async fn report_caller_left(order: &HandOverOrder) -> Option<&'static str> {
     let _ = order
         .inputs
         .send(Input::Event(Event::CallerLeft(order.id())))
@@ -143,7 +145,7 @@
     Some("caller-left")
 }
 
-fn message_of(order: &HandOverOrder, trace: TraceContext) -> message::HandOver {
+fn write_hand_over(order: &HandOverOrder, trace: TraceContext) -> message::HandOver {
     let payload = &order.exchange.payload;
     let cause = match order.cause {
         HandOverCause::KeyOwner => Cause::KeyOwner,
@@ -214,7 +216,7 @@
     }
 }
 
-/// Sends a part of an answer, which [`take`] receives at the other side. Returns whether it was the
+/// Sends a part of an answer, which [`handle_message`] receives at the other side. Returns whether it was the
 /// last part.
 pub(super) async fn send_part(link: &mut Link, part: AnswerPart) -> Result<bool, super::LinkError> {
     let (body, last) = match part {
--- a/crates/firdock-node/src/peer/serve.rs
+++ b/crates/firdock-node/src/peer/serve.rs
@@ -30,7 +30,7 @@
 use crate::telemetry::TraceContext;
 
 /// Time without messages after which a peer's connection is considered lost.
-const LINK_SILENCE: Duration = Duration::from_secs(10);
+const LINK_TIMEOUT: Duration = Duration::from_secs(10);
 /// Maximum number of concurrent connections from peers.
 const MAX_LINKS: usize = 4_096;
 
@@ -67,7 +67,7 @@
         };
         let server = server.clone();
         tokio::spawn(async move {
-            if let Err(e) = server.serve_one(stream).await {
+            if let Err(e) = server.serve_connection(stream).await {
                 warn!(server.log, "peer cut off"; "error" => e.to_string());
             }
             drop(slot);
@@ -76,13 +76,13 @@
 }
 
 impl PeerServer {
-    async fn serve_one(&self, stream: TcpStream) -> Result<(), LinkError> {
+    async fn serve_connection(&self, stream: TcpStream) -> Result<(), LinkError> {
         let known = |name: &str| self.dialer.hub().lock().listed_row(name).is_some();
         let mut link = Link::accept(stream, self.dialer.me(), self.dialer.key(), known).await?;
-        match receive_soon(&mut link).await? {
-            Some(Body::Heartbeat(beat)) => self.hear(link, beat).await,
-            Some(Body::HandOver(order)) => self.take_over(link, order).await,
-            Some(Body::KeyTransfer(transfer)) => self.take_transfer(transfer).await,
+        match receive_in_time(&mut link).await? {
+            Some(Body::Heartbeat(heartbeat)) => self.receive_heartbeats(link, heartbeat).await,
+            Some(Body::HandOver(order)) => self.serve_hand_over(link, order).await,
+            Some(Body::KeyTransfer(transfer)) => self.accept_transfer(transfer).await,
             Some(Body::StateRequest(_)) => {
                 let state = Arc::clone(&self.dialer.hub().lock().state);
                 send_state(&mut link, &state).await
@@ -95,7 +95,7 @@
     }
 
     /// Accepts keys that a member transfers. Closing the connection acknowledges them.
-    async fn take_transfer(&self, transfer: message::KeyTransfer) -> Result<(), LinkError> {
+    async fn accept_transfer(&self, transfer: message::KeyTransfer) -> Result<(), LinkError> {
         let Some(transfer) = read_transfer(transfer) else {
             return Err(LinkError::Rejected {
                 reason: "malformed transfer",
@@ -109,50 +109,54 @@
     }
 
     /// Receives heartbeats until the connection fails.
-    async fn hear(&self, mut link: Link, first: message::Heartbeat) -> Result<(), LinkError> {
+    async fn receive_heartbeats(
+        &self,
+        mut link: Link,
+        first: message::Heartbeat,
+    ) -> Result<(), LinkError> {
         let mut next = Some(Body::Heartbeat(first));
-        while let Some(Body::Heartbeat(beat)) = next {
-            self.note(&link.peer, &beat);
-            let news = read_status(&link.peer, beat);
+        while let Some(Body::Heartbeat(heartbeat)) = next {
+            self.record_status(&link.peer, &heartbeat);
+            let update = read_status(&link.peer, heartbeat);
             if self
                 .inputs
-                .send(Input::Event(Event::Peer(news)))
+                .send(Input::Event(Event::Peer(update)))
                 .await
                 .is_err()
             {
                 return Ok(());
             }
-            next = match receive_soon(&mut link).await {
+            next = match receive_in_time(&mut link).await {
                 Ok(body) => body,
                 Err(e) => {
-                    self.lost(&link.peer).await;
+                    self.report_lost(&link.peer).await;
                     return Err(e);
                 }
             };
         }
-        self.lost(&link.peer).await;
+        self.report_lost(&link.peer).await;
         Ok(())
     }
 
     /// Records a peer's status, and wakes the log reader if the peer has read further in the log.
-    fn note(&self, peer: &str, beat: &message::Heartbeat) {
+    fn record_status(&self, peer: &str, heartbeat: &message::Heartbeat) {
         let status = PeerStatus {
-            zone: beat.zone.clone(),
-            version: beat.version,
-            draining: beat.draining,
+            zone: heartbeat.zone.clone(),
+            version: heartbeat.version,
+            draining: heartbeat.draining,
             heard: self.clock.now(),
         };
         let hub = self.dialer.hub();
         let behind = hub.update(|h| {
             h.note_peer(peer, status);
-            h.state.next < beat.log_next
+            h.state.next < heartbeat.log_next
         });
         if behind {
             hub.wake();
         }
     }
 
-    async fn lost(&self, peer: &InstanceId) {
+    async fn report_lost(&self, peer: &InstanceId) {
         let _ = self
             .inputs
             .send(Input::Event(Event::PeerLost(peer.clone())))
@@ -160,7 +164,11 @@
     }
 
     /// Serves a request that a peer hands over and streams the answer back.
-    async fn take_over(&self, mut link: Link, order: message::HandOver) -> Result<(), LinkError> {
+    async fn serve_hand_over(
+        &self,
+        mut link: Link,
+        order: message::HandOver,
+    ) -> Result<(), LinkError> {
         let Some((exchange, parts, tried)) = read_order(order, &self.answer_budget) else {
             return Err(LinkError::Rejected {
                 reason: "malformed request",
@@ -186,8 +194,8 @@
 }
 
 /// Receives a message that is expected soon. The timeout detects a connection that failed silently.
-async fn receive_soon(link: &mut Link) -> Result<Option<Body>, LinkError> {
-    timeout(LINK_SILENCE, link.receive())
+async fn receive_in_time(link: &mut Link) -> Result<Option<Body>, LinkError> {
+    timeout(LINK_TIMEOUT, link.receive())
         .await
         .unwrap_or(Err(LinkError::TimedOut))
 }
--- a/crates/firdock-node/src/peer/topic.rs
+++ b/crates/firdock-node/src/peer/topic.rs
@@ -166,16 +166,16 @@
     /// A listing has no history, so changes and deletions are found by comparison. Peers with the
     /// same previous snapshot then need only the changes, and no listing of their own.
     fn replace(&mut self, records: &[KeyedRecord]) -> Vec<KeyedRecord> {
-        let mut gone = std::mem::take(&mut self.values);
+        let mut previous = std::mem::take(&mut self.values);
         let newest = |record: &KeyedRecord| Some((record.value.clone()?, record.offset));
-        let is_new = |record: &&KeyedRecord| gone.remove(&record.key) != newest(record);
+        let is_new = |record: &&KeyedRecord| previous.remove(&record.key) != newest(record);
         let mut changes: Vec<KeyedRecord> = records.iter().filter(is_new).cloned().collect();
         let dropped = |key: String| KeyedRecord {
             key,
             value: None,
             offset: 0,
         };
-        changes.extend(gone.into_keys().map(dropped));
+        changes.extend(previous.into_keys().map(dropped));
         self.apply(records);
         changes
     }
