--- a/crates/firdock-node/src/peer/beacon/bootstrap.rs
+++ b/crates/firdock-node/src/peer/beacon/bootstrap.rs
@@ -70,10 +70,10 @@
         now: Time,
         asks_peers_first: bool,
         mut seeds: Vec<SocketAddr>,
-        me: &str,
+        own_name: &str,
     ) -> Self {
         if !seeds.is_empty() {
-            let first = rendezvous::hash_key(me.as_bytes()) % seeds.len() as u64;
+            let first = rendezvous::hash_key(own_name.as_bytes()) % seeds.len() as u64;
             seeds.rotate_left(first as usize);
         }
         let requery_after = if asks_peers_first {
--- a/crates/firdock-node/src/peer/beacon/targets.rs
+++ b/crates/firdock-node/src/peer/beacon/targets.rs
@@ -43,7 +43,7 @@
         let near_interval = (known / NEAR_PEERS_PER_TICK).max(1);
         let far_interval = far_interval(tick, known);
         let wanted = |relation: PeerRelation| {
-            let is_turn = |interval: usize| (tick + relation.at + 1).is_multiple_of(interval);
+            let is_turn = |interval: usize| (tick + relation.index + 1).is_multiple_of(interval);
             let notify_lead = is_reporter && relation.lead;
             if relation.same_group {
                 is_reporter || relation.lead || is_turn(near_interval)
--- a/crates/firdock-node/src/peer/beacon/usage.rs
+++ b/crates/firdock-node/src/peer/beacon/usage.rs
@@ -48,7 +48,7 @@
             self.sums().reset();
             return Default::default();
         }
-        let me = &self.member.name;
+        let own_name = &self.member.name;
         let (group, site) = {
             let mut sums = self.sums();
             sums.start(Uuid::now_v7);
@@ -57,7 +57,10 @@
             if !self.directory.is_lead(now) && !tick.is_multiple_of(LIST_PEERS_EVERY) {
                 return Default::default();
             }
-            (sums.report_for_leads(me), sums.report_for_group(me))
+            (
+                sums.report_for_leads(own_name),
+                sums.report_for_group(own_name),
+            )
         };
         if let Some(counts) = site.clone() {
             self.send_event(Event::SiteUseReported(counts)).await;
--- a/crates/firdock-node/src/peer/dial.rs
+++ b/crates/firdock-node/src/peer/dial.rs
@@ -22,17 +22,17 @@
 /// Connects to peers by name.
 #[derive(Debug, Clone)]
 pub struct Dialer {
-    me: InstanceId,
+    own_name: InstanceId,
     key: Arc<[u8]>,
     hub: Arc<Hub>,
 }
 
 impl Dialer {
-    /// Creates a dialer for the instance `me`.
+    /// Creates a dialer for the instance `own_name`.
     #[must_use]
-    pub fn new(me: InstanceId, key: &str, hub: Arc<Hub>) -> Self {
+    pub fn new(own_name: InstanceId, key: &str, hub: Arc<Hub>) -> Self {
         Self {
-            me,
+            own_name,
             key: Arc::from(key.as_bytes()),
             hub,
         }
@@ -40,8 +40,8 @@
 
     /// Returns the name of this instance.
     #[must_use]
-    pub fn me(&self) -> &str {
-        &self.me
+    pub fn own_name(&self) -> &str {
+        &self.own_name
     }
 
     /// Returns the shared key.
@@ -66,7 +66,7 @@
     #[must_use]
     pub fn peers(&self) -> Vec<(InstanceId, SocketAddr)> {
         let hub = self.hub.lock();
-        let others = hub.listed.iter().filter(|r| r.name != self.me);
+        let others = hub.listed.iter().filter(|r| r.name != self.own_name);
         others
             .filter_map(|r| Some((r.name.clone(), r.peers?)))
             .collect()
@@ -78,7 +78,7 @@
     ///
     /// Fails if the peer cannot be reached or authenticated.
     pub async fn dial(&self, peer: &str, address: SocketAddr) -> Result<Link, DialError> {
-        let link = Link::dial(address, &self.me, peer, &self.key).await;
+        let link = Link::dial(address, &self.own_name, peer, &self.key).await;
         link.map_err(|source| DialError {
             peer: peer.to_owned(),
             source,
--- a/crates/firdock-node/src/peer/directory.rs
+++ b/crates/firdock-node/src/peer/directory.rs
@@ -94,7 +94,7 @@
 /// Directory of the other instances.
 #[derive(Debug)]
 pub struct PeerDirectory {
-    me: InstanceId,
+    own_name: InstanceId,
     zone: ZoneId,
     millicores: Millicores,
     entries: Mutex<Entries>,
@@ -111,11 +111,11 @@
 }
 
 impl PeerDirectory {
-    /// Creates the directory of the instance `me` in `zone`.
+    /// Creates the directory of the instance `own_name` in `zone`.
     #[must_use]
-    pub fn new(me: InstanceId, zone: ZoneId) -> Self {
+    pub fn new(own_name: InstanceId, zone: ZoneId) -> Self {
         Self {
-            me,
+            own_name,
             zone,
             millicores: 0,
             entries: Mutex::default(),
@@ -151,7 +151,7 @@
     /// Adds an instance that a peer listed, if it is to be tracked here.
     pub fn add_reported(&self, peer: PeerRecord, now: Time) {
         let kept = self.should_track(&self.lock(), &peer.name, &peer.zone, peer.millicores);
-        if kept || peer.name == self.me {
+        if kept || peer.name == self.own_name {
             self.add_listed(peer, now);
         }
     }
@@ -162,7 +162,7 @@
         if self.departed().contains_key(&peer.name) {
             return;
         }
-        if peer.name == self.me {
+        if peer.name == self.own_name {
             *self
                 .listed_address
                 .lock()
@@ -243,7 +243,7 @@
     ) -> HeartbeatOutcome {
         let mut entries = self.lock();
         let known = entries.contains_key(info.name) || entries.len() < MAX_PEERS;
-        if info.name == self.me || !known {
+        if info.name == self.own_name || !known {
             return HeartbeatOutcome::Untracked;
         }
         let entry = Entry {
@@ -305,8 +305,8 @@
     #[must_use]
     pub fn live_peers(&self, now: Time) -> Vec<PeerRecord> {
         let entries = self.lock();
-        let heard = entries.iter().filter(|(_, e)| e.is_live(now));
-        heard.map(known_peer).collect()
+        let live = entries.iter().filter(|(_, e)| e.is_live(now));
+        live.map(known_peer).collect()
     }
 
     fn departed(&self) -> MutexGuard<'_, BTreeMap<InstanceId, Time>> {
--- a/crates/firdock-node/src/peer/directory/group.rs
+++ b/crates/firdock-node/src/peer/directory/group.rs
@@ -57,7 +57,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerRelation {
     /// Index in the order of names.
-    pub at: usize,
+    pub index: usize,
     /// Whether it belongs to the same group.
     pub same_group: bool,
     /// Whether it is one of the given leads.
@@ -115,10 +115,10 @@
     #[must_use]
     pub fn group_demand(&self, now: Time, own: &[PoolDemand]) -> Vec<PoolDemand> {
         let entries = self.lock();
-        let near = self.present_in_zone(&entries, now);
-        let told = near.flat_map(|(_, e)| &e.demand).chain(own);
+        let present = self.present_in_zone(&entries, now);
+        let demands = present.flat_map(|(_, e)| &e.demand).chain(own);
         let mut sums: BTreeMap<&str, f64> = BTreeMap::new();
-        for demand in told {
+        for demand in demands {
             *sums.entry(&demand.pool).or_default() += demand.rate;
         }
         let sum = |(pool, rate): (&str, f64)| PoolDemand {
@@ -136,19 +136,20 @@
     pub fn read_turn(&self, now: Time) -> ReadTurn {
         let entries = self.lock();
         let single_group = self.is_single_group_of(&entries);
-        let me = self.lead_priority();
-        let (mut led_site, mut led_group, mut index, mut group_size) = (false, false, 0, 1);
+        let own_priority = self.lead_priority();
+        let (mut other_leads_site, mut other_leads_group, mut index, mut group_size) =
+            (false, false, 0, 1);
         for peer in entries.iter().filter(|(_, e)| e.is_live(now)) {
-            let before = lead_priority(&peer) < me;
-            let grouped = single_group || peer.1.zone == self.zone;
+            let before = lead_priority(&peer) < own_priority;
+            let same_group = single_group || peer.1.zone == self.zone;
             let leads = before && peer.1.is_present(now);
-            led_site |= leads;
-            led_group |= leads && grouped;
+            other_leads_site |= leads;
+            other_leads_group |= leads && same_group;
             // Members of a larger group exchange heartbeats only every few seconds.
-            index += usize::from(before && grouped);
-            group_size += usize::from(grouped);
+            index += usize::from(before && same_group);
+            group_size += usize::from(same_group);
         }
-        let role = match (led_site, led_group, single_group) {
+        let role = match (other_leads_site, other_leads_group, single_group) {
             (false, _, _) => ReadRole::SiteLead,
             (_, false, _) => ReadRole::GroupLead,
             (_, _, true) => ReadRole::SingleGroupMember,
@@ -162,7 +163,7 @@
     }
 
     fn lead_priority(&self) -> LeadPriority<'_> {
-        (Reverse(self.millicores), self.me.as_str())
+        (Reverse(self.millicores), self.own_name.as_str())
     }
 
     /// Returns whether this instance leads its group.
@@ -195,8 +196,8 @@
     #[must_use]
     pub fn is_reporter(&self, now: Time) -> bool {
         let entries = self.lock();
-        let near = self.present_in_zone(&entries, now);
-        let before = near.filter(|peer| lead_priority(peer) < self.lead_priority());
+        let present = self.present_in_zone(&entries, now);
+        let before = present.filter(|peer| lead_priority(peer) < self.lead_priority());
         before.count() < LEADS_PER_GROUP
     }
 
@@ -292,16 +293,16 @@
     ) -> Vec<(PeerRecord, PeerRelation)> {
         let entries = self.lock();
         let single_group = self.is_single_group_of(&entries);
-        let placed = entries.iter().enumerate().map(|(at, peer)| {
+        let related = entries.iter().enumerate().map(|(index, peer)| {
             let relation = PeerRelation {
-                at,
+                index,
                 same_group: single_group || peer.1.zone == self.zone,
                 lead: leads.contains(peer.0),
             };
             (peer, relation)
         });
-        let picked = placed.filter(|(_, relation)| wanted(*relation));
-        picked
+        let selected = related.filter(|(_, relation)| wanted(*relation));
+        selected
             .map(|(peer, relation)| (known_peer(peer), relation))
             .collect()
     }
--- a/crates/firdock-node/src/peer/directory/partial.rs
+++ b/crates/firdock-node/src/peer/directory/partial.rs
@@ -32,9 +32,9 @@
 
     /// Returns the number of instances that was reported recently; zero if there is none.
     fn recent_site_size(&self, now: Time) -> usize {
-        let told = *self.reported_size();
-        let told = told.filter(|(at, _)| *at + EXPIRE_AFTER > now);
-        told.map_or(0, |(_, count)| count)
+        let reported = *self.reported_size();
+        let reported = reported.filter(|(at, _)| *at + EXPIRE_AFTER > now);
+        reported.map_or(0, |(_, count)| count)
     }
 
     /// Returns whether the site is so large that the directory is partial.
@@ -45,8 +45,8 @@
     }
 
     pub(super) fn is_partial_at(&self, known: usize) -> bool {
-        let told = self.reported_size().map_or(0, |(_, count)| count);
-        known.max(told) >= FULL_DIRECTORY_LIMIT
+        let reported = self.reported_size().map_or(0, |(_, count)| count);
+        known.max(reported) >= FULL_DIRECTORY_LIMIT
     }
 
     /// Returns whether an instance is to be tracked here.
@@ -74,12 +74,12 @@
         }
         // Silent instances must not displace the live ones that lead in their place.
         let mut kept = first_of_zones(entries.iter(), TRACKED_PER_ZONE);
-        let heard = entries.iter().filter(|(_, e)| e.is_live(now));
-        kept.extend(first_of_zones(heard, TRACKED_PER_ZONE));
+        let live = entries.iter().filter(|(_, e)| e.is_live(now));
+        kept.extend(first_of_zones(live, TRACKED_PER_ZONE));
         let own = &self.zone;
         entries.retain(|name, e| {
-            let new = !e.has_heartbeat && e.last_seen + KEEP_LISTED > now;
-            new || e.zone == *own || e.zone.is_empty() || kept.contains(name)
+            let recently_listed = !e.has_heartbeat && e.last_seen + KEEP_LISTED > now;
+            recently_listed || e.zone == *own || e.zone.is_empty() || kept.contains(name)
         });
     }
 
--- a/crates/firdock-node/src/peer/link.rs
+++ b/crates/firdock-node/src/peer/link.rs
@@ -67,17 +67,17 @@
     /// Fails if the peer cannot be reached or authenticated; no request was sent to it then.
     pub async fn dial(
         address: SocketAddr,
-        me: &str,
+        own_name: &str,
         peer: &str,
         key: &[u8],
     ) -> Result<Self, LinkError> {
-        let dialing = async {
+        let connect = async {
             let stream = TcpStream::connect(address)
                 .await
                 .context(ConnectSnafu { address })?;
-            handshake_as_dialer(stream, me, peer, key).await
+            handshake_as_dialer(stream, own_name, peer, key).await
         };
-        timeout(HANDSHAKE_TIME, dialing)
+        timeout(HANDSHAKE_TIME, connect)
             .await
             .unwrap_or_else(|_| TimedOutSnafu.fail())
     }
@@ -89,11 +89,11 @@
     /// Fails if the other side cannot be authenticated or the handshake times out.
     pub async fn accept(
         stream: TcpStream,
-        me: &str,
+        own_name: &str,
         key: &[u8],
-        known: impl Fn(&str) -> bool,
+        is_listed: impl Fn(&str) -> bool,
     ) -> Result<Self, LinkError> {
-        let accepting = handshake_as_acceptor(stream, me, key, known);
+        let accepting = handshake_as_acceptor(stream, own_name, key, is_listed);
         timeout(HANDSHAKE_TIME, accepting)
             .await
             .unwrap_or_else(|_| TimedOutSnafu.fail())
@@ -103,7 +103,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the connection failed.
+    /// Returns an error if the connection fails.
     pub async fn send(&mut self, body: Body) -> Result<(), LinkError> {
         Ok(self.framed.send(body).await?)
     }
@@ -112,13 +112,13 @@
     ///
     /// # Errors
     ///
-    /// Fails if the connection failed or the message cannot be decoded.
+    /// Returns an error if the connection fails or the message cannot be decoded.
     pub async fn receive(&mut self) -> Result<Option<Body>, LinkError> {
         Ok(self.framed.next().await.transpose()?)
     }
 
-    fn authenticated(peer: &str, greeting: Framed<TcpStream, FrameCodec>) -> Self {
-        let parts = greeting.into_parts();
+    fn authenticated(peer: &str, handshake: Framed<TcpStream, FrameCodec>) -> Self {
+        let parts = handshake.into_parts();
         // A first message may have been received together with the proof. Building the codec from
         // its parts decodes buffered data at once.
         let mut authenticated =
@@ -140,7 +140,7 @@
 
 async fn handshake_as_dialer(
     stream: TcpStream,
-    me: &str,
+    own_name: &str,
     peer: &str,
     key: &[u8],
 ) -> Result<Link, LinkError> {
@@ -149,29 +149,29 @@
     let own_nonce = nonce();
     let hello = Hello {
         protocol: PROTOCOL,
-        instance: me.to_owned(),
+        instance: own_name.to_owned(),
         nonce: own_nonce.clone(),
     };
     framed.send(Body::Hello(hello)).await?;
-    let Some(Body::Welcome(theirs)) = framed.next().await.transpose()? else {
+    let Some(Body::Welcome(welcome)) = framed.next().await.transpose()? else {
         return RejectedSnafu {
             reason: "no welcome message received",
         }
         .fail();
     };
-    if theirs.protocol != PROTOCOL || theirs.instance != peer {
+    if welcome.protocol != PROTOCOL || welcome.instance != peer {
         return RejectedSnafu {
             reason: "different protocol version or name",
         }
         .fail();
     }
     let parties = Parties {
-        dialer: me,
+        dialer: own_name,
         dialer_nonce: &own_nonce,
         acceptor: peer,
-        acceptor_nonce: &theirs.nonce,
+        acceptor_nonce: &welcome.nonce,
     };
-    if !auth::check(key, Side::Acceptor, &parties, &theirs.proof) {
+    if !auth::check(key, Side::Acceptor, &parties, &welcome.proof) {
         return RejectedSnafu {
             reason: "different key",
         }
@@ -184,9 +184,9 @@
 
 async fn handshake_as_acceptor(
     stream: TcpStream,
-    me: &str,
+    own_name: &str,
     key: &[u8],
-    known: impl Fn(&str) -> bool,
+    is_listed: impl Fn(&str) -> bool,
 ) -> Result<Link, LinkError> {
     let _ = stream.set_nodelay(true);
     let mut framed = Framed::new(stream, FrameCodec::new(MAX_HANDSHAKE_FRAME_BYTES));
@@ -206,30 +206,30 @@
     let parties = Parties {
         dialer: &hello.instance,
         dialer_nonce: &hello.nonce,
-        acceptor: me,
+        acceptor: own_name,
         acceptor_nonce: &own_nonce,
     };
     let proof = auth::prove(key, Side::Acceptor, &parties);
     let answer = Welcome {
         protocol: PROTOCOL,
-        instance: me.to_owned(),
+        instance: own_name.to_owned(),
         nonce: own_nonce.clone(),
         proof,
     };
     framed.send(Body::Welcome(answer)).await?;
-    let Some(Body::Proof(theirs)) = framed.next().await.transpose()? else {
+    let Some(Body::Proof(peer_proof)) = framed.next().await.transpose()? else {
         return RejectedSnafu {
             reason: "no proof received",
         }
         .fail();
     };
-    if !auth::check(key, Side::Dialer, &parties, &theirs.proof) {
+    if !auth::check(key, Side::Dialer, &parties, &peer_proof.proof) {
         return RejectedSnafu {
             reason: "different key",
         }
         .fail();
     }
-    if !known(&hello.instance) {
+    if !is_listed(&hello.instance) {
         return RejectedSnafu {
             reason: "not in the instance list",
         }
--- a/crates/firdock-node/src/peer/reads.rs
+++ b/crates/firdock-node/src/peer/reads.rs
@@ -178,14 +178,14 @@
     #[must_use]
     pub fn snapshots(&self) -> Vec<(Topic, TopicSnapshot)> {
         let mut inner = self.lock();
-        let image = |topic| {
+        let snapshot = |topic| {
             inner
                 .snapshots
                 .of(topic)
                 .clone()
-                .map(|image| (topic, image))
+                .map(|snapshot| (topic, snapshot))
         };
-        Topic::ALL.into_iter().filter_map(image).collect()
+        Topic::ALL.into_iter().filter_map(snapshot).collect()
     }
 
     /// Queues changes that a peer read. They are dropped if there is no bound on its clock, since
@@ -288,9 +288,11 @@
         }
     }
 
-    /// Records a peer's clock from the reply to a query that was sent at `asked`.
-    pub fn take_clock(&self, peer: &str, incarnation: Uuid, asked: Time, clock: Time) {
-        self.lock().clocks.record(peer, incarnation, asked, clock);
+    /// Records a peer's clock from the reply to a query that was sent at `query_sent_at`.
+    pub fn take_clock(&self, peer: &str, incarnation: Uuid, query_sent_at: Time, clock: Time) {
+        self.lock()
+            .clocks
+            .record(peer, incarnation, query_sent_at, clock);
     }
 
     /// Returns what is due now, and when to check again if nothing is due and no report arrives.
@@ -302,7 +304,7 @@
     /// Waits until this instance has to read the store or records of peers arrive, and returns
     /// which.
     ///
-    /// `turn` returns this instance's turn in reading the store.
+    /// `read_turn` returns this instance's turn in reading the store.
     pub async fn due(
         &self,
         clock: Clock,
--- a/crates/firdock-node/src/peer/reads/clocks.rs
+++ b/crates/firdock-node/src/peer/reads/clocks.rs
@@ -48,12 +48,12 @@
         bound.filter(|b| b.incarnation == incarnation)
     }
 
-    /// Records a peer's clock from the reply to a query sent at `asked`, if that tightens the known
+    /// Records a peer's clock from the reply to a query sent at `query_sent_at`, if that tightens the known
     /// bound.
-    pub fn record(&mut self, peer: &str, incarnation: Uuid, asked: Time, clock: Time) {
+    pub fn record(&mut self, peer: &str, incarnation: Uuid, query_sent_at: Time, clock: Time) {
         let new = ClockBound {
             incarnation,
-            ours: asked,
+            ours: query_sent_at,
             theirs: clock,
         };
         let known = self.get(peer, incarnation);
--- a/crates/firdock-node/src/peer/reads/state.rs
+++ b/crates/firdock-node/src/peer/reads/state.rs
@@ -15,7 +15,7 @@
 /// renewed.
 const OUTAGE_AFTER: Duration = Duration::from_millis(2_200);
 /// Minimum time between two queries for newer content. A reply takes a few milliseconds; if all
-/// instances query at once, the last reply arrives within some hundred.
+/// instances query at once, the last reply arrives within some hundred milliseconds.
 const QUERY_INTERVAL: Duration = Duration::from_millis(150);
 /// Snapshots of the topics.
 #[derive(Debug, Default)]
@@ -50,7 +50,7 @@
     /// When the instance first checked what is due.
     pub(super) started: Option<Time>,
     /// When a peer was last queried for newer content.
-    pub(super) asked_at: Time,
+    pub(super) queried_at: Time,
     pub(super) config_newer_since: Option<Time>,
     pub(super) endpoints_newer_since: Option<Time>,
     /// Records received from peers, to be applied.
@@ -158,13 +158,13 @@
         if endpoints {
             self.endpoints_newer_since.get_or_insert(now);
         }
-        let asks = (config || endpoints)
+        let query_now = (config || endpoints)
             && self.peer_records.is_empty()
-            && self.asked_at + QUERY_INTERVAL <= now;
-        if asks {
-            self.asked_at = now;
+            && self.queried_at + QUERY_INTERVAL <= now;
+        if query_now {
+            self.queried_at = now;
         }
-        asks
+        query_now
     }
 
     /// Updates the times of the read state if a peer confirms the content known here. Returns the
--- a/crates/firdock-node/src/peer/serve.rs
+++ b/crates/firdock-node/src/peer/serve.rs
@@ -45,7 +45,7 @@
     pub clock: Clock,
     /// Logger.
     pub log: Logger,
-    /// Buffers for answers until the querying peers have read them.
+    /// Bounds the size of answers that peers have not read yet.
     pub answer_budget: AnswerBudget,
 }
 
@@ -77,8 +77,9 @@
 
 impl PeerServer {
     async fn serve_connection(&self, stream: TcpStream) -> Result<(), LinkError> {
-        let known = |name: &str| self.dialer.hub().lock().listed_row(name).is_some();
-        let mut link = Link::accept(stream, self.dialer.me(), self.dialer.key(), known).await?;
+        let is_listed = |name: &str| self.dialer.hub().lock().listed_row(name).is_some();
+        let mut link =
+            Link::accept(stream, self.dialer.own_name(), self.dialer.key(), is_listed).await?;
         match receive_in_time(&mut link).await? {
             Some(Body::Heartbeat(heartbeat)) => self.receive_heartbeats(link, heartbeat).await,
             Some(Body::HandOver(order)) => self.serve_hand_over(link, order).await,
