--- a/crates/firdock-node/src/peer/hand_over.rs
+++ b/crates/firdock-node/src/peer/hand_over.rs
@@ -50,7 +50,7 @@
         let _ = self.inputs.send(Input::Event(Event::HandOver(event))).await;
     }
 
-    async fn refused(&self, verdict: Option<Verdict>, tried: Vec<EndpointId>) {
+    async fn report_refused(&self, verdict: Option<Verdict>, tried: Vec<EndpointId>) {
         let refusal = HandOverRefusal {
             id: self.id(),
             verdict,
@@ -68,7 +68,7 @@
 /// Hands a request over. Returns the result as recorded in the trace.
 pub async fn hand_over(dialer: Dialer, order: HandOverOrder, trace: TraceContext) -> &'static str {
     let Ok(mut link) = dialer.dial(&order.peer, order.address).await else {
-        order.refused(None, Vec::new()).await;
+        order.report_refused(None, Vec::new()).await;
         return "unreachable";
     };
     // From here on, the peer may have received the request.
@@ -122,7 +122,7 @@
         }
         Body::Refusal(refusal) => {
             let verdict = read_verdict(Outcome::NotRun, &refusal.reason, refusal.retry_seconds);
-            order.refused(Some(verdict), refusal.tried).await;
+            order.report_refused(Some(verdict), refusal.tried).await;
             Some("refused")
         }
         Body::UnknownOutcome(unknown) => {
--- a/crates/firdock-node/src/peer/topic.rs
+++ b/crates/firdock-node/src/peer/topic.rs
@@ -110,8 +110,8 @@
 impl TopicSnapshot {
     /// Applies records of its topic.
     ///
-    /// Returns the changes for peers that had the same previous snapshot; `None` if there was none
-    /// for the changes to follow.
+    /// Returns the changes for peers that had the same previous snapshot; `None` if nothing changed
+    /// or there was no previous snapshot.
     pub fn take(&mut self, new: &TopicRecords, known: bool) -> Option<TopicRecords> {
         let before = self.next;
         let changes = if new.from.is_some() {
