--- a/crates/firdock-node/src/peer.rs
+++ b/crates/firdock-node/src/peer.rs
@@ -1,48 +1,49 @@
-//! Links between instances: who a peer is, heartbeats, hand-over and state.
+//! Communication between instances: authentication, heartbeats, request hand-over and state
+//! transfer.
 //!
-//! Each hand-over has a connection of its own, so that a slow reader holds up nothing but itself
-//! and closing the connection cancels the request (see `docs/design/peers.md`).
+//! Each hand-over uses its own connection, so that a slow reader blocks no other request and
+//! closing the connection cancels the request (see `docs/design/peers.md`).
 
 mod beacon;
-mod book;
 mod datagram;
 mod dial;
+mod directory;
 mod hand_over;
 mod heartbeat;
 mod keys;
-mod known;
 mod link;
 mod parts;
 mod reads;
 mod rollouts;
 mod serve;
+mod sharing;
 mod state;
 mod suspects;
 mod topic;
 
 pub use beacon::{AppliedRecords, BeaconService, bind_socket as bind_beacon_socket};
-pub use book::{
+pub use datagram::{read_incarnation, seal};
+pub use dial::{DialError, Dialer};
+pub use directory::{
     HeartbeatOutcome, Millicores, PeerDirectory, PeerInfo, PeerRecord, PeerRelation, ReadRole,
     ReadTurn,
 };
-pub use datagram::{read_incarnation, seal};
-pub use dial::{DialError, Dialer};
 pub use hand_over::{HandOverOrder, hand_over, read_reason};
 pub use heartbeat::{SelfStatus, run_heartbeats};
 pub use keys::transfer_keys;
-pub use known::{KnownState, PeerProcess, StateQuery, StateReply};
 pub use link::{Link, LinkError};
 pub use parts::{
     InvalidPart, MissingParts, PART_BYTES, PartialReplies, StateId, count_parts, state_part,
 };
 pub use reads::{DueReads, MergeOutcome, ReadReason, ReadState, SharedReads};
 pub use serve::{PeerServer, serve_peers};
+pub use sharing::{PeerProcess, StateQuery, StateReply, StoreSnapshot};
 pub use state::fetch_state;
 pub use topic::{KeyedRecord, Topic, TopicRecords, TopicSnapshot};
 
 use std::time::Duration;
 
-/// Largest frame between peers: a request with its body.
+/// Maximum size of a frame between peers; a frame may carry a request with its body.
 pub const MAX_FRAME_BYTES: usize = 16 << 20;
-/// Time for a connection to a peer and its handshake.
+/// Timeout for connecting to a peer and completing the handshake.
 pub const HANDSHAKE_TIME: Duration = Duration::from_secs(1);
--- a/crates/firdock-node/src/peer/beacon.rs
+++ b/crates/firdock-node/src/peer/beacon.rs
@@ -1,13 +1,14 @@
-//! Heartbeats by datagram, between instances that know each other by address alone.
+//! Exchange of heartbeats over UDP. Each datagram is called a beacon.
 //!
-//! A datagram that is lost costs nothing, for the next one tells the same totals; a link that was
-//! cut silently cannot hang. Each tells of the other instances that its sender knows, so that one
-//! known address is enough to find all (see `docs/design/peers.md`).
-
-mod answer;
-mod due;
-mod meet;
-mod take;
+//! Beacons carry running totals, so the next one makes up for a lost one, and there is no
+//! connection that can hang after a silent network failure. A beacon also lists other instances
+//! that its sender knows, so that one reachable address is enough to discover all instances (see
+//! `docs/design/peers.md`).
+
+mod bootstrap;
+mod receive;
+mod reply;
+mod targets;
 mod usage;
 
 use std::future::pending;
@@ -29,86 +30,88 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{MissedTickBehavior, interval, sleep};
 
-use self::answer::ReplyQueue;
-use self::due::PeersDue;
-use self::meet::Meeting;
-use self::usage::ToldUse;
-use super::book::{PeerDirectory, PeerRecord, ReadRole};
+use self::bootstrap::Bootstrap;
+use self::reply::ReplyQueue;
+use self::targets::BeaconTargets;
+use self::usage::ReportedUse;
 use super::datagram::{seal, write_address, write_reads, write_uses};
+use super::directory::{PeerDirectory, PeerRecord, ReadRole};
 use super::heartbeat::{SelfStatus, write_demand, write_work};
-use super::known::records_body;
 use super::parts::PartialReplies;
 use super::reads::SharedReads;
-use super::rollouts::{write_seen, write_words};
+use super::rollouts::{write_evidence, write_statuses};
+use super::sharing::records_body;
 use super::topic::TopicRecords;
 use crate::clock::Clock;
 use crate::input::Input;
 
-/// Longest datagram that is taken.
+/// Maximum size of a received datagram.
 const MAX_DATAGRAM_BYTES: usize = 60 << 10;
-/// Instances told of in one beacon; over several, chance tells of all.
-const MAX_TOLD: usize = 16;
-/// Ticks between two beacons that tell of other instances: these come and go seldom, and the bytes
-/// between availability zones are paid for.
-const TELL_EVERY: usize = 5;
-/// Ticks after which the instances heard are taken for all, though none were listed.
-const LIST_TICKS: usize = 10;
-
-/// Records that this instance took, for its peers.
+/// Maximum number of other instances listed in one beacon. The selection is random, so that all are
+/// listed over several beacons.
+const MAX_LISTED_PEERS: usize = 16;
+/// Ticks between two beacons that list other instances. Membership changes rarely, and traffic
+/// between availability zones is billed.
+const LIST_PEERS_EVERY: usize = 5;
+/// Ticks after which the known instances are assumed to be complete even if no list was received.
+const ASSUME_LISTED_TICKS: usize = 10;
+
+/// Store records that this instance applied, to be forwarded to its peers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AppliedRecords {
-    /// The records.
+    /// Records.
     pub records: TopicRecords,
-    /// Whether it read them itself; what a peer told is passed on by those that lead alone.
+    /// Whether this instance read them from the store itself. Records received from a peer are
+    /// forwarded by group leads only.
     pub read_locally: bool,
 }
 
-/// What the lead of a group tells of it.
+/// Group-wide totals that the lead of a group reports.
 #[derive(Debug, Default)]
-struct LeadWord {
-    /// Instances of the group that it hears.
+struct GroupTotals {
+    /// Live instances of the group.
     group_live: usize,
-    /// Instances of all groups that their leads hear.
+    /// Live instances of all groups, as reported by their leads.
     site_live: usize,
-    /// The same of those that it knows of, heard or not.
+    /// Known instances of the group and of all groups, whether live or not.
     group_size: usize,
     site_size: usize,
-    /// Demand of the group.
+    /// Demand of the group, by pool.
     group_demand: Vec<PoolDemand>,
-    /// What the group saw of roll-outs.
-    group_seen: Vec<Evidence>,
-    /// What endpoints did for accounts by what the group placed.
+    /// Roll-out evidence that the group collected.
+    group_evidence: Vec<Evidence>,
+    /// Work that endpoints did for client accounts on requests that the group placed.
     group_work: Vec<AccountWork>,
 }
 
-/// What sending and taking beacons needs.
+/// Sends and receives beacons.
 #[derive(Debug)]
 pub struct BeaconService {
-    /// Socket for both.
+    /// UDP socket, used for both directions.
     pub socket: Arc<UdpSocket>,
-    /// This instance and this start of it.
+    /// Name and incarnation of this instance.
     pub member: Member,
-    /// Key that all instances share.
+    /// Key shared by all instances.
     pub key: Arc<[u8]>,
-    /// The other instances.
+    /// Other instances.
     pub directory: Arc<PeerDirectory>,
-    /// What this instance read of the platform's store, with what peers told of theirs.
+    /// Read state of the platform's store, from own reads and from peers' reports.
     pub reads: Arc<SharedReads>,
-    /// What this instance tells of itself.
+    /// Status that this instance reports to its peers.
     pub self_status: watch::Receiver<SelfStatus>,
-    /// Changes in the platform's store that this instance took, for its peers.
+    /// Store changes that this instance applied, to be forwarded to its peers.
     pub changes: mpsc::Receiver<AppliedRecords>,
-    /// Instances that are asked first at the start.
+    /// Addresses of the instances to query first at start.
     pub seeds: Vec<SocketAddr>,
-    /// Counts of what all instances let pass of limits, where this one leads.
+    /// Aggregated use of account limits, maintained while this instance leads a group.
     pub sums: Mutex<UseAggregator>,
-    /// Answers of which parts came.
+    /// Replies that were received in part.
     pub partial_replies: Mutex<PartialReplies>,
-    /// Way to the scheduler.
+    /// Queue of inputs to the scheduler.
     pub inputs: mpsc::Sender<Input>,
-    /// Pause between two beacons.
+    /// Interval between two beacons.
     pub interval: Duration,
-    /// Link of this instance, in Mbit/s; 0 where that is not known.
+    /// Bandwidth of this instance's network link in Mbit/s; 0 if unknown.
     pub link_mbits: f64,
     /// Clock.
     pub clock: Clock,
@@ -117,7 +120,8 @@
 }
 
 impl BeaconService {
-    /// Sends and takes beacons until `stop` turns true; a last one tells that this instance ends.
+    /// Sends and receives beacons until `stop` turns true. A last beacon announces that this
+    /// instance stops.
     pub async fn run(mut self, mut stop: watch::Receiver<bool>) {
         let mut ticks = interval(self.interval);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -125,10 +129,10 @@
         let mut known = None;
         let mut decides = None;
         let mut self_status = self.self_status.clone();
-        let mut steps = Steps::default();
+        let mut urgent = UrgentState::default();
         let mut tick = 0;
-        let mut answers = ReplyQueue::default();
-        let mut meeting = Meeting::new(
+        let mut replies = ReplyQueue::default();
+        let mut bootstrap = Bootstrap::new(
             self.clock.now(),
             self.reads.asks_peers_first(),
             self.seeds.clone(),
@@ -139,36 +143,36 @@
             tokio::select! {
                 received = self.socket.recv_from(&mut buffer) => match received {
                     Ok((len, from)) => {
-                        let question = self.take(&buffer[..len], from).await;
-                        if question.is_some_and(|question| answers.ask(from, question)) {
-                            self.tell_queued(from).await;
+                        let query = self.handle_datagram(&buffer[..len], from).await;
+                        if query.is_some_and(|query| replies.enqueue(from, query)) {
+                            self.send_delay_notice(from).await;
                         }
                     }
-                    Err(e) => debug!(self.log, "heartbeat not taken"; "error" => e.to_string()),
+                    Err(e) => debug!(self.log, "could not receive a datagram"; "error" => e.to_string()),
                 },
                 _ = ticks.tick() => {
                     tick += 1;
-                    decides = self.tell_decides(decides).await;
+                    decides = self.report_decides(decides).await;
                     self.send(tick).await;
-                    if tick >= LIST_TICKS || self.directory.is_listed() {
-                        known = self.count(known).await;
+                    if tick >= ASSUME_LISTED_TICKS || self.directory.is_listed() {
+                        known = self.report_known_count(known).await;
                     }
                 }
-                Some(taken) = self.changes.recv() => self.tell_changes(&taken).await,
+                Some(applied) = self.changes.recv() => self.forward_changes(&applied).await,
                 () = self.directory.wait_until_listed() => {
-                    known = self.count(known).await;
+                    known = self.report_known_count(known).await;
                     self.send_at_once().await;
                 }
-                () = sleep_until_due(meeting.next(now, &self.reads, &self.directory), now) => {
-                    self.ask_seed(&mut meeting).await;
+                () = sleep_until_due(bootstrap.next(now, &self.reads, &self.directory), now) => {
+                    self.send_query(&mut bootstrap).await;
                 }
-                () = sleep_until_due(answers.next(&self.reads, &self.directory), now) => {
-                    self.answer_next(&mut answers).await;
+                () = sleep_until_due(replies.next(&self.reads, &self.directory), now) => {
+                    self.send_next_reply(&mut replies).await;
                 }
-                Some(new) = new_steps(&mut self_status, &steps) => {
-                    let own = new.suspected.own != steps.suspected.own;
-                    steps = new;
-                    self.send_step(own).await;
+                Some(new) = wait_for_urgent_change(&mut self_status, &urgent) => {
+                    let own = new.suspected.own != urgent.suspected.own;
+                    urgent = new;
+                    self.send_state_change(own).await;
                 }
                 () = self.reads.wait_for_change() => {}
                 () = stopped(&mut stop) => break,
@@ -177,12 +181,12 @@
         self.send_at_once().await;
     }
 
-    /// Tells the scheduler how many instances are known of, when that changed.
-    async fn count(&self, before: Option<usize>) -> Option<usize> {
+    /// Reports the number of known instances to the scheduler if it changed.
+    async fn report_known_count(&self, before: Option<usize>) -> Option<usize> {
         let known = Some(self.directory.sweep(self.clock.now()));
         if let Some(count) = known.filter(|_| known != before) {
             info!(self.log, "instances known"; "count" => count, "before" => before);
-            self.tell(Event::PeersKnown(count)).await;
+            self.send_event(Event::PeersKnown(count)).await;
         }
         known
     }
@@ -190,53 +194,54 @@
     /// Sends the beacons that are due at a tick.
     async fn send(&self, tick: usize) {
         let now = self.clock.now();
-        let due = PeersDue::at(tick, &self.directory, now);
-        let heard = if tick.is_multiple_of(TELL_EVERY) {
+        let due = BeaconTargets::at(tick, &self.directory, now);
+        let listed = if tick.is_multiple_of(LIST_PEERS_EVERY) {
             self.directory.live_peers(now)
         } else {
             Vec::new()
         };
-        let (for_group, for_leads) = self.count_use(tick, now).await;
-        self.send_all(&due.same_group, &heard, &for_group).await;
-        self.send_all(&due.leads, &heard, &for_leads).await;
+        let (for_group, for_leads) = self.aggregate_use(tick, now).await;
+        self.send_all(&due.same_group, &listed, &for_group).await;
+        self.send_all(&due.leads, &listed, &for_leads).await;
         self.send_far(&due.far).await;
     }
 
-    /// Sends the beacons to instances far away that lead nothing, which need to know little of this one:
-    /// the leads of their groups tell them the rest, and bytes between zones are paid for.
+    /// Sends short beacons to peers of other groups that are no leads. The leads of their groups
+    /// forward the rest, and traffic between availability zones is billed.
     async fn send_far(&self, peers: &[PeerRecord]) {
         if peers.is_empty() {
             return;
         }
         let beacon = if self.directory.is_single_group() {
-            self.beacon(&[], &ToldUse::Nothing)
+            self.beacon(&[], &ReportedUse::Nothing)
         } else {
             self.short_beacon()
         };
         self.send_sealed(peers, beacon).await;
     }
 
-    /// Sends beacons at a start or an end, which those that need to know hear of at once.
+    /// Announces a start or a stop at once to the peers that depend on it.
     async fn send_at_once(&self) {
-        let due = PeersDue::at_once(&self.directory, self.clock.now());
-        self.send_all(&due.same_group, &[], &ToldUse::Nothing).await;
-        self.send_all(&due.leads, &[], &ToldUse::Nothing).await;
+        let due = BeaconTargets::at_once(&self.directory, self.clock.now());
+        self.send_all(&due.same_group, &[], &ReportedUse::Nothing)
+            .await;
+        self.send_all(&due.leads, &[], &ReportedUse::Nothing).await;
     }
 
-    /// Tells the scheduler whether this instance decides on roll-outs, when that changed: it leads the
-    /// site, as far as it hears.
-    async fn tell_decides(&self, before: Option<bool>) -> Option<bool> {
+    /// Tells the scheduler whether this instance decides on roll-outs, if that changed. The site
+    /// lead decides, as far as this instance can tell from the live instances.
+    async fn report_decides(&self, before: Option<bool>) -> Option<bool> {
         let decides = self.directory.read_turn(self.clock.now()).role == ReadRole::SiteLead;
         if before != Some(decides) {
-            self.tell(Event::Decides(decides)).await;
+            self.send_event(Event::Decides(decides)).await;
         }
         Some(decides)
     }
 
-    /// Sends beacons where a roll-out went on or an endpoint ended under a request, if this instance saw
-    /// that itself or tells its group: a version that was found bad, or such a request, should get nothing
-    /// any more, wherever that is not known yet.
-    async fn send_step(&self, own: bool) {
+    /// Sends beacons after a roll-out changed its stage or an endpoint exited during a request, if
+    /// this instance observed that itself or reports for its group. Peers that have not learned of
+    /// it yet would still dispatch to a bad version, or dispatch such a request again.
+    async fn send_state_change(&self, own: bool) {
         if own || self.directory.is_reporter(self.clock.now()) {
             self.send_at_once().await;
         }
@@ -248,21 +253,28 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sends a beacon that tells of `heard` and of what was used; where nobody gets it, none is made.
-    async fn send_all(&self, peers: &[PeerRecord], heard: &[PeerRecord], used: &ToldUse) {
+    /// Sends a beacon that lists `listed` and includes the use of limits; builds none if there are
+    /// no receivers.
+    async fn send_all(
+        &self,
+        peers: &[PeerRecord],
+        listed: &[PeerRecord],
+        use_report: &ReportedUse,
+    ) {
         if peers.is_empty() {
             return;
         }
-        let beacon = self.beacon(heard, used);
+        let beacon = self.beacon(listed, use_report);
         self.send_sealed(peers, beacon).await;
     }
 
-    /// Sends a beacon to an instance that was not heard before: what it may have missed goes with it.
-    async fn send_first(&self, peer: &PeerRecord) {
+    /// Sends a beacon to an instance on first contact, including the updates that it may have
+    /// missed.
+    async fn send_first_beacon(&self, peer: &PeerRecord) {
         let full = self.self_status.borrow().in_full();
         let beacon = Beacon {
             heartbeat: Some(full.message(self.clock.now(), 0)),
-            ..self.beacon(&[], &ToldUse::Nothing)
+            ..self.beacon(&[], &ReportedUse::Nothing)
         };
         self.send_sealed(std::slice::from_ref(peer), beacon).await;
     }
@@ -274,21 +286,21 @@
         }
     }
 
-    /// Tells changes in the platform's store to the peers that rely on this instance for them.
-    async fn tell_changes(&self, taken: &AppliedRecords) {
+    /// Forwards store changes to the peers that rely on this instance for them.
+    async fn forward_changes(&self, applied: &AppliedRecords) {
         let now = self.clock.now();
-        if !taken.read_locally && !self.directory.is_lead(now) {
+        if !applied.read_locally && !self.directory.is_lead(now) {
             return;
         }
-        // What is too long for a datagram is asked for, or read.
-        let Some(body) = records_body(&self.member, &taken.records) else {
+        // Peers query changes that exceed a datagram, or read them from the store.
+        let Some(body) = records_body(&self.member, &applied.records) else {
             return;
         };
         let leads = self.directory.group_leads(now);
         let sealed = seal(&self.key, body);
         for (peer, _) in self
             .directory
-            .pick(&leads, |relation| relation.same_group || relation.lead)
+            .select(&leads, |relation| relation.same_group || relation.lead)
         {
             self.send_to(&sealed, &peer.name, peer.address).await;
         }
@@ -296,47 +308,47 @@
 
     async fn send_to(&self, sealed: &[u8], name: &str, address: SocketAddr) {
         if let Err(e) = self.socket.send_to(sealed, address).await {
-            debug!(self.log, "heartbeat not sent"; "peer" => name, "error" => e.to_string());
+            debug!(self.log, "could not send a datagram"; "peer" => name, "error" => e.to_string());
         }
     }
 
-    fn beacon(&self, peers: &[PeerRecord], used: &ToldUse) -> Beacon {
+    fn beacon(&self, peers: &[PeerRecord], use_report: &ReportedUse) -> Beacon {
         let self_status = self.self_status.borrow();
         let now = self.clock.now();
-        let lead = self.lead_word(now, &self_status);
-        let leads = !self.directory.is_single_group() && self.directory.is_reporter(now);
-        let heartbeat = if leads {
+        let totals = self.group_totals(now, &self_status);
+        let reports = !self.directory.is_single_group() && self.directory.is_reporter(now);
+        let heartbeat = if reports {
             self_status.as_lead().message(now, 0)
         } else {
             self_status.message(now, 0)
         };
         let start = usize::from(rand::random::<u16>()) % peers.len().max(1);
-        let told = peers.iter().cycle().skip(start).take(peers.len());
+        let listed = peers.iter().cycle().skip(start).take(peers.len());
         let mut beacon = Beacon {
             protocol: PROTOCOL,
             instance: self.member.name.clone(),
             incarnation: self.member.incarnation.as_bytes().to_vec(),
             heartbeat: Some(heartbeat),
             used: write_uses(&self_status.used),
-            peers: told.take(MAX_TOLD).map(write_address).collect(),
+            peers: listed.take(MAX_LISTED_PEERS).map(write_address).collect(),
             reads: Some(write_reads(self.reads.own())),
-            group_heard: lead.group_live as u32,
-            site_heard: lead.site_live as u32,
-            group_known: lead.group_size as u32,
-            site_known: lead.site_size as u32,
-            group_demand: write_demand(&lead.group_demand),
+            group_heard: totals.group_live as u32,
+            site_heard: totals.site_live as u32,
+            group_known: totals.group_size as u32,
+            site_known: totals.site_size as u32,
+            group_demand: write_demand(&totals.group_demand),
             power: self.directory.millicores(),
-            rollouts: write_words(&self_status.rollouts.statuses),
-            rollout_seen: write_seen(&self_status.rollouts.own),
-            group_rollout_seen: write_seen(&lead.group_seen),
-            group_work: write_work(&lead.group_work),
+            rollouts: write_statuses(&self_status.rollouts.statuses),
+            rollout_seen: write_evidence(&self_status.rollouts.own),
+            group_rollout_seen: write_evidence(&totals.group_evidence),
+            group_work: write_work(&totals.group_work),
             ..Beacon::default()
         };
-        used.write(&mut beacon);
+        use_report.write(&mut beacon);
         beacon
     }
 
-    /// Makes a beacon that tells that this instance is there, what it knows of the store and its demand.
+    /// Builds a beacon that contains only this instance's presence, read state and demand.
     fn short_beacon(&self) -> Beacon {
         let self_status = self.self_status.borrow();
         Beacon {
@@ -350,45 +362,46 @@
         }
     }
 
-    /// Gives what this instance tells of its group, nothing where it does not lead one or is to stop.
-    fn lead_word(&self, now: Time, self_status: &SelfStatus) -> LeadWord {
+    /// Returns the totals of this instance's group; empty if it does not report for a group or is
+    /// draining.
+    fn group_totals(&self, now: Time, self_status: &SelfStatus) -> GroupTotals {
         if self.directory.is_single_group()
             || self_status.draining
             || !self.directory.is_reporter(now)
         {
-            return LeadWord::default();
+            return GroupTotals::default();
         }
-        LeadWord {
+        GroupTotals {
             group_live: self.directory.group_live(now),
             site_live: self.directory.site_live(now),
             group_size: self.directory.group_size(),
             site_size: self.directory.site_size(now),
             group_demand: self.directory.group_demand(now, &self_status.demand),
-            group_seen: self_status.rollouts.group.clone(),
+            group_evidence: self_status.rollouts.group.clone(),
             group_work: self_status.work.clone(),
         }
     }
 
-    async fn tell(&self, event: Event) {
-        self.pass(Input::Event(event)).await;
+    async fn send_event(&self, event: Event) {
+        self.send_input(Input::Event(event)).await;
     }
 
-    async fn pass(&self, input: Input) {
-        // Without a scheduler the instance is stopping, and this task with it.
+    async fn send_input(&self, input: Input) {
+        // Sending fails only if the scheduler ended, in which case this task is stopped as well.
         let _ = self.inputs.send(input).await;
     }
 }
 
-/// What is told at once when it changes.
+/// State whose changes are sent at once.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-struct Steps {
-    /// How far roll-outs are, by their orders.
+struct UrgentState {
+    /// Stage of each roll-out, by its order.
     stages: Vec<(Offset, Stage)>,
-    /// How often what is known of requests under which endpoints ended has changed.
+    /// Revision of the requests during which endpoints exited.
     suspected: Revision,
 }
 
-impl Steps {
+impl UrgentState {
     fn new(self_status: &SelfStatus) -> Self {
         Self {
             stages: self_status.stages(),
@@ -397,15 +410,20 @@
     }
 }
 
-/// Waits until things are not any more as they were `told`; gives how they are.
-async fn new_steps(self_status: &mut watch::Receiver<SelfStatus>, told: &Steps) -> Option<Steps> {
+/// Waits until the state differs from `previous` and returns the new state.
+async fn wait_for_urgent_change(
+    self_status: &mut watch::Receiver<SelfStatus>,
+    previous: &UrgentState,
+) -> Option<UrgentState> {
     let self_status = self_status
-        .wait_for(|self_status| Steps::new(self_status) != *told)
+        .wait_for(|self_status| UrgentState::new(self_status) != *previous)
         .await;
-    self_status.ok().map(|self_status| Steps::new(&self_status))
+    self_status
+        .ok()
+        .map(|self_status| UrgentState::new(&self_status))
 }
 
-/// Waits until `due`; for ever where nothing is.
+/// Waits until `due`, or forever if it is `None`.
 async fn sleep_until_due(due: Option<Time>, now: Time) {
     match due {
         Some(due) => sleep(due.saturating_sub(now)).await,
@@ -414,15 +432,15 @@
 }
 
 async fn stopped(stop: &mut watch::Receiver<bool>) {
-    // An error means that whoever would stop this is gone, which ends it as well.
+    // An error means that the sender was dropped, which stops this task as well.
     let _ = stop.wait_for(|s| *s).await;
 }
 
-/// Opens the socket for beacons.
+/// Binds the UDP socket for beacons.
 ///
 /// # Errors
 ///
-/// Returns the operating system's error, such as an address in use.
+/// Returns the error of the operating system, such as an address in use.
 pub async fn bind_socket(address: SocketAddr) -> io::Result<UdpSocket> {
     UdpSocket::bind(address).await
 }
--- a/crates/firdock-node/src/peer/heartbeat.rs
+++ b/crates/firdock-node/src/peer/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats: what an instance tells its peers of itself, several times a second.
+//! Heartbeats, by which an instance reports its status to its peers several times a second.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -24,21 +24,22 @@
 use crate::backoff::Backoff;
 use crate::clock::Clock;
 
-/// Longest pause between two tries to reach a peer.
-const LONGEST_PAUSE: Duration = Duration::from_secs(5);
-/// Pools told in a heartbeat, so that its size is bounded.
+/// Maximum delay between two attempts to connect to a peer.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(5);
+/// Maximum number of pools in a heartbeat, which bounds its size.
 const MAX_POOLS: usize = 256;
-/// Ranks of tiers told in a heartbeat: as many as a `TierRank` can tell apart.
+/// Maximum number of tier ranks in a heartbeat: all values of `TierRank`.
 const MAX_RANKS: usize = 256;
-/// Accounts with work told in a heartbeat, those with most: what the others had hardly counts.
+/// Maximum number of accounts with work in a heartbeat. Accounts with the most work are included;
+/// that of the others is negligible.
 const MAX_WORK: usize = 128;
-/// Leaving endpoints told in a heartbeat.
+/// Maximum number of leaving endpoints in a heartbeat.
 const MAX_LEAVING: usize = 256;
-/// Time after which others of the requests under which endpoints ended have their turn: about what two
-/// heartbeats are apart.
-const TURN: Duration = Duration::from_millis(400);
+/// Time for which the same suspect requests are included before others take their turn: about the
+/// interval between two heartbeats.
+const SUSPECT_TURN: Duration = Duration::from_millis(400);
 
-/// What this instance tells of itself.
+/// Status that this instance reports to its peers.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct SelfStatus {
     zone: ZoneId,
@@ -47,30 +48,32 @@
     pub(super) draining: bool,
     leaving: Vec<String>,
     version: u64,
-    /// What this instance let pass of the limits in use.
+    /// Use of account limits admitted by this instance.
     pub(super) used: Vec<AccountUse>,
-    /// What it knows of roll-outs.
+    /// State of roll-outs.
     pub(super) rollouts: RolloutReport,
-    /// What endpoints did lately for accounts, by what this instance placed for its group.
+    /// Recent work of endpoints for client accounts on requests that this instance placed for its
+    /// group.
     pub(super) work: Vec<AccountWork>,
-    /// Requests under which endpoints ended, as far as they are told with each heartbeat.
+    /// Requests during which endpoints exited, as many as are included in each heartbeat.
     suspects: Vec<SuspectReport>,
-    /// Those that others saw, which leads tell on.
-    heard_suspects: Vec<SuspectReport>,
-    /// All of those that count, for who was not heard before.
+    /// Those reported by others, which leads forward.
+    forwarded_suspects: Vec<SuspectReport>,
+    /// All of those still in effect, for a peer on first contact.
     all_suspects: Vec<SuspectReport>,
-    /// When all of this was taken.
-    taken: Time,
-    /// How often they changed, by which changes are told at once.
+    /// When this status was taken.
+    taken_at: Time,
+    /// Revision of these requests. Changes are sent at once.
     pub(super) suspected: Revision,
 }
 
 impl SelfStatus {
-    /// Takes the news from the scheduler's tables.
+    /// Takes the status from the scheduler's tables.
     #[must_use]
     pub fn new(t: &Tables, now: Time) -> Self {
-        let told = |(pool, rate)| PoolDemand { pool, rate };
-        // What the configuration lost goes last: others are about to lose it as well.
+        let demand_of = |(pool, rate)| PoolDemand { pool, rate };
+        // Endpoints removed from the configuration come last, since the other instances are about
+        // to remove them as well.
         let rows = |present: bool| {
             let rows = t.endpoints.iter().map(|(_, e)| e);
             rows.filter(move |e| e.present == present && !e.is_replaced())
@@ -84,7 +87,7 @@
             demand: pool_demand(t)
                 .into_iter()
                 .take(MAX_POOLS)
-                .map(told)
+                .map(demand_of)
                 .collect(),
             draining: t.draining,
             leaving: leaving
@@ -95,24 +98,24 @@
             used: limit_usage(t, now),
             rollouts: rollout_report(t, now),
             work: Vec::new(),
-            suspects: t.suspects.reports(now, turn_at(now)),
-            heard_suspects: t.suspects.reports_to_forward(now),
-            taken: now,
+            suspects: t.suspects.reports(now, suspect_turn(now)),
+            forwarded_suspects: t.suspects.reports_to_forward(now),
+            taken_at: now,
             all_suspects: t.suspects.all_reports(now, MAX_SUSPECTS),
             suspected: t.suspects.revision(),
         }
     }
 
-    /// Gives the same with the requests under which endpoints ended that others saw, which leads tell on.
+    /// Returns the status including the suspect requests that others reported, which leads forward.
     #[must_use]
     pub fn as_lead(&self) -> Self {
-        let heard = self.heard_suspects.iter();
-        let mut told = self.clone();
-        told.suspects.extend(heard.cloned());
-        told
+        let forwarded = self.forwarded_suspects.iter();
+        let mut status = self.clone();
+        status.suspects.extend(forwarded.cloned());
+        status
     }
 
-    /// Gives the same with all requests under which endpoints ended, for who was not heard before.
+    /// Returns the status with all suspect requests, for a peer on first contact.
     #[must_use]
     pub fn in_full(&self) -> Self {
         Self {
@@ -121,14 +124,15 @@
         }
     }
 
-    /// Adds what endpoints did lately for accounts.
+    /// Adds recent work of endpoints for client accounts.
     #[must_use]
     pub fn with_work(mut self, work: Vec<AccountWork>) -> Self {
         self.work = work;
         self
     }
 
-    /// Makes the message for instances far away, which the leads of their groups tell the rest.
+    /// Encodes a short status for instances of other groups, which receive the rest from the leads
+    /// of their groups.
     pub(super) fn short_message(&self) -> Heartbeat {
         Heartbeat {
             zone: self.zone.clone(),
@@ -139,16 +143,16 @@
         }
     }
 
-    /// Gives how far roll-outs are, by their orders.
+    /// Returns the stage of each roll-out, by its order.
     pub(super) fn stages(&self) -> Vec<(Offset, Stage)> {
-        let words = self.rollouts.statuses.iter();
-        words.map(|w| (w.order, w.stage)).collect()
+        let statuses = self.rollouts.statuses.iter();
+        statuses.map(|w| (w.order, w.stage)).collect()
     }
 
-    /// Makes the message, for the present time.
+    /// Encodes the status, with ages relative to `now`.
     #[must_use]
     pub fn message(&self, now: Time, log_next: u64) -> Heartbeat {
-        let age = now.saturating_sub(self.taken);
+        let age = now.saturating_sub(self.taken_at);
         Heartbeat {
             zone: self.zone.clone(),
             held: self.held.clone(),
@@ -162,25 +166,26 @@
     }
 }
 
-/// Gives a number that rises with time, by which suspects take turns.
-fn turn_at(now: Time) -> usize {
-    (now.as_millis() / TURN.as_millis()) as usize
+/// Returns the index of the current turn of suspect requests.
+fn suspect_turn(now: Time) -> usize {
+    (now.as_millis() / SUSPECT_TURN.as_millis()) as usize
 }
 
-/// Writes demand by pool.
+/// Encodes demand by pool.
 pub fn write_demand(demand: &[PoolDemand]) -> Vec<message::PoolDemand> {
-    let told = demand.iter().take(MAX_POOLS);
-    told.map(|d| message::PoolDemand {
-        pool: d.pool.clone(),
-        rate: d.rate,
-    })
-    .collect()
+    let pools = demand.iter().take(MAX_POOLS);
+    pools
+        .map(|d| message::PoolDemand {
+            pool: d.pool.clone(),
+            rate: d.rate,
+        })
+        .collect()
 }
 
-/// Reads demand by pool; figures that are none are left out.
+/// Decodes demand by pool; entries with invalid values are left out.
 pub fn read_demand(demand: Vec<message::PoolDemand>) -> Vec<PoolDemand> {
-    let told = demand.into_iter().take(MAX_POOLS);
-    let finite = told.filter(|d| d.rate.is_finite() && d.rate >= 0.0);
+    let pools = demand.into_iter().take(MAX_POOLS);
+    let finite = pools.filter(|d| d.rate.is_finite() && d.rate >= 0.0);
     finite
         .map(|d| PoolDemand {
             pool: d.pool,
@@ -189,24 +194,26 @@
         .collect()
 }
 
-/// Writes work of accounts.
+/// Encodes the work for accounts.
 pub fn write_work(work: &[AccountWork]) -> Vec<message::AccountWork> {
-    let told = work.iter().take(MAX_WORK);
-    told.map(|w| message::AccountWork {
-        account: w.account.clone(),
-        pool: w.pool.clone(),
-        rank: u32::from(w.rank),
-        asked: w.asked,
-        done: w.done,
-    })
-    .collect()
+    let accounts = work.iter().take(MAX_WORK);
+    accounts
+        .map(|w| message::AccountWork {
+            account: w.account.clone(),
+            pool: w.pool.clone(),
+            rank: u32::from(w.rank),
+            asked: w.asked,
+            done: w.done,
+        })
+        .collect()
 }
 
-/// Reads work of accounts; figures that are none are left out.
+/// Decodes the work for accounts; entries with invalid values are left out.
 pub fn read_work(work: Vec<message::AccountWork>) -> Vec<AccountWork> {
-    let told = work.into_iter().take(MAX_WORK);
-    let sane = |secs: f64| secs.is_finite() && secs >= 0.0;
-    told.filter(|w| sane(w.asked) && sane(w.done))
+    let accounts = work.into_iter().take(MAX_WORK);
+    let is_valid = |secs: f64| secs.is_finite() && secs >= 0.0;
+    accounts
+        .filter(|w| is_valid(w.asked) && is_valid(w.done))
         .map(|w| AccountWork {
             account: w.account,
             pool: w.pool,
@@ -217,22 +224,23 @@
         .collect()
 }
 
-/// Makes a peer's news from its message, cut to what is bounded.
+/// Decodes a peer's status, truncated to fixed limits.
 #[must_use]
-pub fn peer_news(name: &str, beat: Heartbeat) -> PeerUpdate {
+pub fn read_status(name: &str, heartbeat: Heartbeat) -> PeerUpdate {
     PeerUpdate {
         name: name.to_owned(),
-        zone: beat.zone,
-        held: beat.held.into_iter().take(MAX_RANKS).collect(),
-        demand: read_demand(beat.demand),
-        draining: beat.draining,
-        leaving: beat.leaving.into_iter().take(MAX_LEAVING).collect(),
-        suspects: read_suspects(beat.suspects),
+        zone: heartbeat.zone,
+        held: heartbeat.held.into_iter().take(MAX_RANKS).collect(),
+        demand: read_demand(heartbeat.demand),
+        draining: heartbeat.draining,
+        leaving: heartbeat.leaving.into_iter().take(MAX_LEAVING).collect(),
+        suspects: read_suspects(heartbeat.suspects),
         ..PeerUpdate::default()
     }
 }
 
-/// Keeps a beating link to every instance of the list, until `stop` turns true.
+/// Keeps a connection that carries heartbeats to every instance of the list, until `stop` turns
+/// true.
 pub async fn run_heartbeats(
     dialer: Dialer,
     self_status: watch::Receiver<SelfStatus>,
@@ -282,31 +290,31 @@
     clock: Clock,
     log: Logger,
 ) {
-    let mut backoff = Backoff::new(pause, LONGEST_PAUSE);
+    let mut backoff = Backoff::new(pause, MAX_RETRY_DELAY);
     loop {
         match dialer.dial(&peer.0, peer.1).await {
             Ok(mut link) => {
                 backoff.reset();
                 let mut ticks = interval(pause);
                 ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-                // The first word on a link makes up for what was missed without it.
+                // The first heartbeat of a connection includes what the peer missed without one.
                 let mut first = true;
                 loop {
                     ticks.tick().await;
-                    let told = if std::mem::take(&mut first) {
+                    let status = if std::mem::take(&mut first) {
                         self_status.borrow().in_full()
                     } else {
                         self_status.borrow().clone()
                     };
                     let log_next = dialer.hub().lock().state.next;
-                    let beat = told.message(clock.now(), log_next);
-                    let sent = timeout(HANDSHAKE_TIME, link.send(Body::Heartbeat(beat))).await;
+                    let heartbeat = status.message(clock.now(), log_next);
+                    let sent = timeout(HANDSHAKE_TIME, link.send(Body::Heartbeat(heartbeat))).await;
                     if !matches!(sent, Ok(Ok(()))) {
                         break;
                     }
                 }
             }
-            Err(e) => debug!(log, "peer not reached"; "peer" => &peer.0,
+            Err(e) => debug!(log, "could not connect to peer"; "peer" => &peer.0,
                 "error" => e.source.to_string()),
         }
         tokio::time::sleep(backoff.next_pause()).await;
--- a/crates/firdock-node/src/peer/link.rs
+++ b/crates/firdock-node/src/peer/link.rs
@@ -1,4 +1,4 @@
-//! A connection between two instances that have proved to each other that they know the key.
+//! Mutually authenticated connections between two instances that share the key.
 
 use std::net::SocketAddr;
 
@@ -15,113 +15,116 @@
 
 use super::{HANDSHAKE_TIME, MAX_FRAME_BYTES};
 
-/// Largest frame before the peer has proved who it is.
-const MAX_GREETING_BYTES: usize = 1 << 10;
+/// Maximum size of a frame before the peer is authenticated.
+const MAX_HANDSHAKE_FRAME_BYTES: usize = 1 << 10;
 
-/// Why a link did not come about or broke.
+/// Why a link could not be established or failed.
 #[derive(Debug, Snafu)]
 #[non_exhaustive]
 pub enum LinkError {
-    /// No connection came about.
-    #[snafu(display("connect to {address}"))]
+    /// The connection could not be established.
+    #[snafu(display("could not connect to {address}"))]
     Connect {
         /// Address.
         address: SocketAddr,
         /// Cause.
         source: std::io::Error,
     },
-    /// The bytes were no messages, or the connection broke.
-    #[snafu(display("link broke"), context(false))]
+    /// The connection failed, or received data could not be decoded.
+    #[snafu(display("connection failed"), context(false))]
     Wire {
         /// Cause.
         source: WireError,
     },
-    /// The other side closed the connection.
-    #[snafu(display("link closed"))]
+    /// The peer closed the connection.
+    #[snafu(display("connection closed by the peer"))]
     Closed,
-    /// The handshake, or a message that was due, took too long.
-    #[snafu(display("handshake or message took too long"))]
-    TooSlow,
-    /// The other side is no peer: a stranger, or one with another key, name or protocol.
-    #[snafu(display("not a peer: {why}"))]
-    Stranger {
-        /// What was wrong.
-        why: &'static str,
+    /// The handshake or an expected message timed out.
+    #[snafu(display("handshake or message timed out"))]
+    TimedOut,
+    /// The other side is no known peer, failed authentication, has a different protocol version, or
+    /// sent an unexpected or malformed message.
+    #[snafu(display("peer rejected: {reason}"))]
+    Rejected {
+        /// Reason.
+        reason: &'static str,
     },
 }
 
-/// A link to a known peer.
+/// A link to an authenticated peer.
 #[derive(Debug)]
 pub struct Link {
-    /// Name that the peer proved.
+    /// Authenticated name of the peer.
     pub peer: InstanceId,
     framed: Framed<TcpStream, FrameCodec>,
 }
 
 impl Link {
-    /// Connects to a peer and proves each side to the other.
+    /// Connects to a peer, with mutual authentication.
     ///
     /// # Errors
     ///
-    /// Fails if the peer is not reached or is not who it should be; nothing was asked of it then.
+    /// Fails if the peer cannot be reached or authenticated; no request was sent to it then.
     pub async fn dial(
         address: SocketAddr,
-        me: &str,
+        own_name: &str,
         peer: &str,
         key: &[u8],
     ) -> Result<Self, LinkError> {
-        let dialing = async {
+        let connect = async {
             let stream = TcpStream::connect(address)
                 .await
                 .context(ConnectSnafu { address })?;
-            greet(stream, me, peer, key).await
+            handshake_as_dialer(stream, own_name, peer, key).await
         };
-        timeout(HANDSHAKE_TIME, dialing)
+        timeout(HANDSHAKE_TIME, connect)
             .await
-            .unwrap_or_else(|_| TooSlowSnafu.fail())
+            .unwrap_or_else(|_| TimedOutSnafu.fail())
     }
 
-    /// Takes a connection and proves each side to the other.
+    /// Accepts a connection, with mutual authentication.
     ///
     /// # Errors
     ///
-    /// Fails if the other side is a stranger or too slow.
+    /// Fails if the other side cannot be authenticated or the handshake times out.
     pub async fn accept(
         stream: TcpStream,
-        me: &str,
+        own_name: &str,
         key: &[u8],
-        known: impl Fn(&str) -> bool,
+        is_listed: impl Fn(&str) -> bool,
     ) -> Result<Self, LinkError> {
-        let accepting = welcome(stream, me, key, known);
+        let accepting = handshake_as_acceptor(stream, own_name, key, is_listed);
         timeout(HANDSHAKE_TIME, accepting)
             .await
-            .unwrap_or_else(|_| TooSlowSnafu.fail())
+            .unwrap_or_else(|_| TimedOutSnafu.fail())
     }
 
     /// Sends a message.
     ///
     /// # Errors
     ///
-    /// Fails if the link broke.
+    /// Returns an error if the connection fails.
     pub async fn send(&mut self, body: Body) -> Result<(), LinkError> {
         Ok(self.framed.send(body).await?)
     }
 
-    /// Waits for a message; `None` if the peer closed the link.
+    /// Receives a message; `None` if the peer closed the connection.
     ///
     /// # Errors
     ///
-    /// Fails if the link broke or what came is no message.
+    /// Returns an error if the connection fails or the message cannot be decoded.
     pub async fn receive(&mut self) -> Result<Option<Body>, LinkError> {
         Ok(self.framed.next().await.transpose()?)
     }
 
-    fn proved(peer: &str, greeting: Framed<TcpStream, FrameCodec>) -> Self {
-        let parts = greeting.into_parts();
-        // A first message may have come with the proof; from parts, it is decoded at once.
-        let mut proved = FramedParts::new::<Body>(parts.io, FrameCodec::new(MAX_FRAME_BYTES));
-        proved.read_buf = parts.read_buf;
-        let framed = Framed::from_parts(proved);
+    fn authenticated(peer: &str, handshake: Framed<TcpStream, FrameCodec>) -> Self {
+        let parts = handshake.into_parts();
+        // A first message may have been received together with the proof. Building the codec from
+        // its parts decodes buffered data at once.
+        let mut authenticated =
+            FramedParts::new::<Body>(parts.io, FrameCodec::new(MAX_FRAME_BYTES));
+        authenticated.read_buf = parts.read_buf;
+        let framed = Framed::from_parts(authenticated);
         Self {
             peer: peer.to_owned(),
             framed,
@@ -135,82 +138,102 @@
     bytes
 }
 
-async fn greet(stream: TcpStream, me: &str, peer: &str, key: &[u8]) -> Result<Link, LinkError> {
+async fn handshake_as_dialer(
+    stream: TcpStream,
+    own_name: &str,
+    peer: &str,
+    key: &[u8],
+) -> Result<Link, LinkError> {
     let _ = stream.set_nodelay(true);
-    let mut framed = Framed::new(stream, FrameCodec::new(MAX_GREETING_BYTES));
-    let mine = nonce();
+    let mut framed = Framed::new(stream, FrameCodec::new(MAX_HANDSHAKE_FRAME_BYTES));
+    let own_nonce = nonce();
     let hello = Hello {
         protocol: PROTOCOL,
-        instance: me.to_owned(),
-        nonce: mine.clone(),
+        instance: own_name.to_owned(),
+        nonce: own_nonce.clone(),
     };
     framed.send(Body::Hello(hello)).await?;
-    let Some(Body::Welcome(theirs)) = framed.next().await.transpose()? else {
-        return StrangerSnafu { why: "no welcome" }.fail();
+    let Some(Body::Welcome(welcome)) = framed.next().await.transpose()? else {
+        return RejectedSnafu {
+            reason: "no welcome message received",
+        }
+        .fail();
     };
-    if theirs.protocol != PROTOCOL || theirs.instance != peer {
-        return StrangerSnafu {
-            why: "another protocol or name",
+    if welcome.protocol != PROTOCOL || welcome.instance != peer {
+        return RejectedSnafu {
+            reason: "different protocol version or name",
         }
         .fail();
     }
     let parties = Parties {
-        dialer: me,
-        dialer_nonce: &mine,
+        dialer: own_name,
+        dialer_nonce: &own_nonce,
         acceptor: peer,
-        acceptor_nonce: &theirs.nonce,
+        acceptor_nonce: &welcome.nonce,
     };
-    if !auth::check(key, Side::Acceptor, &parties, &theirs.proof) {
-        return StrangerSnafu { why: "another key" }.fail();
+    if !auth::check(key, Side::Acceptor, &parties, &welcome.proof) {
+        return RejectedSnafu {
+            reason: "different key",
+        }
+        .fail();
     }
     let proof = auth::prove(key, Side::Dialer, &parties);
     framed.send(Body::Proof(Proof { proof })).await?;
-    Ok(Link::proved(peer, framed))
+    Ok(Link::authenticated(peer, framed))
 }
 
-async fn welcome(
+async fn handshake_as_acceptor(
     stream: TcpStream,
-    me: &str,
+    own_name: &str,
     key: &[u8],
-    known: impl Fn(&str) -> bool,
+    is_listed: impl Fn(&str) -> bool,
 ) -> Result<Link, LinkError> {
     let _ = stream.set_nodelay(true);
-    let mut framed = Framed::new(stream, FrameCodec::new(MAX_GREETING_BYTES));
+    let mut framed = Framed::new(stream, FrameCodec::new(MAX_HANDSHAKE_FRAME_BYTES));
     let Some(Body::Hello(hello)) = framed.next().await.transpose()? else {
-        return StrangerSnafu { why: "no hello" }.fail();
+        return RejectedSnafu {
+            reason: "no hello message received",
+        }
+        .fail();
     };
     if hello.protocol != PROTOCOL {
-        return StrangerSnafu {
-            why: "another protocol",
+        return RejectedSnafu {
+            reason: "different protocol version",
         }
         .fail();
     }
-    let mine = nonce();
+    let own_nonce = nonce();
     let parties = Parties {
         dialer: &hello.instance,
         dialer_nonce: &hello.nonce,
-        acceptor: me,
-        acceptor_nonce: &mine,
+        acceptor: own_name,
+        acceptor_nonce: &own_nonce,
     };
     let proof = auth::prove(key, Side::Acceptor, &parties);
     let answer = Welcome {
         protocol: PROTOCOL,
-        instance: me.to_owned(),
-        nonce: mine.clone(),
+        instance: own_name.to_owned(),
+        nonce: own_nonce.clone(),
         proof,
     };
     framed.send(Body::Welcome(answer)).await?;
-    let Some(Body::Proof(theirs)) = framed.next().await.transpose()? else {
-        return StrangerSnafu { why: "no proof" }.fail();
+    let Some(Body::Proof(peer_proof)) = framed.next().await.transpose()? else {
+        return RejectedSnafu {
+            reason: "no proof received",
+        }
+        .fail();
     };
-    if !auth::check(key, Side::Dialer, &parties, &theirs.proof) {
-        return StrangerSnafu { why: "another key" }.fail();
+    if !auth::check(key, Side::Dialer, &parties, &peer_proof.proof) {
+        return RejectedSnafu {
+            reason: "different key",
+        }
+        .fail();
     }
-    if !known(&hello.instance) {
-        return StrangerSnafu {
-            why: "not in the instance list",
+    if !is_listed(&hello.instance) {
+        return RejectedSnafu {
+            reason: "not in the instance list",
         }
         .fail();
     }
-    Ok(Link::proved(&hello.instance, framed))
+    Ok(Link::authenticated(&hello.instance, framed))
 }
--- a/crates/firdock-node/src/peer/parts.rs
+++ b/crates/firdock-node/src/peer/parts.rs
@@ -1,7 +1,9 @@
-//! Answers that are too long for one datagram: they go in parts, and one that is lost is asked for alone.
+//! Splitting of replies that exceed one datagram into parts; a lost part is queried again by
+//! itself.
 //!
-//! What a site knows grows with its endpoints, routes and accounts. If an answer had to fit a datagram,
-//! each instance of a large site would read the store for itself at each start (`docs/design/sharing.md`).
+//! The shared content grows with a site's endpoints, routes and accounts. If a reply had to fit one
+//! datagram, each instance of a large site would read the store itself at each start
+//! (`docs/design/sharing.md`).
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,35 +12,36 @@
 use firdock_policy::Time;
 use firdock_wire::message::StateAnswer;
 
-/// Bytes of a state that go in one datagram, with room for the rest of the answer.
+/// Size of a part, which leaves room in a datagram for the other fields of the reply.
 pub const PART_BYTES: usize = 48 << 10;
-/// Most parts of a state, 3 MB in all; what is longer is read from the store.
+/// Maximum number of parts, 3 MB in total. Larger content is read from the store.
 const MAX_PARTS: usize = 64;
-/// Answers that are put together at one time: those of the few that are asked at a start.
-const MAX_PARTIAL: usize = 4;
-/// Silence after which the parts of an answer are given up: many times what sending all of it takes.
-const GIVE_UP_AFTER: Duration = Duration::from_secs(10);
+/// Maximum number of replies reassembled at a time; only the few seeds queried at a start send any.
+const MAX_PARTIAL_REPLIES: usize = 4;
+/// Time without new parts after which an incomplete reply is dropped: many times what sending all
+/// of it takes.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Number of a state that was made, among those of the process that made it.
+/// ID of a state, unique within the process that built it.
 pub type StateId = u64;
 
-/// What lacks of an answer.
+/// Missing parts of a reply.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct MissingParts {
-    /// The state that the answer tells.
+    /// State that the reply carries.
     pub state: StateId,
-    /// Its parts that did not come, by their numbers.
+    /// Indexes of the missing parts.
     pub parts: Vec<u32>,
 }
 
-/// Gives the number of parts in which a state goes; `None` if it is too long to be told at all.
+/// Returns the number of parts for a state of `bytes` bytes; `None` if it is too large to be sent.
 #[must_use]
 pub fn count_parts(bytes: usize) -> Option<u32> {
     let parts = bytes.div_ceil(PART_BYTES).max(1);
     (parts <= MAX_PARTS).then_some(parts as u32)
 }
 
-/// Gives one part of a state.
+/// Returns one part of a state.
 #[must_use]
 pub fn state_part(state: &[u8], part: u32) -> &[u8] {
     let start = (part as usize * PART_BYTES).min(state.len());
@@ -46,92 +49,93 @@
     &state[start..end]
 }
 
-/// An answer of which parts came.
+/// An incomplete reply.
 #[derive(Debug)]
-struct Partial {
+struct PartialReply {
     state: StateId,
     incarnation: Vec<u8>,
     parts: Vec<Option<Vec<u8>>>,
-    heard: Time,
+    last_received: Time,
 }
 
-impl Partial {
-    fn new(now: Time, told: &StateAnswer) -> Self {
+impl PartialReply {
+    fn new(now: Time, reply: &StateAnswer) -> Self {
         Self {
-            state: told.state_id,
-            incarnation: told.incarnation.clone(),
-            parts: vec![None; told.parts as usize],
-            heard: now,
+            state: reply.state_id,
+            incarnation: reply.incarnation.clone(),
+            parts: vec![None; reply.parts as usize],
+            last_received: now,
         }
     }
 
-    fn is_of(&self, told: &StateAnswer) -> bool {
-        self.state == told.state_id
-            && self.incarnation == told.incarnation
-            && self.parts.len() == told.parts as usize
+    fn matches(&self, reply: &StateAnswer) -> bool {
+        self.state == reply.state_id
+            && self.incarnation == reply.incarnation
+            && self.parts.len() == reply.parts as usize
     }
 
-    /// Gives the whole state once no part lacks.
-    fn whole(&self) -> Option<Vec<u8>> {
+    /// Returns the complete state, once no part is missing.
+    fn complete(&self) -> Option<Vec<u8>> {
         let parts: Option<Vec<&[u8]>> = self.parts.iter().map(Option::as_deref).collect();
         parts.map(|parts| parts.concat())
     }
 }
 
-/// Why a part is not taken.
+/// The part does not belong to a valid reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InvalidPart;
 
-/// The answers of which parts came, by who tells them.
+/// Incomplete replies, by their sender.
 #[derive(Debug, Default)]
 pub struct PartialReplies {
-    by_teller: BTreeMap<SocketAddr, Partial>,
+    by_sender: BTreeMap<SocketAddr, PartialReply>,
 }
 
 impl PartialReplies {
-    /// Takes an answer or a part of one; gives the whole answer once no part lacks.
+    /// Adds a part of a reply. Returns the complete reply once no part is missing.
     ///
-    /// Parts of another state than before, which the teller made anew, replace what came of that.
+    /// A part of a different state replaces the parts received so far, since the sender has built
+    /// the state anew.
     ///
     /// # Errors
     ///
-    /// Fails for a part that can be none of the answer's.
-    pub fn take(
+    /// Fails if the index or the number of parts is invalid.
+    pub fn add(
         &mut self,
         now: Time,
         from: SocketAddr,
-        told: StateAnswer,
+        reply: StateAnswer,
     ) -> Result<Option<StateAnswer>, InvalidPart> {
-        if told.parts <= 1 {
-            return Ok(Some(told));
+        if reply.parts <= 1 {
+            return Ok(Some(reply));
         }
-        if told.parts as usize > MAX_PARTS || told.part >= told.parts {
+        if reply.parts as usize > MAX_PARTS || reply.part >= reply.parts {
             return Err(InvalidPart);
         }
-        self.by_teller
-            .retain(|_, partial| partial.heard + GIVE_UP_AFTER > now);
-        self.make_room(from);
+        self.by_sender
+            .retain(|_, partial| partial.last_received + REPLY_TIMEOUT > now);
+        self.evict_if_full(from);
         let partial = self
-            .by_teller
+            .by_sender
             .entry(from)
-            .or_insert_with(|| Partial::new(now, &told));
-        if !partial.is_of(&told) {
-            *partial = Partial::new(now, &told);
+            .or_insert_with(|| PartialReply::new(now, &reply));
+        if !partial.matches(&reply) {
+            *partial = PartialReply::new(now, &reply);
         }
-        partial.heard = now;
-        let (part, state) = (told.part as usize, told.state.clone());
+        partial.last_received = now;
+        let (part, state) = (reply.part as usize, reply.state.clone());
         partial.parts[part] = Some(state);
-        let Some(state) = partial.whole() else {
+        let Some(state) = partial.complete() else {
             return Ok(None);
         };
-        self.by_teller.remove(&from);
-        Ok(Some(StateAnswer { state, ..told }))
+        self.by_sender.remove(&from);
+        Ok(Some(StateAnswer { state, ..reply }))
     }
 
-    /// Gives what lacks of the answer of one that is to be asked again; `None` where nothing came of it.
+    /// Returns the missing parts of a peer's reply; `None` if no part of it was received.
     #[must_use]
     pub fn missing(&self, from: SocketAddr) -> Option<MissingParts> {
-        let partial = self.by_teller.get(&from)?;
+        let partial = self.by_sender.get(&from)?;
         let absent = partial.parts.iter().enumerate();
         let absent = absent.filter(|(_, part)| part.is_none());
         Some(MissingParts {
@@ -140,14 +144,14 @@
         })
     }
 
-    /// Drops the answer that was not heard of for longest, where there is no room for one more.
-    fn make_room(&mut self, from: SocketAddr) {
-        if self.by_teller.len() < MAX_PARTIAL || self.by_teller.contains_key(&from) {
+    /// Drops the reply whose last part is the oldest if there is no capacity for another one.
+    fn evict_if_full(&mut self, from: SocketAddr) {
+        if self.by_sender.len() < MAX_PARTIAL_REPLIES || self.by_sender.contains_key(&from) {
             return;
         }
-        let oldest = self.by_teller.iter().min_by_key(|(_, p)| p.heard);
+        let oldest = self.by_sender.iter().min_by_key(|(_, p)| p.last_received);
         if let Some(oldest) = oldest.map(|(at, _)| *at) {
-            self.by_teller.remove(&oldest);
+            self.by_sender.remove(&oldest);
         }
     }
 }
--- a/crates/firdock-node/src/peer/reads/state.rs
+++ b/crates/firdock-node/src/peer/reads/state.rs
@@ -1,4 +1,4 @@
-//! What an instance knows of the platform's store and from whom, and what is due by that.
+//! What an instance knows of the platform's store, and what is due because of that.
 
 use std::time::Duration;
 
@@ -6,17 +6,18 @@
 
 use super::ReadState;
 use super::clocks::PeerClocks;
-use super::due::{DueReads, LastRead, QUEUE_PATIENCE, TopicAge, start_by};
-use crate::peer::book::ReadTurn;
+use super::schedule::{DELAYED_REPLY_TIMEOUT, DueReads, LastRead, TopicAge, start_deadline};
+use crate::peer::directory::ReadTurn;
 use crate::peer::topic::{Topic, TopicRecords, TopicSnapshot};
 
-/// Time in which no instance read the list of endpoints that counts as an outage of it: longer
-/// than an instance waits for its peers' words, shorter than entries live without being renewed.
-const OUTAGE: Duration = Duration::from_millis(2_200);
-/// Least time between two questions for what a peer has newer: its answer takes a few milliseconds,
-/// and comes to all that ask at once within some hundred.
-const ASK_PAUSE: Duration = Duration::from_millis(150);
-/// What is known of the topics, as it stands in the store.
+/// Time without any instance reading the list of endpoints that counts as an outage: longer than an
+/// instance waits for its peers' reports, shorter than the lifetime of entries that are not
+/// renewed.
+const OUTAGE_AFTER: Duration = Duration::from_millis(2_200);
+/// Minimum time between two queries for newer content. A reply takes a few milliseconds; if all
+/// instances query at once, the last reply arrives within some hundred milliseconds.
+const QUERY_INTERVAL: Duration = Duration::from_millis(150);
+/// Snapshots of the topics.
 #[derive(Debug, Default)]
 pub(super) struct Snapshots {
     config: Option<TopicSnapshot>,
@@ -32,71 +33,74 @@
     }
 }
 
-/// What an instance knows, and what follows from it.
+/// State behind [`SharedReads`](super::SharedReads).
 #[derive(Debug, Default)]
-pub(super) struct Inner {
+pub(super) struct SharedState {
     pub(super) own: ReadState,
     pub(super) read_at: Time,
-    /// When the last read failed, if it did, and until when nothing is read again.
+    /// Time of the last read if it failed, and until when the store is not read again.
     pub(super) failed_at: Option<Time>,
-    pub(super) held_until: Time,
-    /// Whether peers are asked before the store is, at the start.
+    pub(super) paused_until: Time,
+    /// Whether peers are queried at start before the store is read.
     pub(super) asks_peers_first: bool,
-    /// Whether what is known of the store is so long that it comes from the own zone at the start.
+    /// Whether the content is so large that it is queried from the own zone at start.
     pub(super) large: bool,
-    /// When a peer that was asked at the start said that many had asked before.
-    pub(super) queued_at: Option<Time>,
-    /// When the instance began to look for what is due.
+    /// When a peer queried at start announced a delayed reply.
+    pub(super) delay_announced_at: Option<Time>,
+    /// When the instance first checked what is due.
     pub(super) started: Option<Time>,
-    /// When a peer was last asked for what it has newer.
-    pub(super) asked_at: Time,
-    pub(super) config_news: Option<Time>,
-    pub(super) endpoints_news: Option<Time>,
-    /// What peers told, to be taken.
-    pub(super) told: Vec<TopicRecords>,
+    /// When a peer was last queried for newer content.
+    pub(super) queried_at: Time,
+    pub(super) config_newer_since: Option<Time>,
+    pub(super) endpoints_newer_since: Option<Time>,
+    /// Records received from peers, to be applied.
+    pub(super) peer_records: Vec<TopicRecords>,
     pub(super) snapshots: Snapshots,
     pub(super) clocks: PeerClocks,
 }
 
-impl Inner {
+impl SharedState {
     pub(super) fn steady_since(&self, at: Time) -> Time {
         let first = self.own.endpoints_at == Time::ZERO;
-        if first || self.own.endpoints_at + OUTAGE < at {
+        if first || self.own.endpoints_at + OUTAGE_AFTER < at {
             at
         } else {
             self.own.steady_since
         }
     }
 
-    /// Takes a peer's word on the last outage, by times of the own clock.
+    /// Merges a peer's report on the last outage, with times converted to the local clock.
     ///
-    /// An instance that was cut off alone saw no read for as long, while the list was read by others
-    /// and endpoints renewed their entries. What differs by less than an outage is the clocks' doing.
-    pub(super) fn hear_steady(&mut self, told: ReadState) {
+    /// An instance that was disconnected by itself saw no read for the length of an outage, while
+    /// others read the list and endpoints renewed their entries. Differences shorter than an outage
+    /// come from the conversion of clocks.
+    pub(super) fn merge_steady_since(&mut self, reported: ReadState) {
         let own = self.own.steady_since;
-        let known = told.steady_since > Time::ZERO;
-        let spans = known && told.steady_since + OUTAGE < own && own <= told.endpoints_at + OUTAGE;
+        let known = reported.steady_since > Time::ZERO;
+        let spans = known
+            && reported.steady_since + OUTAGE_AFTER < own
+            && own <= reported.endpoints_at + OUTAGE_AFTER;
         if spans {
-            self.own.steady_since = told.steady_since;
+            self.own.steady_since = reported.steady_since;
         }
     }
 
-    /// Gives what is due now, and when to look again if nothing is.
+    /// Returns what is due now, and when to check again if nothing is.
     pub(super) fn due(
         &mut self,
         now: Time,
         pause: Duration,
         read_turn: ReadTurn,
     ) -> (DueReads, Time) {
-        if !self.told.is_empty() {
+        if !self.peer_records.is_empty() {
             return (DueReads::FROM_PEERS, now);
         }
-        if now < self.held_until {
-            return (DueReads::default(), self.held_until);
+        if now < self.paused_until {
+            return (DueReads::default(), self.paused_until);
         }
         let started = *self.started.get_or_insert(now);
         if self.own.config_at == Time::ZERO {
-            let by = self.start_by(started);
+            let by = self.start_deadline(started);
             let due = if by <= now {
                 DueReads::START
             } else {
@@ -118,84 +122,86 @@
         (due, config_by.min(endpoints_by))
     }
 
-    /// Gives until when an instance that began at `started` waits for its peers' answer.
-    pub(super) fn start_by(&self, started: Time) -> Time {
-        let by = start_by(started, self.asks_peers_first, self.large);
-        by.max(self.queued_until().unwrap_or(by))
+    /// Returns until when an instance started at `started` waits for a reply.
+    pub(super) fn start_deadline(&self, started: Time) -> Time {
+        let by = start_deadline(started, self.asks_peers_first, self.large);
+        by.max(self.delayed_until().unwrap_or(by))
     }
 
-    /// Gives until when it waits for the answer of a peer that many asked before.
-    pub(super) fn queued_until(&self) -> Option<Time> {
-        self.queued_at.map(|at| at + QUEUE_PATIENCE)
+    /// Returns until when a delayed reply is awaited.
+    pub(super) fn delayed_until(&self) -> Option<Time> {
+        self.delay_announced_at.map(|at| at + DELAYED_REPLY_TIMEOUT)
     }
 
     fn config_age(&self) -> TopicAge {
         TopicAge {
             fresh_at: self.own.config_at,
-            news_since: self.config_news,
+            newer_since: self.config_newer_since,
         }
     }
 
     fn endpoints_age(&self) -> TopicAge {
         TopicAge {
             fresh_at: self.own.endpoints_at,
-            news_since: self.endpoints_news,
+            newer_since: self.endpoints_newer_since,
         }
     }
 
-    /// Notes what a peer has newer; tells whether it is to be asked for that now.
-    pub(super) fn hear_news(&mut self, now: Time, told: ReadState) -> bool {
-        let config = told.version > self.own.version || told.config_next > self.own.config_next;
-        let endpoints = told.endpoints_next > self.own.endpoints_next;
+    /// Records newer content at a peer and returns whether to query it now.
+    pub(super) fn record_newer(&mut self, now: Time, reported: ReadState) -> bool {
+        let config =
+            reported.version > self.own.version || reported.config_next > self.own.config_next;
+        let endpoints = reported.endpoints_next > self.own.endpoints_next;
         if config {
-            self.config_news.get_or_insert(now);
+            self.config_newer_since.get_or_insert(now);
         }
         if endpoints {
-            self.endpoints_news.get_or_insert(now);
+            self.endpoints_newer_since.get_or_insert(now);
         }
-        let asks =
-            (config || endpoints) && self.told.is_empty() && self.asked_at + ASK_PAUSE <= now;
-        if asks {
-            self.asked_at = now;
+        let query_now = (config || endpoints)
+            && self.peer_records.is_empty()
+            && self.queried_at + QUERY_INTERVAL <= now;
+        if query_now {
+            self.queried_at = now;
         }
-        asks
+        query_now
     }
 
-    /// Takes over when a peer found what is known here to be the newest; gives that time for the
-    /// configuration, if it is later than what was known.
-    pub(super) fn confirm(&mut self, told: ReadState) -> Option<Time> {
-        let known = self.own.endpoints_at > Time::ZERO && told.endpoints_at > Time::ZERO;
-        if known && self.own.endpoints_next >= told.endpoints_next {
-            // What is known here holds all that the peer saw.
-            self.see_endpoints(told.endpoints_at);
+    /// Updates the times of the read state if a peer confirms the content known here. Returns the
+    /// time for the configuration if it is later than the known one.
+    pub(super) fn confirm(&mut self, reported: ReadState) -> Option<Time> {
+        let known = self.own.endpoints_at > Time::ZERO && reported.endpoints_at > Time::ZERO;
+        if known && self.own.endpoints_next >= reported.endpoints_next {
+            // All records that the peer knows are known here.
+            self.confirm_endpoints(reported.endpoints_at);
         }
         let same_config = self.own.config_at > Time::ZERO
-            && self.own.version == told.version
-            && self.own.config_next >= told.config_next;
-        if !same_config || told.config_at <= self.own.config_at {
+            && self.own.version == reported.version
+            && self.own.config_next >= reported.config_next;
+        if !same_config || reported.config_at <= self.own.config_at {
             return None;
         }
-        self.own.config_at = told.config_at;
-        (self.own.version > 0).then_some(told.config_at)
+        self.own.config_at = reported.config_at;
+        (self.own.version > 0).then_some(reported.config_at)
     }
 
-    /// Takes what was read or told, by times of the own clock.
-    pub(super) fn take(&mut self, reads: ReadState) {
+    /// Merges the state after a read or after applying records, with times by the local clock.
+    pub(super) fn merge_own(&mut self, reads: ReadState) {
         self.own.version = reads.version;
         self.own.config_next = reads.config_next;
         self.own.endpoints_next = reads.endpoints_next;
         if reads.config_at > Time::ZERO {
             self.own.config_at = self.own.config_at.max(reads.config_at);
-            self.config_news = None;
+            self.config_newer_since = None;
         }
         if reads.endpoints_at > Time::ZERO {
-            self.see_endpoints(reads.endpoints_at);
-            self.endpoints_news = None;
+            self.confirm_endpoints(reads.endpoints_at);
+            self.endpoints_newer_since = None;
         }
     }
 
-    /// Takes it that the list of endpoints was the newest at `at`.
-    fn see_endpoints(&mut self, at: Time) {
+    /// Records that the list of endpoints was the newest at `at`.
+    fn confirm_endpoints(&mut self, at: Time) {
         self.own.steady_since = self.steady_since(at);
         self.own.endpoints_at = self.own.endpoints_at.max(at);
     }
--- a/crates/firdock-node/src/peer/serve.rs
+++ b/crates/firdock-node/src/peer/serve.rs
@@ -1,4 +1,4 @@
-//! What an instance does for its peers: takes heartbeats and requests, and gives its state.
+//! Server for peers' connections: heartbeats, request hand-over, key transfer and state transfer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 
 use super::dial::Dialer;
 use super::hand_over::{read_headers, send_part};
-use super::heartbeat::peer_news;
+use super::heartbeat::read_status;
 use super::keys::read_transfer;
 use super::link::{Link, LinkError};
 use super::state::send_state;
@@ -29,23 +29,23 @@
 use crate::input::Input;
 use crate::telemetry::TraceContext;
 
-/// Silence after which a peer's link counts as cut.
-const LINK_SILENCE: Duration = Duration::from_secs(10);
-/// Connections from peers at once.
+/// Time without messages after which a peer's connection is considered lost.
+const LINK_TIMEOUT: Duration = Duration::from_secs(10);
+/// Maximum number of concurrent connections from peers.
 const MAX_LINKS: usize = 4_096;
 
-/// What serving peers needs.
+/// Serves connections from peers.
 #[derive(Debug, Clone)]
 pub struct PeerServer {
-    /// Name, key and shared state.
+    /// Name, key and shared state of this instance.
     pub dialer: Dialer,
-    /// Way to the scheduler.
+    /// Queue of inputs to the scheduler.
     pub inputs: mpsc::Sender<Input>,
     /// Clock.
     pub clock: Clock,
     /// Logger.
     pub log: Logger,
-    /// Where answers wait for the peers that asked.
+    /// Bounds the size of answers that peers have not read yet.
     pub answer_budget: AnswerBudget,
 }
 
@@ -67,7 +67,7 @@
         };
         let server = server.clone();
         tokio::spawn(async move {
-            if let Err(e) = server.serve_one(stream).await {
+            if let Err(e) = server.serve_connection(stream).await {
                 warn!(server.log, "peer cut off"; "error" => e.to_string());
             }
             drop(slot);
@@ -76,29 +76,30 @@
 }
 
 impl PeerServer {
-    async fn serve_one(&self, stream: TcpStream) -> Result<(), LinkError> {
-        let known = |name: &str| self.dialer.hub().lock().listed_row(name).is_some();
-        let mut link = Link::accept(stream, self.dialer.me(), self.dialer.key(), known).await?;
-        match receive_soon(&mut link).await? {
-            Some(Body::Heartbeat(beat)) => self.hear(link, beat).await,
-            Some(Body::HandOver(order)) => self.take_over(link, order).await,
-            Some(Body::KeyTransfer(transfer)) => self.take_transfer(transfer).await,
+    async fn serve_connection(&self, stream: TcpStream) -> Result<(), LinkError> {
+        let is_listed = |name: &str| self.dialer.hub().lock().listed_row(name).is_some();
+        let mut link =
+            Link::accept(stream, self.dialer.own_name(), self.dialer.key(), is_listed).await?;
+        match receive_in_time(&mut link).await? {
+            Some(Body::Heartbeat(heartbeat)) => self.receive_heartbeats(link, heartbeat).await,
+            Some(Body::HandOver(order)) => self.serve_hand_over(link, order).await,
+            Some(Body::KeyTransfer(transfer)) => self.accept_transfer(transfer).await,
             Some(Body::StateRequest(_)) => {
                 let state = Arc::clone(&self.dialer.hub().lock().state);
                 send_state(&mut link, &state).await
             }
-            Some(_) => Err(LinkError::Stranger {
-                why: "unexpected message",
+            Some(_) => Err(LinkError::Rejected {
+                reason: "unexpected message",
             }),
             None => Ok(()),
         }
     }
 
-    /// Takes keys that a member transfers; closing the link shows that they were taken.
-    async fn take_transfer(&self, transfer: message::KeyTransfer) -> Result<(), LinkError> {
+    /// Accepts keys that a member transfers. Closing the connection acknowledges them.
+    async fn accept_transfer(&self, transfer: message::KeyTransfer) -> Result<(), LinkError> {
         let Some(transfer) = read_transfer(transfer) else {
-            return Err(LinkError::Stranger {
-                why: "malformed transfer",
+            return Err(LinkError::Rejected {
+                reason: "malformed transfer",
             });
         };
         let _ = self
@@ -108,62 +109,70 @@
         Ok(())
     }
 
-    /// Takes heartbeats until the link breaks.
-    async fn hear(&self, mut link: Link, first: message::Heartbeat) -> Result<(), LinkError> {
+    /// Receives heartbeats until the connection fails.
+    async fn receive_heartbeats(
+        &self,
+        mut link: Link,
+        first: message::Heartbeat,
+    ) -> Result<(), LinkError> {
         let mut next = Some(Body::Heartbeat(first));
-        while let Some(Body::Heartbeat(beat)) = next {
-            self.note(&link.peer, &beat);
-            let news = peer_news(&link.peer, beat);
+        while let Some(Body::Heartbeat(heartbeat)) = next {
+            self.record_status(&link.peer, &heartbeat);
+            let update = read_status(&link.peer, heartbeat);
             if self
                 .inputs
-                .send(Input::Event(Event::Peer(news)))
+                .send(Input::Event(Event::Peer(update)))
                 .await
                 .is_err()
             {
                 return Ok(());
             }
-            next = match receive_soon(&mut link).await {
+            next = match receive_in_time(&mut link).await {
                 Ok(body) => body,
                 Err(e) => {
-                    self.lost(&link.peer).await;
+                    self.report_lost(&link.peer).await;
                     return Err(e);
                 }
             };
         }
-        self.lost(&link.peer).await;
+        self.report_lost(&link.peer).await;
         Ok(())
     }
 
-    /// Notes a heartbeat; news of the log is read at once.
-    fn note(&self, peer: &str, beat: &message::Heartbeat) {
+    /// Records a peer's status, and wakes the log reader if the peer has read further in the log.
+    fn record_status(&self, peer: &str, heartbeat: &message::Heartbeat) {
         let status = PeerStatus {
-            zone: beat.zone.clone(),
-            version: beat.version,
-            draining: beat.draining,
+            zone: heartbeat.zone.clone(),
+            version: heartbeat.version,
+            draining: heartbeat.draining,
             heard: self.clock.now(),
         };
         let hub = self.dialer.hub();
         let behind = hub.update(|h| {
             h.note_peer(peer, status);
-            h.state.next < beat.log_next
+            h.state.next < heartbeat.log_next
         });
         if behind {
             hub.wake();
         }
     }
 
-    async fn lost(&self, peer: &InstanceId) {
+    async fn report_lost(&self, peer: &InstanceId) {
         let _ = self
             .inputs
             .send(Input::Event(Event::PeerLost(peer.clone())))
             .await;
     }
 
-    /// Serves a request that a peer hands over, and streams the answer back.
-    async fn take_over(&self, mut link: Link, order: message::HandOver) -> Result<(), LinkError> {
+    /// Serves a request that a peer hands over and streams the answer back.
+    async fn serve_hand_over(
+        &self,
+        mut link: Link,
+        order: message::HandOver,
+    ) -> Result<(), LinkError> {
         let Some((exchange, parts, tried)) = read_order(order, &self.answer_budget) else {
-            return Err(LinkError::Stranger {
-                why: "malformed request",
+            return Err(LinkError::Rejected {
+                reason: "malformed request",
             });
         };
         let id = exchange.id;
@@ -185,14 +194,14 @@
     }
 }
 
-/// Waits for a message that must come soon, since a link that was cut may not show it.
-async fn receive_soon(link: &mut Link) -> Result<Option<Body>, LinkError> {
-    timeout(LINK_SILENCE, link.receive())
+/// Receives a message that is expected soon. The timeout detects a connection that failed silently.
+async fn receive_in_time(link: &mut Link) -> Result<Option<Body>, LinkError> {
+    timeout(LINK_TIMEOUT, link.receive())
         .await
-        .unwrap_or(Err(LinkError::TooSlow))
+        .unwrap_or(Err(LinkError::TimedOut))
 }
 
-/// Streams parts back; tells whether the last one was sent.
+/// Streams the parts of an answer back. Returns whether the last one was sent.
 async fn stream_back(link: &mut Link, mut parts: AnswerReceiver) -> Result<bool, LinkError> {
     loop {
         tokio::select! {
@@ -202,7 +211,8 @@
                     return Ok(true);
                 }
             }
-            // The peer sends nothing more; whatever comes means that it gave the request up.
+            // The peer sends nothing more, so anything received, or the end of the connection,
+            // means that it abandoned the request.
             _ = link.receive() => return Ok(false),
         }
     }
