--- a/crates/firdock-node/src/driver.rs
+++ b/crates/firdock-node/src/driver.rs
@@ -164,7 +164,7 @@
                         self.take(input);
                         // What follows from inputs that came together is told together.
                         if rx.is_empty() {
-                            self.exchange_placements();
+                            self.send_placement_updates();
                         }
                     }
                     None => return,
@@ -353,7 +353,7 @@
         self.parts.metrics.publish(&t.stats, t.version, &held);
         let now = self.parts.clock.now();
         let placement = self.placement.as_ref();
-        let work = placement.map_or_else(Vec::new, |p| p.work(now));
+        let work = placement.map_or_else(Vec::new, |p| p.account_work(now));
         let self_status = SelfStatus::new(t, now).with_work(work);
         self.parts.self_status.send_replace(self_status);
         self.parts.answer_budget.maintain();
--- a/crates/firdock-node/src/driver/placement.rs
+++ b/crates/firdock-node/src/driver/placement.rs
@@ -27,10 +27,10 @@
         };
         let t = self.scheduler.tables();
         match event {
-            Event::Endpoint(news) => placement.note(t, news),
-            Event::CallerLeft(id) => placement.note_left(t, *id),
-            Event::PaceReported(told) => placement.note_pace(t, told),
-            Event::NoticeReported(told) => placement.note_notice(told),
+            Event::Endpoint(news) => placement.record_progress(t, news),
+            Event::CallerLeft(id) => placement.record_caller_left(t, *id),
+            Event::PaceReported(told) => placement.record_pace(t, told),
+            Event::NoticeReported(told) => placement.record_notice(told),
             _ => placement.observe(self.parts.clock.now(), event),
         }
     }
@@ -56,14 +56,14 @@
         };
         let events = placement.tick(self.parts.clock.now(), self.scheduler.tables());
         self.apply_all(events);
-        self.exchange_placements();
+        self.send_placement_updates();
     }
 
     /// Tells the coordinator what is new, and takes what it answers at once where it runs here.
-    pub(super) fn exchange_placements(&mut self) {
+    pub(super) fn send_placement_updates(&mut self) {
         let now = self.parts.clock.now();
         while let Some(placement) = &mut self.placement {
-            let events = placement.exchange(now, self.scheduler.tables());
+            let events = placement.send_updates(now, self.scheduler.tables());
             if events.is_empty() {
                 break;
             }
--- a/crates/firdock-node/src/placement.rs
+++ b/crates/firdock-node/src/placement.rs
@@ -1,10 +1,11 @@
-//! Placement of requests on engines by a coordinator: one instance of each group that all others ask.
+//! Placement of requests on engines by a coordinator, one instance per group.
 //!
-//! Every instance is a member of a group and may be its coordinator; the first by name that is heard
-//! is. Members tell it what waits, what runs and what became of it, and tell everything again a
-//! few times a second, so that a new coordinator knows all after one report of each. Nothing
-//! depends on there being just one: two of them at a time only fill engines' queues for a moment
-//! (`docs/design/placement.md`).
+//! Every instance is a member of a group and can act as its coordinator; the first live member in
+//! the group's order of election does (`docs/design/peers.md`). Members report waiting and running
+//! requests and their progress as changes occur, and send full reports several times a second, so
+//! that a new coordinator is complete after one report from each member. The protocol does not
+//! depend on there being a single coordinator: two at once only overfill the engines' queues for a
+//! moment (`docs/design/placement.md`).
 
 mod codec;
 mod coordinator;
@@ -35,7 +36,7 @@
 
 use crate::peer::seal;
 
-/// Way to the other instances, by datagram.
+/// Datagram link to the other instances.
 #[derive(Debug, Clone)]
 pub struct DatagramLink {
     socket: Arc<UdpSocket>,
@@ -44,31 +45,31 @@
 }
 
 impl DatagramLink {
-    /// Makes the way from an open socket and the key that all instances share.
+    /// Creates a link from an open socket and the key shared by all instances.
     #[must_use]
     pub fn new(socket: Arc<UdpSocket>, key: Arc<[u8]>, log: Logger) -> Self {
         Self { socket, key, log }
     }
 
-    /// Sends without waiting: what is lost is told again with the next whole report.
+    /// Sends without waiting. Lost datagrams are made up for by the next full report.
     fn send(&self, body: datagram::Body, address: SocketAddr) {
         let sealed = seal(&self.key, body);
         if let Err(e) = self.socket.try_send_to(&sealed, address) {
-            debug!(self.log, "placement not sent"; "to" => address.to_string(), "error" => e.to_string());
+            debug!(self.log, "placement datagram not sent"; "to" => address.to_string(), "error" => e.to_string());
         }
     }
 }
 
-/// What an instance receives about placements.
+/// A placement message received by this instance.
 #[derive(Debug)]
 pub enum PlacementInput {
-    /// A member's report, and where its answer goes.
+    /// A member's report, with the address for the reply.
     Report(Box<Report>, SocketAddr),
-    /// The coordinator's answer.
+    /// The coordinator's reply.
     Reply(Reply),
 }
 
-/// Both sides of placement at one instance.
+/// The member and coordinator sides of one instance.
 #[derive(Debug)]
 pub struct Placement {
     member: Membership,
@@ -77,7 +78,7 @@
 }
 
 impl Placement {
-    /// Makes both sides; `scheduler` holds the tables of the coordinator.
+    /// Creates both sides. `scheduler` holds the coordinator's tables.
     #[must_use]
     pub fn new(member: Membership, scheduler: Scheduler, link: DatagramLink) -> Self {
         Self {
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Takes an event that concerns the tables of the coordinator as well.
+    /// Passes on events that also concern the coordinator's tables.
     pub fn observe(&mut self, now: Time, event: &Event) {
         if matches!(
             event,
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Takes a datagram; gives the events that follow for this instance's own scheduler.
+    /// Handles a datagram and returns the events for this instance's own scheduler.
     pub fn handle_input(&mut self, now: Time, input: PlacementInput) -> Vec<Event> {
         match input {
             PlacementInput::Report(report, from) => {
@@ -113,59 +114,60 @@
         }
     }
 
-    /// Gives the coordinator's tables, to read.
+    /// Returns the coordinator's tables.
     #[must_use]
     pub fn tables(&self) -> &Tables {
         self.coordinator.tables()
     }
 
-    /// Gives what engines did lately for accounts, by what was placed here.
+    /// Returns the work that engines recently did per account, as far as it was placed here.
     #[must_use]
-    pub fn work(&self, now: Time) -> Vec<AccountWork> {
+    pub fn account_work(&self, now: Time) -> Vec<AccountWork> {
         work_report(self.coordinator.tables(), now)
     }
 
-    /// Notes that a request waits for a place.
+    /// Queues a request for placement.
     pub fn request_placement(&mut self, id: RequestId) {
         self.member.request_placement(id);
     }
 
-    /// Notes that a place is given back.
+    /// Reports that an assignment was declined.
     pub fn decline(&mut self, t: &Tables, grant: &Grant) {
         self.member.decline(t, grant);
     }
 
-    /// Notes what became of a request, while its row is still there.
-    pub fn note(&mut self, t: &Tables, event: &EndpointEvent) {
-        self.member.note(t, event);
+    /// Records the progress of a request. Must be called before its row is removed.
+    pub fn record_progress(&mut self, t: &Tables, event: &EndpointEvent) {
+        self.member.record_progress(t, event);
     }
 
-    /// Notes what an endpoint told of its pace.
-    pub fn note_pace(&mut self, t: &Tables, told: &PaceReport) {
-        self.member.note_pace(t, told);
+    /// Records an endpoint's pace.
+    pub fn record_pace(&mut self, t: &Tables, report: &PaceReport) {
+        self.member.record_pace(t, report);
     }
 
-    /// Notes what an endpoint said of itself.
-    pub fn note_notice(&mut self, told: &NoticeReport) {
-        self.member.note_notice(told);
+    /// Records an endpoint's notice about itself.
+    pub fn record_notice(&mut self, report: &NoticeReport) {
+        self.member.record_notice(report);
     }
 
-    /// Notes that a caller left, while the request's row is still there.
-    pub fn note_left(&mut self, t: &Tables, id: RequestId) {
-        self.member.note_left(t, id);
+    /// Records that a caller left. Must be called before the request's row is removed.
+    pub fn record_caller_left(&mut self, t: &Tables, id: RequestId) {
+        self.member.record_caller_left(t, id);
     }
 
-    /// Tells the coordinator what is new; gives the events that follow here, if it is this instance.
-    pub fn exchange(&mut self, now: Time, t: &Tables) -> Vec<Event> {
+    /// Sends pending changes to the coordinator. If the coordinator is this instance, returns the
+    /// resulting events.
+    pub fn send_updates(&mut self, now: Time, t: &Tables) -> Vec<Event> {
         match self.member.report_updates(now, t) {
             Some(report) => self.deliver(now, report),
             None => Vec::new(),
         }
     }
 
-    /// Tells the coordinator everything when that is due, and ends what silent members had.
+    /// Runs the timers of both sides: drops silent members and sends full reports that are due.
     pub fn tick(&mut self, now: Time, t: &Tables) -> Vec<Event> {
-        self.coordinator.follow(now, t);
+        self.coordinator.sync_tables(now, t);
         self.coordinator.tick(now);
         let mut events = self.member.select_coordinator(now, t.draining);
         if let Some(report) = self.member.report_full(now, t) {
@@ -175,11 +177,11 @@
         events
     }
 
-    /// Checks everything that must hold between the coordinator's tables.
+    /// Checks the invariants between the coordinator's tables.
     ///
     /// # Panics
     ///
-    /// Panics where an invariant is broken.
+    /// Panics if an invariant is violated.
     pub fn check_invariants(&self, now: Time) {
         self.coordinator.check_invariants(now);
     }
@@ -194,7 +196,7 @@
         Vec::new()
     }
 
-    /// Sends the coordinator's replies; gives the events of the one to this instance itself.
+    /// Sends the coordinator's replies and returns the events of the reply to this instance itself.
     fn send_replies(&mut self) -> Vec<Event> {
         let mut events = Vec::new();
         for (address, reply) in self.coordinator.replies() {
--- a/crates/firdock-node/src/placement/codec.rs
+++ b/crates/firdock-node/src/placement/codec.rs
@@ -1,4 +1,4 @@
-//! Reports and replies on the wire; whatever is malformed is left out.
+//! Wire encoding of placement reports and replies. Malformed entries are skipped.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,22 +17,24 @@
 use crate::clock::millis;
 use crate::peer::{read_incarnation, read_reason};
 
-/// Requests told of in one report: more do not fit into a datagram.
+/// Maximum number of requests in one report; more would not fit into a datagram.
 const MAX_REQUESTS: usize = 300;
 
-/// Engines whose pace is told in one report: a member has answers of fewer between two of them, and
-/// what is left out is told anew with the next answer.
+/// Maximum number of engine paces in one report. A member receives responses from fewer engines
+/// between two reports, and a pace that is left out is reported again with the engine's next
+/// response.
 const MAX_PACES: usize = 64;
 
-/// Engines whose notices are told in one report. More that leave or want nothing at a time are told by
-/// the heartbeat, or when a place there is given back.
+/// Maximum number of engine notices in one report. If more engines leave or back off at once, the
+/// coordinator learns of the rest from the heartbeat, or when an assignment to such an engine is
+/// declined.
 const MAX_NOTICES: usize = 64;
 
-/// Writes a report.
+/// Encodes a report.
 #[must_use]
 pub fn write_report(report: &Report) -> message::PlacementReport {
-    let room = MAX_REQUESTS.saturating_sub(report.waiting.len());
-    let truncated = report.waiting.len() > MAX_REQUESTS || report.running.len() > room;
+    let capacity = MAX_REQUESTS.saturating_sub(report.waiting.len());
+    let truncated = report.waiting.len() > MAX_REQUESTS || report.running.len() > capacity;
     message::PlacementReport {
         instance: report.instance.clone(),
         incarnation: report.incarnation.as_bytes().to_vec(),
@@ -48,7 +50,7 @@
         running: report
             .running
             .iter()
-            .take(room)
+            .take(capacity)
             .map(|(request, endpoint)| message::PlacementRun {
                 request: Some(write_request(request)),
                 endpoint: endpoint.clone(),
@@ -76,20 +78,20 @@
     }
 }
 
-/// Reads a report.
+/// Decodes a report.
 #[must_use]
-pub fn read_report(told: message::PlacementReport) -> Report {
-    let runs = told.running.into_iter().take(MAX_REQUESTS);
-    let waiting = told.waiting.into_iter().take(MAX_REQUESTS);
-    let updates = told.news.into_iter().take(MAX_REQUESTS);
-    let paces = told.paces.into_iter().take(MAX_PACES);
-    let notices = told.notices.into_iter().take(MAX_NOTICES);
+pub fn read_report(wire: message::PlacementReport) -> Report {
+    let runs = wire.running.into_iter().take(MAX_REQUESTS);
+    let waiting = wire.waiting.into_iter().take(MAX_REQUESTS);
+    let updates = wire.news.into_iter().take(MAX_REQUESTS);
+    let paces = wire.paces.into_iter().take(MAX_PACES);
+    let notices = wire.notices.into_iter().take(MAX_NOTICES);
     Report {
-        instance: told.instance,
-        incarnation: read_incarnation(&told.incarnation),
-        zone: told.zone,
-        number: told.number,
-        full: told.whole,
+        instance: wire.instance,
+        incarnation: read_incarnation(&wire.incarnation),
+        zone: wire.zone,
+        number: wire.number,
+        full: wire.whole,
         waiting: waiting.filter_map(read_request).collect(),
         running: runs
             .filter_map(|run| Some((read_request(run.request?)?, run.endpoint)))
@@ -97,11 +99,11 @@
         updates: updates.filter_map(|u| read_update(&u)).collect(),
         paces: paces.filter_map(read_pace).collect(),
         notices: notices.map(read_notice).collect(),
-        truncated: told.cut,
+        truncated: wire.cut,
     }
 }
 
-/// Writes a reply as the word of the instance `name`.
+/// Encodes a reply sent by the instance `name`.
 #[must_use]
 pub fn write_reply(reply: &Reply, name: &str) -> message::PlacementReply {
     let assignment = |p: &Assignment| message::Placement {
@@ -124,9 +126,9 @@
     }
 }
 
-/// Reads a reply.
+/// Decodes a reply.
 #[must_use]
-pub fn read_reply(told: message::PlacementReply) -> Reply {
+pub fn read_reply(wire: message::PlacementReply) -> Reply {
     let assignment = |p: message::Placement| {
         Some(Assignment {
             id: read_id(&p.request_id)?,
@@ -144,10 +146,10 @@
         })
     };
     Reply {
-        instance: told.instance,
-        number: told.number,
-        assignments: told.placements.into_iter().filter_map(assignment).collect(),
-        refusals: told.refusals.into_iter().filter_map(refusal).collect(),
+        instance: wire.instance,
+        number: wire.number,
+        assignments: wire.placements.into_iter().filter_map(assignment).collect(),
+        refusals: wire.refusals.into_iter().filter_map(refusal).collect(),
     }
 }
 
@@ -179,30 +181,30 @@
     }
 }
 
-fn read_request(mut told: message::PlacementRequest) -> Option<PlacementRequest> {
-    told.avoid.sort_unstable();
-    told.avoid.dedup();
+fn read_request(mut wire: message::PlacementRequest) -> Option<PlacementRequest> {
+    wire.avoid.sort_unstable();
+    wire.avoid.dedup();
     let new_request = NewRequest {
-        id: read_id(&told.request_id)?,
-        service: told.service,
-        account: told.account,
-        draw: told.draw,
-        prompt_tokens: told.prompt_tokens,
-        output_tokens: told.output_tokens,
-        age: Duration::from_millis(told.age_millis),
-        tried: told.avoid,
-        content: ContentId::from_bytes(&told.content).map(unnamed),
+        id: read_id(&wire.request_id)?,
+        service: wire.service,
+        account: wire.account,
+        draw: wire.draw,
+        prompt_tokens: wire.prompt_tokens,
+        output_tokens: wire.output_tokens,
+        age: Duration::from_millis(wire.age_millis),
+        tried: wire.avoid,
+        content: ContentId::from_bytes(&wire.content).map(content_with_id),
         ..NewRequest::default()
     };
     Some(PlacementRequest {
         new_request,
-        attempt: told.attempt,
-        remaining: told.left_millis.map(Duration::from_millis),
+        attempt: wire.attempt,
+        remaining: wire.left_millis.map(Duration::from_millis),
     })
 }
 
-/// Makes a content of which the identity alone was told.
-fn unnamed(id: ContentId) -> Arc<Content> {
+/// Builds a content of which only the ID was transmitted.
+fn content_with_id(id: ContentId) -> Arc<Content> {
     let path = "".into();
     Arc::new(Content { id, path })
 }
@@ -215,11 +217,11 @@
     }
 }
 
-fn read_pace(told: message::PlacementPace) -> Option<EndpointPace> {
+fn read_pace(wire: message::PlacementPace) -> Option<EndpointPace> {
     Some(EndpointPace {
-        endpoint: told.endpoint,
-        pace: Pace::from_hundredths(told.hundredths)?,
-        age: Duration::from_millis(told.age_millis),
+        endpoint: wire.endpoint,
+        pace: Pace::from_hundredths(wire.hundredths)?,
+        age: Duration::from_millis(wire.age_millis),
     })
 }
 
@@ -231,27 +233,27 @@
     }
 }
 
-fn read_notice(told: message::PlacementNotice) -> EndpointNotice {
-    let backoff = (told.backoff_millis > 0).then(|| Duration::from_millis(told.backoff_millis));
+fn read_notice(wire: message::PlacementNotice) -> EndpointNotice {
+    let backoff = (wire.backoff_millis > 0).then(|| Duration::from_millis(wire.backoff_millis));
     let notice = Notice {
-        leaving: told.leaving,
+        leaving: wire.leaving,
         backoff: backoff.map(|time| time.min(Notice::MAX_BACKOFF)),
     };
     EndpointNotice {
-        endpoint: told.endpoint,
+        endpoint: wire.endpoint,
         notice,
     }
 }
 
 fn write_update(update: &ProgressUpdate) -> message::PlacementNews {
-    use message::PlacementCourse as Told;
+    use message::PlacementCourse as WireProgress;
     let (course, prompt_tokens, output_tokens) = match update.progress {
-        Progress::FirstToken => (Told::Began, 0, 0),
-        Progress::Ended { prompt, output } => (Told::Ended, prompt, output),
-        Progress::Broke => (Told::Broke, 0, 0),
-        Progress::Refused => (Told::Refused, 0, 0),
-        Progress::Unreachable => (Told::Unreachable, 0, 0),
-        Progress::Dropped => (Told::Dropped, 0, 0),
+        Progress::FirstToken => (WireProgress::Began, 0, 0),
+        Progress::Ended { prompt, output } => (WireProgress::Ended, prompt, output),
+        Progress::Broke => (WireProgress::Broke, 0, 0),
+        Progress::Refused => (WireProgress::Refused, 0, 0),
+        Progress::Unreachable => (WireProgress::Unreachable, 0, 0),
+        Progress::Dropped => (WireProgress::Dropped, 0, 0),
     };
     message::PlacementNews {
         request_id: write_id(update.id),
@@ -262,23 +264,23 @@
     }
 }
 
-fn read_update(told: &message::PlacementNews) -> Option<ProgressUpdate> {
-    use message::PlacementCourse as Told;
-    let progress = match told.course() {
-        Told::Unspecified => return None,
-        Told::Began => Progress::FirstToken,
-        Told::Ended => Progress::Ended {
-            prompt: told.prompt_tokens,
-            output: told.output_tokens,
+fn read_update(wire: &message::PlacementNews) -> Option<ProgressUpdate> {
+    use message::PlacementCourse as WireProgress;
+    let progress = match wire.course() {
+        WireProgress::Unspecified => return None,
+        WireProgress::Began => Progress::FirstToken,
+        WireProgress::Ended => Progress::Ended {
+            prompt: wire.prompt_tokens,
+            output: wire.output_tokens,
         },
-        Told::Broke => Progress::Broke,
-        Told::Refused => Progress::Refused,
-        Told::Unreachable => Progress::Unreachable,
-        Told::Dropped => Progress::Dropped,
+        WireProgress::Broke => Progress::Broke,
+        WireProgress::Refused => Progress::Refused,
+        WireProgress::Unreachable => Progress::Unreachable,
+        WireProgress::Dropped => Progress::Dropped,
     };
     Some(ProgressUpdate {
-        id: read_id(&told.request_id)?,
-        attempt: told.attempt,
+        id: read_id(&wire.request_id)?,
+        attempt: wire.attempt,
         progress,
     })
 }
--- a/crates/firdock-node/src/placement/coordinator.rs
+++ b/crates/firdock-node/src/placement/coordinator.rs
@@ -1,4 +1,5 @@
-//! The coordinator's side: the scheduler of a whole group, whose dispatches are placements.
+//! The coordinator's side: runs one scheduler for the whole group and turns its dispatches into
+//! assignments.
 
 mod apply_report;
 
@@ -20,45 +21,47 @@
 
 use super::report::{Assignment, Refusal, Reply, Report};
 
-/// Silence after which a member is taken for gone, with all that it ran: five of its reports.
-const SILENCE: Duration = Duration::from_secs(1);
-/// Time in which a placement may still be on its way, so that a report that does not tell of it says
-/// nothing: more than two reports are apart.
-const ON_ITS_WAY: Duration = Duration::from_millis(400);
+/// A member that has not reported for this long is removed with all its requests. It equals five
+/// report intervals.
+const MEMBER_TIMEOUT: Duration = Duration::from_secs(1);
+/// An assignment younger than this may not have reached its member yet, so its absence from a
+/// report is ignored. It is longer than the time between two reports.
+const IN_FLIGHT_TIME: Duration = Duration::from_millis(400);
 
-/// Pause between two runs of the timed systems while nobody reports: what is silent is forgotten.
-const IDLE_PAUSE: Duration = Duration::from_secs(1);
+/// Interval of the timer systems while no member reports, so that state of silent peers still
+/// expires.
+const IDLE_TIMER_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A member that reports here.
+/// A member that reports to this coordinator.
 #[derive(Debug)]
 struct Member {
     address: Option<SocketAddr>,
     incarnation: Uuid,
-    heard: Time,
+    last_seen: Time,
     reply: Reply,
-    /// Whether there is something to reply.
+    /// Whether the reply has to be sent.
     due: bool,
 }
 
 impl Member {
-    /// Makes a member that is heard for the first time.
+    /// Creates the entry of a member from its first report.
     fn new(now: Time, report: &Report, address: Option<SocketAddr>) -> Self {
         Self {
             address,
             incarnation: report.incarnation,
-            heard: now,
+            last_seen: now,
             reply: Reply::default(),
             due: false,
         }
     }
 
-    /// Gives the next reply, to be added to; it is due then.
+    /// Returns the pending reply for additions and marks it as due.
     fn reply(&mut self) -> &mut Reply {
         self.due = true;
         &mut self.reply
     }
 
-    /// Gives the reply that is due; the next one confirms the same report.
+    /// Takes the due reply. Its successor acknowledges the same report.
     fn take_reply(&mut self) -> Reply {
         self.due = false;
         let next = Reply {
@@ -69,42 +72,42 @@
     }
 }
 
-/// Tells whether two tables try a new version with the same part of requests.
+/// Whether two tables expose a new version to the same ratio of requests.
 fn same_ratio(a: &RolloutRow, b: &RolloutRow) -> bool {
     (a.ratio - b.ratio).abs() < f64::EPSILON
 }
 
-/// Gives the time to the first token that is expected of a placed request, as exactly as it is told.
+/// Returns the predicted time to the first token of a placed request, rounded as it is on the wire.
 fn predicted(row: &RequestRow) -> Duration {
     Duration::from_millis(millis(row.predicted))
 }
 
-/// Whose a request is.
+/// The member that a request belongs to.
 #[derive(Debug)]
 struct Owner {
     member: InstanceId,
     attempt: u32,
-    /// When it was placed or first told of.
+    /// When the request was assigned or first reported.
     since: Time,
 }
 
-/// Places the requests of its members.
+/// Assigns the members' requests to engines.
 #[derive(Debug)]
 pub struct Coordinator {
     scheduler: Scheduler,
     members: BTreeMap<InstanceId, Member>,
     owners: HashMap<RequestId, Owner>,
     actions: Vec<Action>,
-    /// When the timed systems ran last.
-    timed: Time,
-    /// Configuration that is to be taken as soon as a member reports.
+    /// When the timer systems last ran.
+    timers_ran_at: Time,
+    /// Configuration to apply as soon as a member reports.
     config: Option<Event>,
-    /// Which state of the own tables' suspects was taken over.
-    suspected: Revision,
+    /// Revision of this instance's suspects that was last copied.
+    suspects_revision: Revision,
 }
 
 impl Coordinator {
-    /// Makes a coordinator without members.
+    /// Creates a coordinator without members.
     #[must_use]
     pub fn new(scheduler: Scheduler) -> Self {
         Self {
@@ -112,29 +115,29 @@
             members: BTreeMap::new(),
             owners: HashMap::new(),
             actions: Vec::new(),
-            timed: Time::ZERO,
+            timers_ran_at: Time::ZERO,
             config: None,
-            suspected: Revision::default(),
+            suspects_revision: Revision::default(),
         }
     }
 
-    /// Takes an event that concerns the tables.
+    /// Handles an event that concerns the tables.
     ///
-    /// While nobody reports, only the newest configuration is kept: to take each costs time that most
-    /// instances, which coordinate nothing, need for something else.
+    /// While no member reports, only the latest configuration is stored. Applying each one would
+    /// cost processor time on most instances, which coordinate nothing.
     pub fn observe(&mut self, now: Time, event: Event) {
         match event {
             Event::Config(_) if self.members.is_empty() => self.config = Some(event),
-            // The next one comes with the next heartbeat.
+            // Dropped: the next heartbeat brings another one.
             Event::ConfigConfirmed(_) if self.members.is_empty() => {}
             event => self.step(now, event),
         }
     }
 
-    /// Follows what this instance's own tables know that hear of it from all others: roll-outs, and
-    /// requests under which endpoints ended.
-    pub fn follow(&mut self, now: Time, own: &Tables) {
-        self.follow_suspects(now, own);
+    /// Copies roll-outs and suspect requests from this instance's own tables, which receive them
+    /// from all peers.
+    pub fn sync_tables(&mut self, now: Time, own: &Tables) {
+        self.sync_suspects(now, own);
         for row in own.rollouts.rows.values() {
             let known = self.scheduler.tables().rollouts.of(&row.declared.pool);
             if known.is_some_and(|k| k.stage < row.stage || !same_ratio(k, row)) {
@@ -143,26 +146,28 @@
         }
     }
 
-    fn follow_suspects(&mut self, now: Time, own: &Tables) {
+    fn sync_suspects(&mut self, now: Time, own: &Tables) {
         let revision = own.suspects.revision();
-        if std::mem::replace(&mut self.suspected, revision) != revision {
-            let told = own.suspects.iter().map(|s| s.report(now)).collect();
-            self.step(now, Event::SuspectsReported(told));
+        if std::mem::replace(&mut self.suspects_revision, revision) != revision {
+            let reports = own.suspects.iter().map(|s| s.report(now)).collect();
+            self.step(now, Event::SuspectsReported(reports));
         }
     }
 
-    /// Takes a member's report; `address` is where its reply goes, `None` for this instance itself.
+    /// Handles a member's report. `address` is where the reply goes; `None` stands for this
+    /// instance.
     pub fn handle_report(&mut self, now: Time, report: Report, address: Option<SocketAddr>) {
         if let Some(config) = self.config.take() {
             self.step(now, config);
         }
         self.register_member(now, &report, address);
         let name = report.instance;
-        // Before the news, which let what they free be placed anew.
+        // Applied before the updates, which free slots and so trigger new assignments.
         for notice in report.notices {
             self.apply_notice(now, &name, notice);
         }
-        // Likewise, for they are learned from by the pace that was told with them.
+        // Also applied before the updates, so that completed requests are evaluated with the pace
+        // reported along with them.
         for pace in report.paces {
             self.apply_pace(now, pace);
         }
@@ -188,15 +193,15 @@
         }
     }
 
-    /// Runs the timed systems, and drops what silent members had.
+    /// Runs the timer systems and removes silent members.
     pub fn tick(&mut self, now: Time) {
-        let due = self.timed + IDLE_PAUSE <= now;
+        let due = self.timers_ran_at + IDLE_TIMER_INTERVAL <= now;
         if self.members.is_empty() && !due {
             return;
         }
-        self.timed = now;
+        self.timers_ran_at = now;
         self.step(now, Event::Timer);
-        let silent = |m: &Member| m.heard + SILENCE <= now;
+        let silent = |m: &Member| m.last_seen + MEMBER_TIMEOUT <= now;
         let gone: Vec<InstanceId> = self
             .members
             .iter()
@@ -204,34 +209,34 @@
             .map(|(name, _)| name.clone())
             .collect();
         for name in gone {
-            self.remove(now, &name);
+            self.remove_member(now, &name);
         }
     }
 
-    /// Gives the replies that are due, with their addresses; `None` stands for this instance.
+    /// Returns the due replies with their addresses. `None` stands for this instance.
     pub fn replies(&mut self) -> Vec<(Option<SocketAddr>, Reply)> {
         let due = self.members.values_mut().filter(|m| m.due);
         due.map(|m| (m.address, m.take_reply())).collect()
     }
 
-    /// Gives what is known of an endpoint, to read.
+    /// Returns the row of an endpoint.
     #[must_use]
     pub fn endpoint(&self, name: &str) -> Option<&EndpointRow> {
         let endpoints = &self.scheduler.tables().endpoints;
         endpoints.find(name).map(|at| endpoints.get(at))
     }
 
-    /// Gives the tables, to read.
+    /// Returns the tables.
     #[must_use]
     pub fn tables(&self) -> &Tables {
         self.scheduler.tables()
     }
 
-    /// Checks everything that must hold between tables.
+    /// Checks the invariants between the tables.
     ///
     /// # Panics
     ///
-    /// Panics where an invariant is broken.
+    /// Panics if an invariant is violated.
     pub fn check_invariants(&self, now: Time) {
         self.scheduler.check_invariants(now);
     }
@@ -243,7 +248,8 @@
         }
     }
 
-    /// Turns dispatches and answers into replies; all else is for the members to do.
+    /// Turns dispatches and answers into replies. The members carry out all other actions
+    /// themselves.
     fn carry_out(&mut self, now: Time, action: Action) {
         match action {
             Action::Dispatch(dispatch) => self.place(now, &dispatch),
--- a/crates/firdock-node/src/placement/coordinator/apply_report.rs
+++ b/crates/firdock-node/src/placement/coordinator/apply_report.rs
@@ -1,4 +1,4 @@
-//! What a member's report changes: who is there, what waits, what runs, and what became of it.
+//! Applies a member's report to the coordinator's tables.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -10,13 +10,14 @@
 use firdock_policy::request::Phase;
 use firdock_policy::{Event, NewRequest, Time};
 
-use super::{Coordinator, Member, ON_ITS_WAY, Owner, predicted};
+use super::{Coordinator, IN_FLIGHT_TIME, Member, Owner, predicted};
 use crate::placement::report::{
     Assignment, EndpointNotice, EndpointPace, PlacementRequest, Progress, ProgressUpdate, Report,
 };
 
 impl Coordinator {
-    /// Notes that a member was heard; what an earlier process of it ran is over.
+    /// Registers a member or refreshes its last report time. If its process has restarted, all
+    /// requests of the earlier process are dropped.
     pub(super) fn register_member(
         &mut self,
         now: Time,
@@ -25,14 +26,14 @@
     ) {
         let known = self.members.get(&report.instance);
         if known.is_some_and(|m| m.incarnation != report.incarnation) {
-            self.remove(now, &report.instance);
+            self.remove_member(now, &report.instance);
         }
         let member = self
             .members
             .entry(report.instance.clone())
             .or_insert_with(|| Member::new(now, report, address));
         member.address = address;
-        member.heard = now;
+        member.last_seen = now;
     }
 
     pub(super) fn apply_update(&mut self, now: Time, name: &str, update: ProgressUpdate) {
@@ -56,28 +57,28 @@
         self.forget_if_ended(update.id);
     }
 
-    /// Takes what an engine told a member of its pace.
+    /// Applies an engine's pace.
     pub(super) fn apply_pace(&mut self, now: Time, pace: EndpointPace) {
-        let told = PaceReport {
+        let report = PaceReport {
             endpoint: pace.endpoint,
             pace: pace.pace,
             read: now.saturating_sub(pace.age),
         };
-        self.step(now, Event::PaceReported(told));
+        self.step(now, Event::PaceReported(report));
     }
 
-    /// Takes what an engine said of itself to a member, which alone may not send there now.
+    /// Applies an engine's notice. A back-off affects only the member that received it.
     pub(super) fn apply_notice(&mut self, now: Time, name: &str, notice: EndpointNotice) {
-        let told = NoticeReport {
+        let report = NoticeReport {
             endpoint: notice.endpoint,
             member: name.to_owned(),
             notice: notice.notice,
             read: now,
         };
-        self.step(now, Event::NoticeReported(told));
+        self.step(now, Event::NoticeReported(report));
     }
 
-    /// Takes a request that runs and was placed by another coordinator, or by the member itself.
+    /// Adopts a running request that was assigned by another coordinator, or by the member itself.
     pub(super) fn adopt_running(
         &mut self,
         now: Time,
@@ -91,22 +92,22 @@
         }
         self.drop_request(now, id);
         let attempt = request.attempt;
-        self.step(now, Event::Adopted(dated(now, request), endpoint));
+        self.step(now, Event::Adopted(to_new_request(now, request), endpoint));
         if self.scheduler.tables().requests.get(id).is_some() {
-            self.own(now, name, id, attempt);
+            self.add_owner(now, name, id, attempt);
         }
     }
 
     pub(super) fn enqueue_waiting(&mut self, now: Time, name: &str, request: PlacementRequest) {
         let id = request.new_request.id;
         if self.is_current(&id, request.attempt) {
-            self.place_again(name, id, request.attempt);
+            self.resend_assignment(name, id, request.attempt);
             return;
         }
         self.drop_request(now, id);
-        // Before it arrives, since it may be placed or refused at once.
-        self.own(now, name, id, request.attempt);
-        self.step(now, Event::Arrived(dated(now, request)));
+        // Registered before it arrives, since it may be assigned or refused immediately.
+        self.add_owner(now, name, id, request.attempt);
+        self.step(now, Event::Arrived(to_new_request(now, request)));
         self.forget_if_ended(id);
     }
 
@@ -114,8 +115,9 @@
         self.owners.get(id).is_some_and(|o| o.attempt == attempt)
     }
 
-    /// Tells a place once more that the member does not know of: its word was lost, or is on its way.
-    fn place_again(&mut self, name: &str, id: RequestId, attempt: u32) {
+    /// Repeats an assignment that the member does not know of, because it was lost or is still in
+    /// transit.
+    fn resend_assignment(&mut self, name: &str, id: RequestId, attempt: u32) {
         let t = self.scheduler.tables();
         let Some(row) = t.requests.get(id) else {
             return;
@@ -135,7 +137,7 @@
         }
     }
 
-    fn own(&mut self, now: Time, name: &str, id: RequestId, attempt: u32) {
+    fn add_owner(&mut self, now: Time, name: &str, id: RequestId, attempt: u32) {
         let owner = Owner {
             member: name.to_owned(),
             attempt,
@@ -144,10 +146,10 @@
         self.owners.insert(id, owner);
     }
 
-    /// Drops the requests of a member that its whole report does not tell of.
+    /// Drops the requests of a member that its full report does not list.
     pub(super) fn drop_unreported(&mut self, now: Time, name: &str, reported: &HashSet<RequestId>) {
         let unreported = self.owners.iter().filter(|(id, o)| {
-            o.member == name && o.since + ON_ITS_WAY <= now && !reported.contains(id)
+            o.member == name && o.since + IN_FLIGHT_TIME <= now && !reported.contains(id)
         });
         let ids: Vec<RequestId> = unreported.map(|(id, _)| *id).collect();
         for id in ids {
@@ -155,8 +157,8 @@
         }
     }
 
-    /// Removes a member with all that it had.
-    pub(super) fn remove(&mut self, now: Time, name: &str) {
+    /// Removes a member and drops all its requests.
+    pub(super) fn remove_member(&mut self, now: Time, name: &str) {
         self.members.remove(name);
         let owned = self.owners.iter().filter(|(_, o)| o.member == name);
         let ids: Vec<RequestId> = owned.map(|(id, _)| *id).collect();
@@ -178,7 +180,7 @@
     }
 }
 
-/// Gives what became of a request as news of its dispatch; `None` where it was dropped.
+/// Maps the progress of a request to an update of its dispatch, or `None` if it was dropped.
 fn dispatch_news(progress: Progress) -> Option<DispatchUpdate> {
     Some(match progress {
         Progress::Dropped => return None,
@@ -197,8 +199,8 @@
     })
 }
 
-/// Gives a request with its deadline by this instance's clock.
-fn dated(now: Time, request: PlacementRequest) -> NewRequest {
+/// Converts a placement request, with its deadline on this instance's clock.
+fn to_new_request(now: Time, request: PlacementRequest) -> NewRequest {
     NewRequest {
         deadline: request.remaining.map(|left| now + left),
         ..request.new_request
--- a/crates/firdock-node/src/placement/member.rs
+++ b/crates/firdock-node/src/placement/member.rs
@@ -1,4 +1,4 @@
-//! A member's side: whom it asks, what it tells, and when it gives the coordinator up.
+//! A member's side: selects the coordinator, reports to it, and falls back when it does not reply.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -19,26 +19,28 @@
     Reply, Report,
 };
 use super::snapshot::{
-    engine_of, next_attempt, noticed, notices, progress, running, waits, wanted,
+    awaits_assignment, endpoint_notice, endpoint_notices, engine_of, next_attempt,
+    placement_request, progress, running_request,
 };
 use crate::peer::PeerDirectory;
 
-/// Pause between two whole reports.
-const WHOLE_PAUSE: Duration = Duration::from_millis(200);
-/// The same while requests wait, whose places or words may have been lost.
-const WAITING_PAUSE: Duration = Duration::from_millis(100);
-/// Time without a reply after which a coordinator is given up: two reports or replies in a row were
-/// lost, or it stands still. It takes a third of the shortest target of a first token.
-const PATIENCE: Duration = Duration::from_millis(300);
-/// Time for which a coordinator that was given up is not asked: shorter, and one that is slow would
-/// be asked and given up by turns.
-const SHUNNED: Duration = Duration::from_secs(3);
+/// Interval between two full reports.
+const FULL_REPORT_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval between two full reports while requests wait, since their assignments or reports may
+/// have been lost.
+const WAITING_REPORT_INTERVAL: Duration = Duration::from_millis(100);
+/// A coordinator that has not replied for this long is abandoned: two reports or replies in a row
+/// were lost, or it has stalled. The wait costs a third of the shortest first-token target.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(300);
+/// Time for which an abandoned coordinator is not selected again. With a shorter time, a slow
+/// coordinator would be selected and abandoned in turns.
+const EXCLUSION_TIME: Duration = Duration::from_secs(3);
 
-/// The instance that is asked.
+/// The instance selected as coordinator.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Lead {
+struct SelectedCoordinator {
     name: InstanceId,
-    /// `None` where it is this instance.
+    /// `None` if it is this instance.
     address: Option<SocketAddr>,
 }
 
@@ -48,73 +50,75 @@
     me: Member,
     zone: ZoneId,
     directory: Arc<PeerDirectory>,
-    lead: Option<Lead>,
-    shunned: BTreeMap<InstanceId, Time>,
-    /// Whether the coordinator answers.
-    answers: bool,
-    /// Since when it owes an answer.
-    owed_since: Option<Time>,
-    /// Number and time of the last whole report.
+    coordinator: Option<SelectedCoordinator>,
+    excluded: BTreeMap<InstanceId, Time>,
+    /// Whether the coordinator replies.
+    is_responsive: bool,
+    /// Time of the oldest full report that has not been answered.
+    unanswered_since: Option<Time>,
+    /// Number of the last full report.
     number: u64,
-    whole_at: Time,
-    asked: Vec<RequestId>,
+    full_report_at: Time,
+    pending: Vec<RequestId>,
     updates: Vec<ProgressUpdate>,
-    /// What engines told of their pace since the last report.
+    /// Paces that engines reported since the last report.
     paces: BTreeMap<EndpointId, (Pace, Time)>,
-    /// Starts of engines that said something of themselves since.
-    noticed: BTreeSet<StartId>,
+    /// Engine processes with notices since the last report.
+    noticed_starts: BTreeSet<StartId>,
     log: Logger,
 }
 
 impl Membership {
-    /// Makes a member that has asked nobody yet.
+    /// Creates a member that has not selected a coordinator yet.
     #[must_use]
     pub fn new(me: Member, zone: ZoneId, directory: Arc<PeerDirectory>, log: Logger) -> Self {
         Self {
             me,
             zone,
             directory,
-            lead: None,
-            shunned: BTreeMap::new(),
-            answers: false,
-            owed_since: None,
+            coordinator: None,
+            excluded: BTreeMap::new(),
+            is_responsive: false,
+            unanswered_since: None,
             number: 0,
-            whole_at: Time::ZERO,
-            asked: Vec::new(),
+            full_report_at: Time::ZERO,
+            pending: Vec::new(),
             updates: Vec::new(),
             paces: BTreeMap::new(),
-            noticed: BTreeSet::new(),
+            noticed_starts: BTreeSet::new(),
             log,
         }
     }
 
-    /// Gives this instance's name.
+    /// Returns this instance's name.
     #[must_use]
     pub fn name(&self) -> &str {
         &self.me.name
     }
 
-    /// Gives where the coordinator takes reports; `None` where it is this instance.
+    /// Returns the coordinator's address, or `None` if it is this instance.
     #[must_use]
     pub fn address(&self) -> Option<SocketAddr> {
-        self.lead.as_ref().and_then(|lead| lead.address)
+        self.coordinator
+            .as_ref()
+            .and_then(|coordinator| coordinator.address)
     }
 
-    /// Notes that a request waits for a place.
+    /// Queues a request for placement with the next report.
     pub fn request_placement(&mut self, id: RequestId) {
-        self.asked.push(id);
+        self.pending.push(id);
     }
 
-    /// Notes that a place is given back.
+    /// Reports that an assignment was declined.
     pub fn decline(&mut self, t: &Tables, grant: &Grant) {
-        // A request that ended here is dropped by the next whole report.
+        // If the request has already ended here, the next full report drops it.
         if let Some(row) = t.requests.get(grant.id) {
-            self.tell(grant.id, next_attempt(row), Progress::Dropped);
+            self.push_update(grant.id, next_attempt(row), Progress::Dropped);
         }
     }
 
-    /// Notes what became of a request, while its row is still there.
-    pub fn note(&mut self, t: &Tables, event: &EndpointEvent) {
+    /// Records the progress of a request. Must be called before its row is removed.
+    pub fn record_progress(&mut self, t: &Tables, event: &EndpointEvent) {
         let row = t
             .requests
             .get(event.id)
@@ -123,46 +127,46 @@
             return;
         };
         if let Some(progress) = progress(row, event.update) {
-            self.tell(event.id, event.dispatch, progress);
+            self.push_update(event.id, event.dispatch, progress);
         }
     }
 
-    /// Notes what an engine told of its pace; it goes with the next report, which is never long off.
-    pub fn note_pace(&mut self, t: &Tables, told: &PaceReport) {
-        let at = t.endpoints.find(&told.endpoint);
+    /// Records an engine's pace for the next report, which follows shortly.
+    pub fn record_pace(&mut self, t: &Tables, report: &PaceReport) {
+        let at = t.endpoints.find(&report.endpoint);
         let engine = at.is_some_and(|at| t.endpoints.get(at).is_engine());
-        if engine && self.lead.is_some() {
+        if engine && self.coordinator.is_some() {
             self.paces
-                .insert(told.endpoint.clone(), (told.pace, told.read));
+                .insert(report.endpoint.clone(), (report.pace, report.read));
         }
     }
 
-    /// Notes that an engine said something of itself; it goes with the next report, as its pace does.
-    pub fn note_notice(&mut self, told: &NoticeReport) {
-        if self.lead.is_some() {
-            self.noticed.insert(told.endpoint.clone());
+    /// Records that an engine sent a notice about itself, for the next report.
+    pub fn record_notice(&mut self, report: &NoticeReport) {
+        if self.coordinator.is_some() {
+            self.noticed_starts.insert(report.endpoint.clone());
         }
     }
 
-    fn take_notices(&mut self, now: Time, t: &Tables) -> Vec<EndpointNotice> {
-        let starts = std::mem::take(&mut self.noticed).into_iter();
+    fn drain_notices(&mut self, now: Time, t: &Tables) -> Vec<EndpointNotice> {
+        let starts = std::mem::take(&mut self.noticed_starts).into_iter();
         let rows = starts.filter_map(|start| t.endpoints.find_start(&start));
         let engines = rows.map(|at| t.endpoints.get(at)).filter(|e| e.is_engine());
-        engines.filter_map(|e| noticed(now, e)).collect()
+        engines.filter_map(|e| endpoint_notice(now, e)).collect()
     }
 
-    fn take_paces(&mut self, now: Time) -> Vec<EndpointPace> {
+    fn drain_paces(&mut self, now: Time) -> Vec<EndpointPace> {
         let paces = std::mem::take(&mut self.paces).into_iter();
-        let told = |(endpoint, (pace, read)): (EndpointId, (Pace, Time))| EndpointPace {
+        let to_entry = |(endpoint, (pace, read)): (EndpointId, (Pace, Time))| EndpointPace {
             endpoint,
             pace,
             age: now.saturating_sub(read),
         };
-        paces.map(told).collect()
+        paces.map(to_entry).collect()
     }
 
-    /// Notes that a caller left, while the request's row is still there.
-    pub fn note_left(&mut self, t: &Tables, id: RequestId) {
+    /// Records that a caller left. Must be called before the request's row is removed.
+    pub fn record_caller_left(&mut self, t: &Tables, id: RequestId) {
         let Some(row) = t.requests.get(id) else {
             return;
         };
@@ -172,12 +176,12 @@
             row.dispatch
         };
         if row.placement == PlacementState::Requested || engine_of(t, row).is_some() {
-            self.tell(id, attempt, Progress::Dropped);
+            self.push_update(id, attempt, Progress::Dropped);
         }
     }
 
-    fn tell(&mut self, id: RequestId, attempt: u32, progress: Progress) {
-        if self.lead.is_some() {
+    fn push_update(&mut self, id: RequestId, attempt: u32, progress: Progress) {
+        if self.coordinator.is_some() {
             self.updates.push(ProgressUpdate {
                 id,
                 attempt,
@@ -186,65 +190,70 @@
         }
     }
 
-    /// Takes the coordinator's reply; gives the events that follow.
+    /// Handles the coordinator's reply and returns the events for this instance's scheduler.
     pub fn handle_reply(&mut self, reply: Reply) -> Vec<Event> {
         let own = reply.instance.is_empty();
-        let lead = self.lead.as_ref();
-        if !own && lead.is_none_or(|lead| lead.name != reply.instance) {
+        let coordinator = self.coordinator.as_ref();
+        if !own && coordinator.is_none_or(|coordinator| coordinator.name != reply.instance) {
             return Vec::new();
         }
         let mut events = Vec::new();
-        self.owed_since = None;
-        if !self.answers {
-            self.answers = true;
-            self.write_belief("answers", "silent");
+        self.unanswered_since = None;
+        if !self.is_responsive {
+            self.is_responsive = true;
+            self.log_state_change("answers", "silent");
             events.push(Event::Coordinated(true));
         }
-        events.extend(reply.assignments.into_iter().map(granted));
-        events.extend(reply.refusals.into_iter().map(not_granted));
+        events.extend(reply.assignments.into_iter().map(grant_event));
+        events.extend(reply.refusals.into_iter().map(refusal_event));
         events
     }
 
-    /// Looks whom to ask, and gives a coordinator up that does not answer.
+    /// Selects the coordinator and abandons one that does not reply. Returns the events for this
+    /// instance's scheduler.
     pub fn select_coordinator(&mut self, now: Time, draining: bool) -> Vec<Event> {
-        self.shunned.retain(|_, until| *until > now);
+        self.excluded.retain(|_, until| *until > now);
         let mut events = Vec::new();
-        if self.owed_since.is_some_and(|since| since + PATIENCE <= now) {
-            self.give_up(now, &mut events);
+        if self
+            .unanswered_since
+            .is_some_and(|since| since + REPLY_TIMEOUT <= now)
+        {
+            self.abandon_coordinator(now, &mut events);
         }
-        let lead = self.pick(now, draining);
-        if lead != self.lead {
-            self.lead = lead;
-            self.owed_since = None;
-            self.whole_at = Time::ZERO;
-            if self.lead.is_none() && std::mem::take(&mut self.answers) {
+        let coordinator = self.choose_coordinator(now, draining);
+        if coordinator != self.coordinator {
+            self.coordinator = coordinator;
+            self.unanswered_since = None;
+            self.full_report_at = Time::ZERO;
+            if self.coordinator.is_none() && std::mem::take(&mut self.is_responsive) {
                 events.push(Event::Coordinated(false));
             }
         }
         events
     }
 
-    fn give_up(&mut self, now: Time, events: &mut Vec<Event>) {
-        if let Some(lead) = &self.lead {
-            self.shunned.insert(lead.name.clone(), now + SHUNNED);
+    fn abandon_coordinator(&mut self, now: Time, events: &mut Vec<Event>) {
+        if let Some(coordinator) = &self.coordinator {
+            self.excluded
+                .insert(coordinator.name.clone(), now + EXCLUSION_TIME);
         }
-        self.owed_since = None;
-        if std::mem::take(&mut self.answers) {
-            self.write_belief("silent", "answers");
+        self.unanswered_since = None;
+        if std::mem::take(&mut self.is_responsive) {
+            self.log_state_change("silent", "answers");
             events.push(Event::Coordinated(false));
         }
     }
 
-    fn pick(&self, now: Time, draining: bool) -> Option<Lead> {
-        let open = |name: &str| !self.shunned.contains_key(name);
+    fn choose_coordinator(&self, now: Time, draining: bool) -> Option<SelectedCoordinator> {
+        let open = |name: &str| !self.excluded.contains_key(name);
         let other = self.directory.first_of_group(now, open);
         let own = !draining;
         match other {
-            Some((peer, before)) if !own || before => Some(Lead {
+            Some((peer, before)) if !own || before => Some(SelectedCoordinator {
                 name: peer.name,
                 address: Some(peer.address),
             }),
-            _ if own => Some(Lead {
+            _ if own => Some(SelectedCoordinator {
                 name: self.me.name.clone(),
                 address: None,
             }),
@@ -252,60 +261,63 @@
         }
     }
 
-    /// Gives a report of what is new, if there is any.
+    /// Returns a report of all changes since the last one, if there are any.
     pub fn report_updates(&mut self, now: Time, t: &Tables) -> Option<Report> {
-        if self.asked.is_empty() && self.updates.is_empty() {
+        if self.pending.is_empty() && self.updates.is_empty() {
             return None;
         }
-        let asked = std::mem::take(&mut self.asked);
+        let pending = std::mem::take(&mut self.pending);
         let updates = std::mem::take(&mut self.updates);
-        self.lead.as_ref()?;
-        let rows = asked.iter().filter_map(|id| t.requests.get(*id));
+        self.coordinator.as_ref()?;
+        let rows = pending.iter().filter_map(|id| t.requests.get(*id));
         let held = rows.filter(|r| r.phase == Phase::Held);
-        let waiting: Vec<PlacementRequest> =
-            held.map(|r| wanted(now, t, r, next_attempt(r))).collect();
+        let waiting: Vec<PlacementRequest> = held
+            .map(|r| placement_request(now, t, r, next_attempt(r)))
+            .collect();
         Some(Report {
             waiting,
             updates,
-            paces: self.take_paces(now),
-            notices: self.take_notices(now, t),
+            paces: self.drain_paces(now),
+            notices: self.drain_notices(now, t),
             ..self.empty_report()
         })
     }
 
-    /// Gives a report of everything, if one is due.
+    /// Returns a full report if one is due.
     pub fn report_full(&mut self, now: Time, t: &Tables) -> Option<Report> {
-        self.lead.as_ref()?;
-        if !self.is_whole_due(now, t) {
+        self.coordinator.as_ref()?;
+        if !self.is_full_report_due(now, t) {
             return None;
         }
-        self.whole_at = now;
+        self.full_report_at = now;
         self.number += 1;
-        self.owed_since = self.owed_since.or(Some(now));
-        self.asked.clear();
-        self.noticed.clear();
-        let held = t.requests.iter().filter(|r| waits(r));
-        let waiting = held.map(|r| wanted(now, t, r, next_attempt(r))).collect();
-        let running = t.requests.iter().filter_map(|r| running(now, t, r));
+        self.unanswered_since = self.unanswered_since.or(Some(now));
+        self.pending.clear();
+        self.noticed_starts.clear();
+        let held = t.requests.iter().filter(|r| awaits_assignment(r));
+        let waiting = held
+            .map(|r| placement_request(now, t, r, next_attempt(r)))
+            .collect();
+        let running = t.requests.iter().filter_map(|r| running_request(now, t, r));
         Some(Report {
             full: true,
             waiting,
             running: running.collect(),
             updates: std::mem::take(&mut self.updates),
-            paces: self.take_paces(now),
-            notices: notices(now, t),
+            paces: self.drain_paces(now),
+            notices: endpoint_notices(now, t),
             ..self.empty_report()
         })
     }
 
-    /// Tells whether a whole report is due; the first one to a lead is at once.
-    fn is_whole_due(&self, now: Time, t: &Tables) -> bool {
-        let pause = if t.requests.iter().any(waits) {
-            WAITING_PAUSE
+    /// Whether a full report is due. The first one to a new coordinator is due at once.
+    fn is_full_report_due(&self, now: Time, t: &Tables) -> bool {
+        let pause = if t.requests.iter().any(awaits_assignment) {
+            WAITING_REPORT_INTERVAL
         } else {
-            WHOLE_PAUSE
+            FULL_REPORT_INTERVAL
         };
-        self.whole_at == Time::ZERO || self.whole_at + pause <= now
+        self.full_report_at == Time::ZERO || self.full_report_at + pause <= now
     }
 
     fn empty_report(&self) -> Report {
@@ -324,14 +336,17 @@
         }
     }
 
-    fn write_belief(&self, is: &str, before: &str) {
-        let name = self.lead.as_ref().map_or("", |lead| &lead.name);
+    fn log_state_change(&self, is: &str, before: &str) {
+        let name = self
+            .coordinator
+            .as_ref()
+            .map_or("", |coordinator| &coordinator.name);
         info!(self.log, "belief changed"; "what" => "coordinator", "is" => is, "before" => before,
             "coordinator" => name, "reports" => self.number);
     }
 }
 
-fn granted(assignment: Assignment) -> Event {
+fn grant_event(assignment: Assignment) -> Event {
     Event::Granted(Grant {
         id: assignment.id,
         endpoint: assignment.endpoint,
@@ -339,7 +354,7 @@
     })
 }
 
-fn not_granted(refusal: Refusal) -> Event {
+fn refusal_event(refusal: Refusal) -> Event {
     let verdict = Verdict {
         outcome: Outcome::NotRun,
         reason: refusal.reason,
--- a/crates/firdock-node/src/placement/report.rs
+++ b/crates/firdock-node/src/placement/report.rs
@@ -1,4 +1,4 @@
-//! What members and coordinators tell each other.
+//! Messages between members and coordinators.
 
 use std::time::Duration;
 
@@ -8,132 +8,133 @@
 use firdock_policy::notice::Notice;
 use uuid::Uuid;
 
-/// A request as far as its placement needs it.
+/// A request, reduced to what placement needs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlacementRequest {
-    /// The request; its deadline is given by `left`.
+    /// The request. Its deadline is given by `remaining` instead.
     pub new_request: NewRequest,
-    /// Counts the places that it was given or waits for.
+    /// Number of the assignment that it has or waits for, counted from 1.
     pub attempt: u32,
-    /// Time that its caller will still wait.
+    /// Time until its deadline.
     pub remaining: Option<Duration>,
 }
 
-/// What became of a request that was given a place.
+/// Progress of a request that was assigned to an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Progress {
-    /// The first token came.
+    /// The first token arrived.
     FirstToken,
-    /// The whole answer came, with these tokens of the prompt and of the answer.
+    /// The complete answer arrived.
     Ended {
-        /// Tokens of the prompt.
+        /// Prompt tokens.
         prompt: u32,
-        /// Tokens of the answer.
+        /// Output tokens.
         output: u32,
     },
     /// The connection broke, or the endpoint failed.
     Broke,
-    /// The endpoint refused it.
+    /// The endpoint refused the request.
     Refused,
-    /// The endpoint was not reached.
+    /// The endpoint could not be reached.
     Unreachable,
-    /// It was not sent, or its caller left.
+    /// The request was not sent, or its caller left.
     Dropped,
 }
 
-/// News of one request.
+/// Progress of one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ProgressUpdate {
-    /// Request.
+    /// Request ID.
     pub id: RequestId,
-    /// Which of its places.
+    /// Number of the assignment.
     pub attempt: u32,
-    /// What became of it.
+    /// New state.
     pub progress: Progress,
 }
 
-/// How long work takes at an engine, as it told a member with an answer.
+/// An engine's pace, as it reported it to a member along with an answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EndpointPace {
     /// Engine.
     pub endpoint: EndpointId,
-    /// What it told.
+    /// Reported pace.
     pub pace: Pace,
-    /// How long ago the member read it.
+    /// Time since the member received it.
     pub age: Duration,
 }
 
-/// What an engine said of itself to a member.
+/// What an engine announced about itself to a member.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EndpointNotice {
-    /// Start of the engine.
+    /// Engine process.
     pub endpoint: StartId,
-    /// What of it still holds; a back-off by the time that is left.
+    /// The part that is still in force; a back-off is given as the remaining time.
     pub notice: Notice,
 }
 
-/// What a member tells its coordinator.
+/// Report of a member to its coordinator.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Report {
-    /// Member.
+    /// Name of the member.
     pub instance: InstanceId,
-    /// Start of its process.
+    /// Identifies the member's process.
     pub incarnation: Uuid,
-    /// Its availability zone.
+    /// The member's availability zone.
     pub zone: ZoneId,
-    /// Number of its last whole report.
+    /// Number of the member's last full report.
     pub number: u64,
-    /// Whether it tells of every request of the member's.
+    /// Whether the report lists all requests of the member.
     pub full: bool,
-    /// Requests that wait for a place.
+    /// Requests that wait for an assignment.
     pub waiting: Vec<PlacementRequest>,
-    /// Requests that run, and where.
+    /// Running requests with their engines.
     pub running: Vec<(PlacementRequest, EndpointId)>,
-    /// What became of requests since the last report.
+    /// Progress of requests since the last report.
     pub updates: Vec<ProgressUpdate>,
-    /// What engines told of their pace since the last report.
+    /// Paces reported by engines since the last report.
     pub paces: Vec<EndpointPace>,
-    /// What engines said of themselves: what is new, or all that holds in a whole report.
+    /// Notices from engines: the new ones, or in a full report all that are in force.
     pub notices: Vec<EndpointNotice>,
-    /// Whether requests were left out, so that nothing follows for those that are not told of.
+    /// Whether requests were left out for lack of space. The absence of a request then means
+    /// nothing.
     pub truncated: bool,
 }
 
-/// A place for a request.
+/// Assignment of a request to an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Assignment {
-    /// Request.
+    /// Request ID.
     pub id: RequestId,
-    /// Which of its places.
+    /// Number of the assignment.
     pub attempt: u32,
     /// Engine.
     pub endpoint: EndpointId,
-    /// Time to the first token that is expected there.
+    /// Predicted time to the first token.
     pub predicted: Duration,
 }
 
-/// Word that a request will not be placed in time.
+/// Notice that a request cannot be placed in time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
-    /// Request.
+    /// Request ID.
     pub id: RequestId,
-    /// Which of its places.
+    /// Number of the assignment that the request waited for.
     pub attempt: u32,
-    /// Why.
+    /// Reason.
     pub reason: Reason,
-    /// When its caller should come back.
+    /// When the caller should retry.
     pub retry_after: Duration,
 }
 
-/// What a coordinator answers a member.
+/// Reply of a coordinator to a member.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Reply {
-    /// Coordinator.
+    /// Name of the coordinator.
     pub instance: InstanceId,
-    /// Number of the member's last whole report that was taken.
+    /// Number of the member's last full report that was applied.
     pub number: u64,
-    /// Places.
+    /// New assignments.
     pub assignments: Vec<Assignment>,
-    /// Refusals.
+    /// Refused requests.
     pub refusals: Vec<Refusal>,
 }
--- a/crates/firdock-node/src/placement/snapshot.rs
+++ b/crates/firdock-node/src/placement/snapshot.rs
@@ -1,4 +1,4 @@
-//! What a member tells of its requests, from the rows of its own scheduler.
+//! Builds the entries of a member's reports from the rows of its own scheduler.
 
 use std::collections::BTreeSet;
 
@@ -12,12 +12,12 @@
 
 use super::report::{EndpointNotice, PlacementRequest, Progress};
 
-/// Gives the number of the place that a held request waits for.
+/// Returns the number of the assignment that a held request waits for.
 pub fn next_attempt(row: &RequestRow) -> u32 {
     row.dispatch + 1
 }
 
-/// Gives what news of a dispatch mean for the request, if they are worth telling.
+/// Maps a dispatch update to the progress of its request, or `None` if it need not be reported.
 pub fn progress(row: &RequestRow, news: DispatchUpdate) -> Option<Progress> {
     Some(match news {
         DispatchUpdate::Started { .. }
@@ -36,7 +36,7 @@
     })
 }
 
-/// Gives the engine that a request is on, if it is on one.
+/// Returns the engine that a request is dispatched to, if any.
 pub fn engine_of<'a>(t: &'a Tables, row: &RequestRow) -> Option<&'a EndpointRow> {
     let (Phase::Dispatching(at) | Phase::Running(at)) = row.phase else {
         return None;
@@ -44,21 +44,34 @@
     Some(t.endpoints.get(at)).filter(|e| e.is_engine())
 }
 
-/// Tells whether a request waits for the coordinator to place it.
-pub fn waits(row: &RequestRow) -> bool {
+/// Whether a request waits for the coordinator to assign it.
+pub fn awaits_assignment(row: &RequestRow) -> bool {
     row.phase == Phase::Held && row.placement == PlacementState::Requested
 }
 
-/// Gives a request that runs on an engine, and where; `None` for all others.
-pub fn running(now: Time, t: &Tables, row: &RequestRow) -> Option<(PlacementRequest, StartId)> {
+/// Returns a request that runs on an engine together with that engine, or `None` for all others.
+pub fn running_request(
+    now: Time,
+    t: &Tables,
+    row: &RequestRow,
+) -> Option<(PlacementRequest, StartId)> {
     let engine = engine_of(t, row)?;
-    Some((wanted(now, t, row, row.dispatch), engine.start_id.clone()))
+    Some((
+        placement_request(now, t, row, row.dispatch),
+        engine.start_id.clone(),
+    ))
 }
 
-/// Gives a request as far as its placement needs it, its times by how long they are from now.
+/// Builds the placement request of a row. Times are given relative to `now`.
 ///
-/// What it asks for is told of one alone under which an endpoint ended, of which one try runs at a time.
-pub fn wanted(now: Time, t: &Tables, row: &RequestRow, attempt: u32) -> PlacementRequest {
+/// The content ID is included only for suspects, requests during which an endpoint exited, of which
+/// one attempt may run at a time.
+pub fn placement_request(
+    now: Time,
+    t: &Tables,
+    row: &RequestRow,
+    attempt: u32,
+) -> PlacementRequest {
     let new = &row.new;
     PlacementRequest {
         new_request: NewRequest {
@@ -81,14 +94,16 @@
     }
 }
 
-/// Gives what engines said to this instance of themselves and what still holds.
-pub fn notices(now: Time, t: &Tables) -> Vec<EndpointNotice> {
+/// Returns all engine notices received by this instance that are still in force.
+pub fn endpoint_notices(now: Time, t: &Tables) -> Vec<EndpointNotice> {
     let engines = t.endpoints.iter().filter(|(_, e)| e.is_engine());
-    engines.filter_map(|(_, e)| noticed(now, e)).collect()
+    engines
+        .filter_map(|(_, e)| endpoint_notice(now, e))
+        .collect()
 }
 
-/// Gives what an engine said to this instance of itself, if any of it still holds.
-pub fn noticed(now: Time, e: &EndpointRow) -> Option<EndpointNotice> {
+/// Returns the notices of one engine that are still in force, if any.
+pub fn endpoint_notice(now: Time, e: &EndpointRow) -> Option<EndpointNotice> {
     let backoff = e.notices.backoff("", now);
     let notice = Notice {
         leaving: e.notices.leaving_since().is_some(),
@@ -100,7 +115,7 @@
     })
 }
 
-/// Gives the starts of engines that a request must not go to, each once.
+/// Returns the engine processes that a request must avoid, without duplicates.
 fn avoided(row: &RequestRow) -> Vec<StartId> {
     let all: BTreeSet<&StartId> = row.tried.iter().chain(&row.declined).collect();
     all.into_iter().cloned().collect()
