--- a/crates/firdock-node/src/driver.rs
+++ b/crates/firdock-node/src/driver.rs
@@ -102,7 +102,7 @@
     sent: Option<LastDispatch>,
     task: Option<AbortHandle>,
     /// Way to tell the present dispatch what has become of its endpoint.
-    since: Option<watch::Sender<EndpointChange>>,
+    change: Option<watch::Sender<EndpointChange>>,
 }
 
 impl Live {
@@ -186,7 +186,7 @@
                         arrived: self.parts.clock.now(),
                         sent: None,
                         task: None,
-                        since: None,
+                        change: None,
                     },
                 );
                 self.step(Event::Arrived(new));
@@ -368,11 +368,11 @@
                 dispatch,
             } => self.cancel(id, &endpoint, dispatch),
             Action::GiveUpDispatch { id, dispatch } => {
-                self.tell_dispatch(id, dispatch, EndpointChange::Restarted);
+                self.notify_dispatch(id, dispatch, EndpointChange::Restarted);
             }
             Action::CheckLiveness { endpoint, start } => self.check_liveness(&endpoint, start),
             Action::Withhold { id, dispatch } => {
-                self.tell_dispatch(id, dispatch, EndpointChange::Closed);
+                self.notify_dispatch(id, dispatch, EndpointChange::Closed);
             }
             Action::Ask { id } => self.ask_placement(id),
             Action::Decline(grant) => self.decline_placement(&grant),
--- a/crates/firdock-node/src/driver/send.rs
+++ b/crates/firdock-node/src/driver/send.rs
@@ -35,12 +35,12 @@
         let (now, t) = (self.parts.clock.now(), self.scheduler.tables());
         self.decisions.dispatched(now, t, &dispatch, &exchange);
         exchange.delivered().end = None;
-        let (since, run_since) = watch::channel(EndpointChange::Unchanged);
+        let (change, change_receiver) = watch::channel(EndpointChange::Unchanged);
         if let Some(live) = self.exchanges.get_mut(&id) {
             live.sent = Some(LastDispatch::new(now, &dispatch));
-            live.since = Some(since);
+            live.change = Some(change);
         }
-        let run = self.make_run(exchange, dispatch, place, run_since);
+        let run = self.make_run(exchange, dispatch, place, change_receiver);
         let dispatcher = self.parts.dispatcher.clone();
         let (log, clock) = (self.parts.log.clone(), self.parts.clock);
         let task = self.parts.runtime.spawn(async move {
@@ -60,7 +60,7 @@
         exchange: Arc<Exchange>,
         dispatch: Dispatch,
         place: EndpointLocation,
-        since: watch::Receiver<EndpointChange>,
+        change: watch::Receiver<EndpointChange>,
     ) -> DispatchRun {
         let trace = exchange.trace;
         let endpoints = &self.scheduler.tables().endpoints;
@@ -79,7 +79,7 @@
             inputs: self.parts.inputs.clone(),
             clock: self.parts.clock,
             trace,
-            since,
+            change,
         }
     }
 
@@ -105,11 +105,11 @@
     }
 
     /// Tells a dispatch what has become of its endpoint; it tells how far it came.
-    pub(super) fn tell_dispatch(&mut self, id: RequestId, dispatch: u32, since: EndpointChange) {
+    pub(super) fn notify_dispatch(&mut self, id: RequestId, dispatch: u32, change: EndpointChange) {
         let live = self.exchanges.get(&id);
         let live = live.filter(|l| l.sent.as_ref().is_some_and(|s| s.is(dispatch)));
-        if let Some(told) = live.and_then(|l| l.since.as_ref()) {
-            told.send_replace(since);
+        if let Some(sender) = live.and_then(|l| l.change.as_ref()) {
+            sender.send_replace(change);
         }
     }
 
--- a/crates/firdock-node/src/endpoint/ending.rs
+++ b/crates/firdock-node/src/endpoint/ending.rs
@@ -1,26 +1,27 @@
-//! How an answer was framed, how it ended, and what was left over: the facts that tell whether it is whole.
+//! Decides whether an answer is complete, by its framing, how it ended and what was left over.
 //!
-//! Nothing here knows sockets, so that each case can be tested by itself (see `docs/design/endings.md`).
+//! This module has no I/O, so that each case can be tested in isolation (see
+//! `docs/design/endings.md`).
 
 use firdock_policy::event::BreakCause;
 use hyper::header;
 use hyper::{HeaderMap, Method, StatusCode};
 
-/// How the head of an answer says where its body ends (RFC 9112, section 6.3).
+/// How the head of an answer delimits its body (RFC 9112, section 6.3).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Framing {
     /// The answer has no body.
     Empty,
-    /// The body has as many bytes as the head says.
+    /// The body has the length given by `Content-Length`.
     Length,
     /// The body ends with its last chunk.
     Chunks,
-    /// The body ends with its connection.
+    /// The body ends when the connection is closed.
     Connection,
 }
 
 impl Framing {
-    /// Reads the framing of an answer to a request with this method.
+    /// Determines the framing of an answer to a request with this method.
     #[must_use]
     pub fn read(method: &Method, status: StatusCode, headers: &HeaderMap) -> Self {
         let bare = [StatusCode::NO_CONTENT, StatusCode::NOT_MODIFIED].contains(&status);
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Gives the word for it in logs and metrics.
+    /// Returns the name used in logs and metrics.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -57,33 +58,33 @@
     }
 }
 
-/// Tells whether `chunked` is the last of the codings of a header line.
+/// Whether `chunked` is the last coding of a header line.
 fn is_chunked(codings: &[u8]) -> bool {
     let last = codings.rsplit(|b| *b == b',').next();
     last.is_some_and(|coding| coding.trim_ascii().eq_ignore_ascii_case(b"chunked"))
 }
 
-/// How an answer came to its end.
+/// How an answer ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Ending {
-    /// By its framing: all bytes or the last chunk came.
+    /// As its framing says: all bytes or the last chunk arrived.
     Framed,
-    /// The far end closed the connection in order, of an answer that ends with it.
+    /// The endpoint closed the connection in order, which ends an answer without framing.
     Closed,
-    /// The far end closed the connection before the end that the framing told.
+    /// The endpoint closed the connection before the end given by the framing.
     Early,
     /// The connection was reset or lost.
     Reset,
-    /// Nothing came for too long.
+    /// No data arrived within the time limit.
     Silent,
-    /// The endpoint started again meanwhile.
+    /// The endpoint restarted in the meantime.
     Restarted,
-    /// What came is no answer by the protocol.
+    /// The received data is not a valid answer of the protocol.
     Foreign,
 }
 
 impl Ending {
-    /// Gives the word for it in logs and metrics.
+    /// Returns the name used in logs and metrics.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -99,7 +100,7 @@
 }
 
 impl From<Ending> for BreakCause {
-    /// Gives what an end that makes an answer broken says of its dispatch.
+    /// Maps the ending of a broken answer to the break cause of its dispatch.
     fn from(ending: Ending) -> Self {
         match ending {
             Ending::Framed | Ending::Closed | Ending::Early | Ending::Reset => Self::Closed,
@@ -110,53 +111,54 @@
     }
 }
 
-/// What is left of a stream of events after its last whole event.
+/// What an event stream holds after its last complete event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TrailingData {
-    /// Nothing, or lines that have ended and belong to no event.
+    /// Nothing, or complete lines that belong to no event.
     Nothing,
-    /// A part of a comment.
+    /// An incomplete comment.
     Comment,
-    /// A part of an event.
+    /// An incomplete event.
     Event,
 }
 
-/// What the bytes of a body say of its end by themselves.
+/// What the body itself reveals about its end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyState {
-    /// Nothing: any bytes are a body.
+    /// Nothing: any sequence of bytes is a valid body.
     Opaque,
-    /// Events.
+    /// A stream of events.
     Events {
-        /// Whether any came whole.
+        /// Whether any complete event arrived.
         begun: bool,
-        /// What is left after the last one.
+        /// What follows the last complete event.
         left: TrailingData,
     },
-    /// The form has an end of its own, as JSON has, or a stream with an end mark.
+    /// The format marks its own end, as JSON does or a stream with an end marker.
     Delimited {
-        /// Whether that end came.
+        /// Whether that end was reached.
         ended: bool,
     },
 }
 
-/// Whether an answer is whole.
+/// Whether an answer is complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Completeness {
-    /// It is.
+    /// The answer is complete.
     Complete,
-    /// Nothing that came says that more was meant, and nothing that it was not.
+    /// Nothing shows that the answer is incomplete, and nothing proves that it is complete.
     Unproven,
-    /// It is not.
+    /// The answer is incomplete.
     Broken(BreakCause),
 }
 
-/// Decides whether an answer that has ended is whole; all who read one ask here.
+/// Decides whether an answer that has ended is complete. All readers of answers use this function.
 ///
-/// A body that ends inside an event was broken off, however its framing ended. One that has no framing and
-/// was closed in order is whole as far as HTTP can tell (RFC 9112, section 8), though an endpoint that
-/// fails may close it as well; the caller is told no more than that. Without framing, a part of a comment
-/// and a stream without any event count as cut too: nothing but the close says that they were meant so.
+/// A body that ends inside an event was cut off, whatever its framing says. A body without framing
+/// whose connection was closed in order is complete as far as HTTP can tell (RFC 9112, section 8),
+/// although a failing endpoint may close it the same way; the caller is told no more than that.
+/// Without framing, an incomplete comment or a stream without any event also counts as cut off,
+/// since only the close suggests that it was meant to end there.
 #[must_use]
 pub fn assess_completeness(framing: Framing, ending: Ending, shape: BodyState) -> Completeness {
     let closed = framing == Framing::Connection && ending == Ending::Closed;
@@ -179,23 +181,23 @@
     }
 }
 
-/// What came of one dispatch's answer, for the lines on its end.
+/// Statistics on the answer of one dispatch, for the log lines about its end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AnswerEnd {
-    /// How it was framed.
+    /// Framing of the answer.
     pub framing: Framing,
-    /// How it ended; `None` while it is still read.
+    /// How the answer ended; `None` while it is being read.
     pub ending: Option<Ending>,
-    /// Bytes of its body that were read.
+    /// Bytes of the body that were read.
     pub bytes: u64,
-    /// Whole events among them.
+    /// Complete events in them.
     pub events: u32,
-    /// Bytes after the last whole event.
+    /// Bytes after the last complete event.
     pub leftover: usize,
 }
 
 impl AnswerEnd {
-    /// Makes the record of an answer whose head has come.
+    /// Creates the record of an answer whose head has arrived.
     #[must_use]
     pub fn new(framing: Framing) -> Self {
         Self {
--- a/crates/firdock-node/src/endpoint/engine.rs
+++ b/crates/firdock-node/src/endpoint/engine.rs
@@ -74,19 +74,21 @@
             Err(error) => return EndpointResponse::without_head(error),
         };
         let head = HeadNotice::read(response.status(), response.headers(), &LEAVING_HEADER);
-        let result = take(order, response).await.map(|body| HttpTokenStream {
-            _connection: connection,
-            answer_end: AnswerEnd::new(body.framing()),
-            body,
-            decoder: SseDecoder::new(),
-            next: from,
-            ended: false,
-        });
+        let result = answer_body(order, response)
+            .await
+            .map(|body| HttpTokenStream {
+                _connection: connection,
+                answer_end: AnswerEnd::new(body.framing()),
+                body,
+                decoder: SseDecoder::new(),
+                next: from,
+                ended: false,
+            });
         EndpointResponse { head, result }
     }
 
     /// Makes a small call of which only success counts.
-    async fn order_call(
+    async fn call_engine(
         &self,
         at: SocketAddr,
         method: Method,
@@ -115,7 +117,7 @@
 }
 
 /// Takes an answer's head; gives the stream that follows.
-async fn take(
+async fn answer_body(
     order: EngineRequest<'_>,
     response: Response<Incoming>,
 ) -> Result<EndpointBody, StartError> {
@@ -190,7 +192,7 @@
 }
 
 /// Makes the body that goes to the engine: the caller's, with what firdock adds.
-fn engine_body(order: EngineRequest<'_>) -> Bytes {
+fn request_body(order: EngineRequest<'_>) -> Bytes {
     let mut body = order.call.body.clone();
     body["stream"] = json!(true);
     body["max_tokens"] = json!(order.call.max_tokens);
@@ -202,7 +204,11 @@
     Bytes::from(body.to_string())
 }
 
-fn marked(method: Method, path: &str, order: EngineRequest<'_>) -> hyper::http::request::Builder {
+fn request_builder(
+    method: Method,
+    path: &str,
+    order: EngineRequest<'_>,
+) -> hyper::http::request::Builder {
     Request::builder()
         .method(method)
         .uri(path)
@@ -225,8 +231,8 @@
         } else {
             "/v1/completions"
         };
-        let body = Full::new(engine_body(order));
-        let Ok(request) = marked(Method::POST, path, order).body(body) else {
+        let body = Full::new(request_body(order));
+        let Ok(request) = request_builder(Method::POST, path, order).body(body) else {
             return EndpointResponse::without_head(StartError::Refused);
         };
         self.open_stream(at, order, request, order.resume_from)
@@ -240,7 +246,7 @@
         from: u32,
     ) -> EndpointResponse<HttpTokenStream> {
         let path = format!("/requests/{}/{}?from={from}", order.id, order.dispatch);
-        let Ok(request) = marked(Method::GET, &path, order).body(Full::default()) else {
+        let Ok(request) = request_builder(Method::GET, &path, order).body(Full::default()) else {
             return EndpointResponse::without_head(StartError::Refused);
         };
         self.open_stream(at, order, request, from).await
@@ -249,13 +255,13 @@
     async fn cancel(&self, at: SocketAddr, id: RequestId, dispatch: u32) {
         let path = format!("/requests/{id}/{dispatch}");
         let _ = self
-            .order_call(at, Method::DELETE, &path, Bytes::new())
+            .call_engine(at, Method::DELETE, &path, Bytes::new())
             .await;
     }
 
     async fn export_kv(&self, at: SocketAddr, id: RequestId) -> Result<KvCache, StartError> {
         let path = format!("/kv/{id}");
-        self.order_call(at, Method::GET, &path, Bytes::new())
+        self.call_engine(at, Method::GET, &path, Bytes::new())
             .await
             .map(KvCache)
     }
@@ -267,14 +273,14 @@
         cache: KvCache,
     ) -> Result<(), StartError> {
         let path = format!("/kv/{id}");
-        self.order_call(at, Method::PUT, &path, cache.0)
+        self.call_engine(at, Method::PUT, &path, cache.0)
             .await
             .map(|_| ())
     }
 
     async fn order(&self, at: SocketAddr, order: &FencedCommand) -> Result<(), StartError> {
         let body = serde_json::to_vec(order).unwrap_or_default();
-        self.order_call(at, Method::POST, "/orders", Bytes::from(body))
+        self.call_engine(at, Method::POST, "/orders", Bytes::from(body))
             .await
             .map(|_| ())
     }
@@ -284,7 +290,7 @@
     async fn report(&self, at: SocketAddr, after: u64) -> Result<EndpointReport, StartError> {
         let path = format!("{REPORT_PATH}?after={after}");
         let body = self
-            .order_call(at, Method::GET, &path, Bytes::new())
+            .call_engine(at, Method::GET, &path, Bytes::new())
             .await?;
         let cause = BreakCause::Foreign;
         serde_json::from_slice(&body).map_or_else(|_| LostSnafu { cause }.fail(), Ok)
@@ -308,7 +314,7 @@
             match self.decoder.next_event() {
                 Ok(Some(SseEvent::Data(data))) => {
                     self.answer_end.events += 1;
-                    if let Some(step) = self.take(&data)? {
+                    if let Some(step) = self.handle_event(&data)? {
                         return Ok(step.event);
                     }
                 }
@@ -350,7 +356,7 @@
     }
 
     /// Takes one event's data; events that came before are dropped, holes are an error.
-    fn take(&mut self, data: &str) -> Result<Option<Step>, StreamError> {
+    fn handle_event(&mut self, data: &str) -> Result<Option<Step>, StreamError> {
         if data == DONE {
             let whole = self.ended;
             return if whole {
--- a/crates/firdock-node/src/endpoint/events.rs
+++ b/crates/firdock-node/src/endpoint/events.rs
@@ -1,69 +1,71 @@
-//! Cutting of an event stream at the ends of its events, so that no part of one is passed on.
+//! Splits an event stream at the ends of its events, so that no partial event is forwarded.
 //!
-//! An endpoint that breaks off inside an event leaves a part that a second endpoint would send
-//! again; only whole events may reach the caller (see `docs/design/endings.md`). Lines end as the
-//! format of server-sent events says: with LF, CRLF or CR, also mixed.
+//! When an endpoint breaks off inside an event, a second endpoint would send that event again. Only
+//! complete events may therefore reach the caller (see `docs/design/endings.md`). Lines end with
+//! LF, CRLF or CR, also mixed, as the format of server-sent events defines.
 
 use bytes::{Bytes, BytesMut};
 use snafu::Snafu;
 
 use super::ending::TrailingData;
 
-/// Longest event that is waited for.
+/// Maximum size of an event.
 const MAX_EVENT_BYTES: usize = 1 << 20;
-/// Byte order mark that may stand before the first line.
+/// Byte order mark that may precede the first line.
 const BYTE_ORDER_MARK: &[u8] = b"\xef\xbb\xbf";
 
-/// An event was longer than allowed.
+/// An event exceeded the size limit.
 #[derive(Debug, Snafu)]
 #[snafu(display("an event of more than {MAX_EVENT_BYTES} bytes"))]
 pub struct EventTooLong;
 
-/// Whole events, as they came.
+/// Complete events, byte for byte as received.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CompleteEvents {
-    /// Their bytes, with comments and blank lines between them.
+    /// The events with the comments and blank lines between them.
     pub bytes: Bytes,
-    /// How many there are.
+    /// Number of events.
     pub count: u32,
-    /// Id of the last one; `None` where it has none of its own, so that nothing can go on after it.
+    /// ID of the last event. `None` if it has no ID of its own, so that the stream cannot resume
+    /// after it.
     pub last_id: Option<String>,
 }
 
-/// Collects bytes of a stream until events are whole.
+/// Buffers the bytes of a stream until events are complete.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
-    /// Bytes of the buffer that were looked at.
+    /// Number of bytes in the buffer that have been scanned.
     scanned: usize,
-    /// Where the line begins that has not ended.
+    /// Start of the current line.
     line: usize,
-    /// Whether the last line ended with a CR, of which an LF may be a part.
+    /// Whether the last line ended with a CR. A following LF belongs to the same line end.
     after_cr: bool,
-    /// Whether a line has ended at all: a byte order mark may only stand before.
-    past_mark: bool,
-    /// Whether an event is open: a field of it has come, and not its end.
+    /// Whether any line has ended: a byte order mark is allowed only before that.
+    past_first_line: bool,
+    /// Whether an event is open: it has a field, but has not ended.
     in_event: bool,
-    /// Id that the open event has.
+    /// ID of the open event.
     id: Option<String>,
-    /// Whole events so far.
+    /// Number of complete events so far.
     events: u32,
 }
 
 impl EventSplitter {
-    /// Takes bytes; gives what is whole now, `None` where nothing is to be passed on.
+    /// Adds bytes and returns what is complete, or `None` if nothing can be forwarded yet.
     ///
-    /// Comments and blank lines before the first event wait for it, so that a stream that breaks before
-    /// has told its caller nothing; later ones show that the stream lives, and wait for nothing.
+    /// Comments and blank lines before the first event are held back until it is complete, so that
+    /// nothing has reached the caller if the stream breaks earlier. Later ones act as keep-alives
+    /// and are forwarded immediately.
     ///
     /// # Errors
     ///
-    /// Fails if an event is longer than allowed.
+    /// Fails if an event exceeds the size limit.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Option<CompleteEvents>, EventTooLong> {
         self.buffer.extend_from_slice(bytes);
         let mut whole = Scanned::default();
         while let Some(at) = self.next_line_end() {
-            self.take_line_end(at, &mut whole);
+            self.handle_line_end(at, &mut whole);
         }
         if self.scanned < self.buffer.len() {
             self.scanned = self.buffer.len();
@@ -79,7 +81,7 @@
         Ok(None)
     }
 
-    /// Gives what is left at the end of the stream: bytes that were not passed on, and what they are.
+    /// Returns the bytes left at the end of the stream that were not forwarded, and what they are.
     #[must_use]
     pub fn finish(self) -> (Bytes, TrailingData) {
         let left = self.left();
@@ -87,7 +89,7 @@
     }
 
     fn left(&self) -> TrailingData {
-        let line = self.unmarked(&self.buffer[self.line..]);
+        let line = self.strip_byte_order_mark(&self.buffer[self.line..]);
         if self.in_event {
             TrailingData::Event
         } else if line.is_empty() {
@@ -99,26 +101,26 @@
         }
     }
 
-    /// Tells whether an event has been whole.
+    /// Whether any event has been complete.
     #[must_use]
     pub fn has_begun(&self) -> bool {
         self.events > 0
     }
 
-    /// Finds the next byte that ends a line, or a second half of such an end.
+    /// Finds the next CR or LF.
     fn next_line_end(&self) -> Option<usize> {
         let unread = &self.buffer[self.scanned..];
         let at = unread.iter().position(|b| matches!(b, b'\n' | b'\r'))?;
         Some(self.scanned + at)
     }
 
-    fn take_line_end(&mut self, at: usize, whole: &mut Scanned) {
+    fn handle_line_end(&mut self, at: usize, whole: &mut Scanned) {
         let follows_cr = self.after_cr && at == self.scanned;
         let byte = self.buffer[at];
         self.scanned = at + 1;
         self.after_cr = byte == b'\r';
         if byte == b'\n' && follows_cr {
-            // The second half of the last line's end.
+            // The LF of a CRLF.
             self.line = self.scanned;
             if !self.in_event {
                 whole.end = self.scanned;
@@ -128,10 +130,10 @@
         }
     }
 
-    /// Takes the line that ends with the byte that was looked at last.
+    /// Handles the line that ends with the last scanned byte.
     fn end_line(&mut self, whole: &mut Scanned) {
         let line = &self.buffer[self.line..self.scanned - 1];
-        let line = self.unmarked(line);
+        let line = self.strip_byte_order_mark(line);
         if line.is_empty() {
             if std::mem::replace(&mut self.in_event, false) {
                 whole.count += 1;
@@ -143,17 +145,19 @@
             }
             self.in_event = true;
         }
-        self.past_mark = true;
+        self.past_first_line = true;
         self.line = self.scanned;
         if !self.in_event {
             whole.end = self.scanned;
         }
     }
 
-    /// Gives a line without the byte order mark, which only the first one may have.
-    fn unmarked<'a>(&self, line: &'a [u8]) -> &'a [u8] {
-        let marked = line.strip_prefix(BYTE_ORDER_MARK);
-        marked.filter(|_| !self.past_mark).unwrap_or(line)
+    /// Strips the byte order mark, which only the first line may have.
+    fn strip_byte_order_mark<'a>(&self, line: &'a [u8]) -> &'a [u8] {
+        let request_builder = line.strip_prefix(BYTE_ORDER_MARK);
+        request_builder
+            .filter(|_| !self.past_first_line)
+            .unwrap_or(line)
     }
 
     fn cut(&mut self, whole: Scanned) -> CompleteEvents {
@@ -167,16 +171,16 @@
     }
 }
 
-/// What was found in the buffer by one look at it.
+/// Result of scanning the buffer once.
 #[derive(Debug, Default)]
 struct Scanned {
-    /// Where nothing was open for the last time.
+    /// Position after the last byte at which no event was open.
     end: usize,
     count: u32,
     last_id: Option<String>,
 }
 
-/// Gives the id that a field sets; one that is no text, or has a NUL, sets none.
+/// Returns the ID set by a field. Values that are not UTF-8 or contain a NUL set none.
 fn read_id(line: &[u8]) -> Option<String> {
     let value = match line.strip_prefix(b"id")? {
         [] => &[],
--- a/crates/firdock-node/src/endpoint/notice.rs
+++ b/crates/firdock-node/src/endpoint/notice.rs
@@ -1,7 +1,7 @@
-//! Reading of what the head of an answer says of its endpoint.
+//! Reads an endpoint's notice about itself from the head of an answer.
 //!
-//! `Retry-After` is HTTP's own, so that all ways of speaking to endpoints read it here; how an endpoint
-//! says that it leaves is its protocol's.
+//! `Retry-After` is standard HTTP and is therefore read here for every protocol; the header that
+//! announces that an endpoint is leaving depends on the protocol.
 
 use std::time::Duration;
 
@@ -9,41 +9,41 @@
 use hyper::header::{self, HeaderName, HeaderValue};
 use hyper::{HeaderMap, StatusCode};
 
-/// Value by which an endpoint says that it leaves.
-const LEAVES: &[u8] = b"1";
-/// Value that says nothing, as if the header was absent.
-const STAYS: &[u8] = b"0";
-/// Longest text of a time that is read: its whole seconds and as many digits of a fraction as matter.
+/// Value that announces that the endpoint is leaving.
+const LEAVING: &[u8] = b"1";
+/// Value with the same meaning as an absent header.
+const NOT_LEAVING: &[u8] = b"0";
+/// Longest accepted text of a time: whole seconds and the significant digits of a fraction.
 const MAX_TIME_BYTES: usize = 32;
-/// Lines of one header that are read: an answer has one.
-const MAX_LINES: usize = 8;
-/// Longest part of a value that cannot be read that is kept for the log.
-const UNREAD_BYTES: usize = 64;
+/// Maximum number of lines read for one header. Answers normally have one.
+const MAX_HEADER_LINES: usize = 8;
+/// Maximum length of a malformed value that is kept for the log.
+const MAX_LOGGED_BYTES: usize = 64;
 
-/// What the head of an answer says of its endpoint, as far as it can be read.
+/// The readable part of a notice in the head of an answer.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct HeadNotice {
-    /// What was read.
+    /// The notice.
     pub notice: Notice,
-    /// The start of a value that could not be read; it is passed over.
+    /// Start of a malformed value, which is ignored.
     pub malformed: Option<String>,
 }
 
 impl HeadNotice {
-    /// Reads the head of an answer of a protocol in which `leaving` says that an endpoint leaves.
+    /// Reads the notice from the head of an answer, where the header `leaving` announces that the
+    /// endpoint is leaving.
     ///
-    /// Any value but `1` says nothing of leaving. A back-off is read on an answer of status 503 alone,
-    /// where `Retry-After` is the endpoint's word on itself; elsewhere it is about the request. Of
-    /// several values the longest counts, and one beyond [`Notice::MAX_BACKOFF`] is cut to that. A date
-    /// is passed over like any other value that is no number of seconds: it would need a clock that
-    /// both ends share.
+    /// Only the value `1` means that it is leaving. A back-off is read only with status 503, where
+    /// `Retry-After` concerns the endpoint; with other statuses it concerns the request. The
+    /// longest of several values counts, capped at [`Notice::MAX_BACKOFF`]. A date is ignored like
+    /// any other value that is not a number of seconds, since it would require synchronized clocks.
     #[must_use]
     pub fn read(status: StatusCode, headers: &HeaderMap, leaving: &HeaderName) -> Self {
         let mut read = Self::default();
-        for value in headers.get_all(leaving).iter().take(MAX_LINES) {
+        for value in headers.get_all(leaving).iter().take(MAX_HEADER_LINES) {
             match value.as_bytes().trim_ascii() {
-                LEAVES => read.notice.leaving = true,
-                STAYS => {}
+                LEAVING => read.notice.leaving = true,
+                NOT_LEAVING => {}
                 _ => read.record_malformed(value),
             }
         }
@@ -55,8 +55,8 @@
 
     fn read_backoff(&mut self, headers: &HeaderMap) {
         let values = headers.get_all(header::RETRY_AFTER);
-        for value in values.iter().take(MAX_LINES) {
-            let Some(time) = read_seconds(value.as_bytes().trim_ascii()) else {
+        for value in values.iter().take(MAX_HEADER_LINES) {
+            let Some(time) = parse_seconds(value.as_bytes().trim_ascii()) else {
                 self.record_malformed(value);
                 continue;
             };
@@ -73,18 +73,18 @@
     }
 }
 
-/// Gives the start of a header's value that cannot be read, as the log tells it.
+/// Returns the start of a malformed header value, for the log.
 #[must_use]
 pub fn value_prefix(value: &HeaderValue) -> String {
     let bytes = value.as_bytes();
-    let start = &bytes[..bytes.len().min(UNREAD_BYTES)];
+    let start = &bytes[..bytes.len().min(MAX_LOGGED_BYTES)];
     String::from_utf8_lossy(start).into_owned()
 }
 
-/// Reads a number of seconds, whole or with a fraction; `None` for anything else.
+/// Parses a number of seconds with an optional fraction; `None` for anything else.
 ///
-/// A whole part that is too large for the time type is the longest time there is.
-fn read_seconds(text: &[u8]) -> Option<Duration> {
+/// Values beyond the range of the time type yield its maximum.
+fn parse_seconds(text: &[u8]) -> Option<Duration> {
     let text = std::str::from_utf8(text).ok()?;
     let (whole, fraction) = text.split_once('.').unwrap_or((text, "0"));
     let is_number = |part: &str| !part.is_empty() && part.bytes().all(|b| b.is_ascii_digit());
--- a/crates/firdock-node/src/endpoint/plain.rs
+++ b/crates/firdock-node/src/endpoint/plain.rs
@@ -57,7 +57,7 @@
         };
         let head = HeadNotice::read(response.status(), response.headers(), &LEAVING_HEADER);
         let framing = Framing::read(order.method, response.status(), response.headers());
-        let result = take(order, response).map(|response| {
+        let result = check_response(order, response).map(|response| {
             let (parts, body) = response.into_parts();
             let head = AnswerHead {
                 status: parts.status,
@@ -75,7 +75,7 @@
 }
 
 /// Takes an answer's head: whether it answers the call at all.
-fn take(
+fn check_response(
     order: PlainRequest<'_>,
     mut response: Response<Incoming>,
 ) -> Result<Response<Incoming>, StartError> {
--- a/crates/firdock-node/src/endpoint/relay.rs
+++ b/crates/firdock-node/src/endpoint/relay.rs
@@ -1,8 +1,8 @@
-//! Passing of a request and its answer as they are, to endpoints of a platform.
+//! Relays requests and answers unchanged to and from the endpoints of a platform.
 //!
-//! Which headers tell what is the platform's; a [`Dialect`] writes and reads them. What an answer
-//! means for the request is decided here: ran or not, whose answer it is, whole or broken
-//! (see `docs/design/endpoints.md`).
+//! The headers are defined by the platform; a [`Dialect`] writes and reads them. This module
+//! decides what an answer means for the request: whether it ran, whether the answer belongs to it,
+//! and whether the answer is complete (see `docs/design/endpoints.md`).
 
 mod plain;
 mod stream;
@@ -18,7 +18,7 @@
 use hyper::{HeaderMap, Request, Response, StatusCode};
 use snafu::Snafu;
 
-use self::plain::{keep_failure, pass_plain};
+use self::plain::{forward_plain, keep_failure};
 use self::stream::Stream;
 use super::run::{DispatchError, DispatchRun};
 use super::{Dispatcher, EndpointBody, EndpointLocation, Framing, HeadNotice, break_cause};
@@ -26,66 +26,66 @@
 use crate::http::{CallError, connect, strip_hop_by_hop};
 use crate::telemetry::LogKind;
 
-/// Time allowed beyond a request's own limit before the endpoint counts as silent; the scheduler
-/// ends requests whose time is up, so this only bounds what it never hears of.
-const PAST_DEADLINE: Duration = Duration::from_secs(2);
-/// Time for an answer to a request without a time limit.
-const NO_DEADLINE: Duration = Duration::from_mins(10);
+/// Time allowed beyond a request's own deadline before the endpoint counts as silent. The scheduler
+/// ends requests at their deadline, so this only bounds the ones that it has lost track of.
+const DEADLINE_GRACE: Duration = Duration::from_secs(2);
+/// Time limit for the answer to a request without a deadline.
+const DEFAULT_TIMEOUT: Duration = Duration::from_mins(10);
 
-/// What a request to an endpoint has to carry besides what the caller sent.
+/// What a request to an endpoint carries in addition to the caller's request.
 #[derive(Debug, Clone, Copy)]
 pub struct RelayRequest<'a> {
-    /// The request as the caller sent it.
+    /// The request as sent by the caller.
     pub payload: &'a Payload,
-    /// Endpoint that must answer, and no other that has its address by now.
+    /// Endpoint that must answer. Another endpoint may have taken over its address.
     pub endpoint: &'a EndpointId,
-    /// Time that is left, if the request has a limit.
+    /// Time until the deadline, if the request has one.
     pub left: Option<Duration>,
-    /// Id of the last event that the caller has, where the request goes on at another endpoint.
+    /// ID of the last event that the caller received, if the request resumes at another endpoint.
     pub last_event: Option<&'a str>,
 }
 
-/// What the head of an endpoint's answer says.
+/// Meaning of the head of an endpoint's answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ResponseKind {
-    /// The request did not run, and the endpoint may take others.
+    /// The request did not run, and the endpoint can take other requests.
     NotRun,
-    /// The request did not run, for another endpoint has the address.
+    /// The request did not run, because the address now belongs to another endpoint.
     Misdirected,
-    /// The answer belongs to another request, or is none by the platform's protocol.
+    /// The answer belongs to another request or violates the platform's protocol.
     Foreign,
     /// The answer to the request.
     Answer,
 }
 
-/// What an endpoint says of its load has another form or is beyond any load.
+/// The load that an endpoint reports has an unknown format or is out of range.
 #[derive(Debug, Clone, Snafu, PartialEq, Eq)]
 #[snafu(display("no load: {text}"))]
 pub struct InvalidLoad {
-    /// The start of what it says.
+    /// Start of the malformed value.
     pub text: String,
 }
 
-/// How a platform's endpoints are spoken to.
+/// Protocol of a platform's endpoints.
 pub trait Dialect: Clone + Send + Sync + 'static {
-    /// Puts on the request what the endpoint has to be told.
+    /// Adds the headers that the endpoint needs.
     fn add_headers(&self, headers: &mut HeaderMap, order: RelayRequest<'_>);
 
-    /// Reads the head of an answer.
+    /// Classifies the head of an answer.
     fn classify(&self, payload: &Payload, status: StatusCode, headers: &HeaderMap) -> ResponseKind;
 
-    /// Reads what the head of an answer says of the endpoint itself, whatever the answer is.
+    /// Reads the endpoint's notice about itself from any answer.
     fn notice(&self, status: StatusCode, headers: &HeaderMap) -> HeadNotice;
 
-    /// Reads what the head of an answer says of the endpoint's load; `None` where it says nothing.
+    /// Reads the endpoint's load from the head of an answer, or `None` if the head has none.
     ///
     /// # Errors
     ///
-    /// Fails where what it says is no load.
+    /// Fails if the value is malformed.
     fn load(&self, headers: &HeaderMap) -> Result<Option<ServerLoad>, InvalidLoad>;
 }
 
-/// Endpoints that get requests as they are.
+/// Dispatches requests unchanged to a platform's endpoints.
 #[derive(Debug, Clone)]
 pub struct Relay<D> {
     dialect: D,
@@ -93,7 +93,7 @@
 }
 
 impl<D: Dialect> Relay<D> {
-    /// Makes a relay with its time limit for connects.
+    /// Creates a relay with a time limit for connecting.
     #[must_use]
     pub fn new(dialect: D, connect_time: Duration) -> Self {
         Self {
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Makes the request for one dispatch.
+    /// Builds the request of one dispatch.
     fn request(&self, run: &DispatchRun) -> Option<Request<Full<Bytes>>> {
         let payload = &run.exchange.payload;
         let body = Full::new(payload.body.clone());
@@ -123,20 +123,20 @@
         Some(request)
     }
 
-    /// Tells the scheduler what an answer's head says of the endpoint's pace.
-    async fn take_load(&self, run: &DispatchRun, headers: &HeaderMap) {
+    /// Reports the endpoint's pace from the head of an answer to the scheduler.
+    async fn report_load(&self, run: &DispatchRun, headers: &HeaderMap) {
         match self.dialect.load(headers) {
             Ok(load) => {
                 if let Some(pace) = load.and_then(|load| load.pace) {
-                    run.tell_pace(pace).await;
+                    run.report_pace(pace).await;
                 }
             }
-            Err(invalid) => run.tell_unread(LogKind::BadLoad, invalid.text).await,
+            Err(invalid) => run.report_malformed(LogKind::BadLoad, invalid.text).await,
         }
     }
 
-    /// Takes an answer's head: tells the scheduler what it means, or passes the answer on.
-    async fn take(
+    /// Handles the head of an answer: reports its meaning to the scheduler, or forwards the answer.
+    async fn handle_response(
         &self,
         place: EndpointLocation,
         run: &DispatchRun,
@@ -145,82 +145,85 @@
         let payload = &run.exchange.payload;
         let status = response.status();
         let reply = self.dialect.classify(payload, status, response.headers());
-        // First of all, whatever becomes of the answer; of one by another endpoint, it is that one's.
+        // Reported before anything else, whatever the answer means. A misdirected answer carries
+        // another endpoint's notice, which is ignored.
         let head = match reply {
             ResponseKind::Misdirected => HeadNotice::default(),
             _ => self.dialect.notice(status, response.headers()),
         };
-        run.tell_notice(&head).await;
+        run.report_notice(&head).await;
         match reply {
-            ResponseKind::NotRun => return run.not_sent(false).await,
-            ResponseKind::Misdirected => return run.not_sent(true).await,
-            ResponseKind::Foreign => return run.tell_broken(BreakCause::Foreign).await,
+            ResponseKind::NotRun => return run.report_not_run(false).await,
+            ResponseKind::Misdirected => return run.report_not_run(true).await,
+            ResponseKind::Foreign => return run.report_broken(BreakCause::Foreign).await,
             ResponseKind::Answer => {}
         }
-        self.take_load(run, response.headers()).await;
+        self.report_load(run, response.headers()).await;
         let framing = Framing::read(&payload.method, status, response.headers());
-        run.note_head(framing);
+        run.record_head(framing);
         strip_hop_by_hop(response.headers_mut());
         let (parts, body) = response.into_parts();
         let body = EndpointBody::new(body, framing);
         let has_failed = status.is_server_error();
-        let wants_none = head.notice.backoff.is_some();
+        let backs_off = head.notice.backoff.is_some();
         let head = AnswerHead {
             status,
             headers: parts.headers,
             unframed: framing == Framing::Connection,
         };
-        if has_failed && !wants_none {
-            run.tell(DispatchUpdate::Failed).await;
+        if has_failed && !backs_off {
+            run.report(DispatchUpdate::Failed).await;
         }
         if has_failed && payload.terms.repeatable {
-            if !wants_none {
+            if !backs_off {
                 keep_failure(run, head, body).await;
             }
-            return run.tell_broken(BreakCause::Failed).await;
+            return run.report_broken(BreakCause::Failed).await;
         }
         if payload.terms.streamed && status.is_success() {
-            Stream::new(run, head, place.event_tokens).pass(body).await
+            Stream::new(run, head, place.event_tokens)
+                .forward(body)
+                .await
         } else {
-            pass_plain(run, head, body).await
+            forward_plain(run, head, body).await
         }
     }
 }
 
 impl<D: Dialect> Dispatcher for Relay<D> {
     async fn run(&self, place: EndpointLocation, run: DispatchRun) -> &'static str {
-        let limit = run.dispatch.deadline.map_or(NO_DEADLINE, |by| {
-            by.saturating_sub(run.clock.now()) + PAST_DEADLINE
+        let limit = run.dispatch.deadline.map_or(DEFAULT_TIMEOUT, |by| {
+            by.saturating_sub(run.clock.now()) + DEADLINE_GRACE
         });
         let Ok(mut connection) = connect(run.target.address, self.connect_time).await else {
-            return run.not_sent(true).await;
+            return run.report_not_run(true).await;
         };
-        // The process may have stood still while it connected, so the last look comes after it.
-        if let Some(word) = run.stopped_before_write().await {
-            return word;
+        // Checked after the connect, since the process may have been suspended during it.
+        if let Some(result) = run.check_before_write().await {
+            return result;
         }
         let Some(request) = self.request(&run) else {
-            return run.not_sent(false).await;
+            return run.report_not_run(false).await;
         };
-        let word = match run.while_alive(connection.call(request, limit)).await {
-            Ok(Ok(response)) => self.take(place, &run, response).await,
+        let result = match run.until_restart(connection.call(request, limit)).await {
+            Ok(Ok(response)) => self.handle_response(place, &run, response).await,
             Ok(Err(CallError::Connect { .. } | CallError::ConnectTime { .. })) => {
-                run.not_sent(true).await
+                run.report_not_run(true).await
             }
-            Ok(Err(e)) => run.tell_broken(break_cause(&e)).await,
-            Err(_) => run.tell_broken(BreakCause::Restarted).await,
+            Ok(Err(e)) => run.report_broken(break_cause(&e)).await,
+            Err(_) => run.report_broken(BreakCause::Restarted).await,
         };
         drop(connection);
-        word
+        result
     }
 
-    /// Does nothing: endpoints drop a request when its connection closes.
+    /// Does nothing: the endpoints drop a request when its connection is closed.
     async fn cancel(&self, _place: EndpointLocation, _id: RequestId, _dispatch: u32) {}
 }
 
-/// Tells the scheduler how the answer ended.
-async fn finish(run: &DispatchRun, passed: Result<(), DispatchError>, output: u32) -> &'static str {
-    match passed {
+/// Reports the end of the answer to the scheduler.
+async fn finish(run: &DispatchRun, result: Result<(), DispatchError>, output: u32) -> &'static str {
+    match result {
         Ok(()) => {
             run.exchange.reply.mark_complete();
             let news = DispatchUpdate::Ended {
@@ -228,15 +231,15 @@
                 cached: 0,
                 output,
             };
-            run.tell(news).await;
-            // The caller may be gone by now; the scheduler hears of that from the door.
-            let _ = run.pass(AnswerPart::End).await;
+            run.report(news).await;
+            // The caller may be gone by now; the ingress reports that to the scheduler.
+            let _ = run.forward(AnswerPart::End).await;
             "answered"
         }
         Err(DispatchError::CallerGone) => {
-            run.tell_caller_left().await;
+            run.report_caller_left().await;
             "caller-left"
         }
-        Err(DispatchError::EndpointFailed(cause)) => run.tell_broken(cause).await,
+        Err(DispatchError::EndpointFailed(cause)) => run.report_broken(cause).await,
     }
 }
--- a/crates/firdock-node/src/endpoint/run.rs
+++ b/crates/firdock-node/src/endpoint/run.rs
@@ -1,7 +1,7 @@
-//! What driving a dispatch needs, whatever kind of endpoint it goes to.
+//! State and operations that all kinds of dispatches share.
 //!
-//! A [`DispatchRun`] is the way to the caller and to the scheduler, so that no kind of endpoint has its own
-//! rules for a caller who does not read or for a key whose confirmation lapsed.
+//! A [`DispatchRun`] connects a dispatch to the caller and to the scheduler, so that slow callers
+//! and expired key confirmations are handled the same way for every kind of endpoint.
 
 use std::sync::{Arc, MutexGuard};
 use std::time::Duration;
@@ -28,16 +28,16 @@
 /// Time limits of a dispatch.
 #[derive(Debug, Clone, Copy)]
 pub struct DispatchLimits {
-    /// Longest time for a connect.
+    /// Time limit of a connection attempt.
     pub connect: Duration,
-    /// Longest silence of an endpoint.
+    /// Longest time without data from an endpoint.
     pub silence: Duration,
-    /// Longest time that a caller may leave parts of the answer unread.
+    /// Longest time for which a caller may leave parts of the answer unread.
     pub caller_stall: Duration,
 }
 
 impl DispatchLimits {
-    /// Takes the limits from the endpoints' part of the settings.
+    /// Takes the limits from the `endpoints` section of the settings.
     #[must_use]
     pub fn new(endpoints: &Endpoints) -> Self {
         Self {
@@ -48,53 +48,54 @@
     }
 }
 
-/// What every driver of a dispatch needs.
+/// Everything that running one dispatch needs.
 #[derive(Debug, Clone)]
 pub struct DispatchRun {
-    /// The request and the way back to its caller.
+    /// The request and the channel to its caller.
     pub exchange: Arc<Exchange>,
-    /// The order.
+    /// The scheduler's dispatch action.
     pub dispatch: Dispatch,
-    /// Where the endpoint is.
+    /// Name and address of the endpoint.
     pub target: Target,
-    /// Start of the endpoint that is meant.
+    /// Process of the endpoint that the dispatch is meant for.
     pub start: StartId,
     /// Time limits.
     pub limits: DispatchLimits,
-    /// Way to the scheduler.
+    /// Channel to the scheduler.
     pub inputs: mpsc::Sender<Input>,
-    /// Clock, for the last look at the key's confirmation.
+    /// Clock for the final check of the key's confirmation.
     pub clock: Clock,
-    /// Trace of this hop.
+    /// Trace context of this hop.
     pub trace: TraceContext,
-    /// What has become of the endpoint since.
-    pub since: watch::Receiver<EndpointChange>,
+    /// Changes of the endpoint since it was chosen.
+    pub change: watch::Receiver<EndpointChange>,
 }
 
-/// What has become of a dispatch's endpoint since it was chosen.
+/// What has happened to a dispatch's endpoint since it was chosen.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum EndpointChange {
-    /// Nothing that changes the choice.
+    /// Nothing that affects the dispatch.
     #[default]
     Unchanged,
-    /// It said that it wants nothing new: what is not written yet is given back.
+    /// The endpoint has announced that it accepts no new requests. A request that has not been
+    /// written yet is returned to the scheduler.
     Closed,
-    /// It has started again, so that nothing more comes of this run.
+    /// The endpoint has restarted, so that no more data will arrive.
     Restarted,
 }
 
-/// How a step of a dispatch ended it early.
+/// Why a dispatch ended early.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DispatchError {
-    /// The caller does not read or is gone.
+    /// The caller has disconnected or does not read.
     CallerGone,
-    /// The endpoint was lost.
+    /// The endpoint failed.
     EndpointFailed(BreakCause),
 }
 
 impl DispatchRun {
-    /// Tells the scheduler something about this dispatch.
-    pub async fn tell(&self, news: DispatchUpdate) {
+    /// Reports an update of this dispatch to the scheduler.
+    pub async fn report(&self, news: DispatchUpdate) {
         let (id, dispatch) = (self.dispatch.id, self.dispatch.dispatch);
         let event = Event::Endpoint(EndpointEvent {
             id,
@@ -104,56 +105,62 @@
         let _ = self.inputs.send(Input::Event(event)).await;
     }
 
-    /// Tells the scheduler how long work takes at the endpoint now.
-    pub async fn tell_pace(&self, pace: Pace) {
-        let told = PaceReport {
+    /// Reports the endpoint's pace to the scheduler.
+    pub async fn report_pace(&self, pace: Pace) {
+        let report = PaceReport {
             endpoint: self.target.name.clone(),
             pace,
             read: self.clock.now(),
         };
         let _ = self
             .inputs
-            .send(Input::Event(Event::PaceReported(told)))
+            .send(Input::Event(Event::PaceReported(report)))
             .await;
     }
 
-    /// Tells the scheduler what the head of an answer said of the endpoint, if it said anything.
+    /// Reports a notice in the head of an answer to the scheduler, if there is any.
     ///
-    /// A task of its own tells it: this one is ended at any moment when its caller leaves, and the word
-    /// would be lost with it where the way to the scheduler is full.
-    pub async fn tell_notice(&self, head: &HeadNotice) {
+    /// The report is sent by a task of its own. The current task can be aborted at any time when
+    /// its caller leaves, and the notice would be lost with it if the channel to the scheduler is
+    /// full.
+    pub async fn report_notice(&self, head: &HeadNotice) {
         if let Some(malformed) = &head.malformed {
-            self.tell_unread(LogKind::BadNotice, malformed.clone())
+            self.report_malformed(LogKind::BadNotice, malformed.clone())
                 .await;
         }
         if head.notice.is_empty() {
             return;
         }
-        let told = NoticeReport {
+        let report = NoticeReport {
             endpoint: self.start.clone(),
             member: InstanceId::new(),
             notice: head.notice,
             read: self.clock.now(),
         };
         let inputs = self.inputs.clone();
-        let telling = async move { inputs.send(Input::Event(Event::NoticeReported(told))).await };
-        let _ = tokio::spawn(telling).await;
+        let sending = async move {
+            inputs
+                .send(Input::Event(Event::NoticeReported(report)))
+                .await
+        };
+        let _ = tokio::spawn(sending).await;
     }
 
-    /// Tells that what the endpoint says can't be read; it is passed over.
-    pub async fn tell_unread(&self, kind: LogKind, told: String) {
-        let input = Input::Malformed(kind, self.target.name.clone(), told);
+    /// Reports that a header of the endpoint is malformed. The header is ignored.
+    pub async fn report_malformed(&self, kind: LogKind, value: String) {
+        let input = Input::Malformed(kind, self.target.name.clone(), value);
         let _ = self.inputs.send(input).await;
     }
 
-    /// Passes a part on; a caller who does not read for too long counts as gone.
+    /// Forwards a part of the answer to the caller. A caller who does not read for too long counts
+    /// as gone.
     ///
-    /// It waits for the caller only where no budget of bytes is set for answers.
+    /// Waits for the caller only if no byte budget is set for answers.
     ///
     /// # Errors
     ///
     /// Fails with [`DispatchError::CallerGone`].
-    pub async fn pass(&self, part: AnswerPart) -> Result<(), DispatchError> {
+    pub async fn forward(&self, part: AnswerPart) -> Result<(), DispatchError> {
         let sending = timeout(self.limits.caller_stall, self.exchange.reply.send(part)).await;
         match sending {
             Ok(Ok(())) => Ok(()),
@@ -161,24 +168,24 @@
         }
     }
 
-    /// Tells the scheduler that the caller is gone.
-    pub async fn tell_caller_left(&self) {
+    /// Reports to the scheduler that the caller is gone.
+    pub async fn report_caller_left(&self) {
         let event = Event::CallerLeft(self.id());
         let _ = self.inputs.send(Input::Event(event)).await;
     }
 
-    /// Tells the scheduler that the answer will not come whole, and how that came about; gives a word
-    /// on it for the trace.
-    pub async fn tell_broken(&self, cause: BreakCause) -> &'static str {
+    /// Reports to the scheduler that the answer is incomplete, and why. Returns the result for the
+    /// trace.
+    pub async fn report_broken(&self, cause: BreakCause) -> &'static str {
         let delivered = self.delivered().tokens;
-        self.tell(DispatchUpdate::Breaking(cause)).await;
-        self.tell(DispatchUpdate::Broke { delivered }).await;
+        self.report(DispatchUpdate::Breaking(cause)).await;
+        self.report(DispatchUpdate::Broke { delivered }).await;
         cause.as_str()
     }
 
-    /// Tells the scheduler that the request did not run; gives a word on why for the trace.
-    pub async fn not_sent(&self, unreachable: bool) -> &'static str {
-        self.tell(DispatchUpdate::Refused { unreachable }).await;
+    /// Reports to the scheduler that the request did not run. Returns the result for the trace.
+    pub async fn report_not_run(&self, unreachable: bool) -> &'static str {
+        self.report(DispatchUpdate::Refused { unreachable }).await;
         if unreachable {
             "unreachable"
         } else {
@@ -186,72 +193,74 @@
         }
     }
 
-    /// Looks one last time, right before the write, whether the request may be sent; where it may not,
-    /// gives it back and a word on why for the trace.
+    /// Checks right before the write whether the request may still be sent. If not, returns it to
+    /// the scheduler and the result for the trace.
     ///
-    /// Each way to an endpoint passes here, a relay's after its connect, so that what became known while
-    /// that took its time, or while the process stood still, counts.
-    pub async fn stopped_before_write(&self) -> Option<&'static str> {
-        if self.lapsed().await {
+    /// Every dispatch passes this check, a relayed one after connecting, so that changes during the
+    /// connect, or while the process was suspended, are taken into account.
+    pub async fn check_before_write(&self) -> Option<&'static str> {
+        if self.confirmation_expired().await {
             return Some("lapsed");
         }
-        let since = *self.since.borrow();
-        match since {
+        let change = *self.change.borrow();
+        match change {
             EndpointChange::Unchanged => None,
             EndpointChange::Closed => {
-                self.tell(DispatchUpdate::Withheld).await;
+                self.report(DispatchUpdate::Withheld).await;
                 Some("withheld")
             }
-            // The start that was meant is gone, and its successor has not got the request.
-            EndpointChange::Restarted => Some(self.not_sent(true).await),
+            // The intended process is gone, and its successor has not received the request.
+            EndpointChange::Restarted => Some(self.report_not_run(true).await),
         }
     }
 
-    /// Waits for the endpoint, for as long as the start lives that the request was sent to.
+    /// Waits for the endpoint for as long as the process that received the request lives.
     ///
-    /// Only waiting ends: what was read is passed on whole, so that another endpoint goes on after it.
+    /// Only the wait is cancelled. Data that was already read is forwarded completely, so that
+    /// another endpoint can resume after it.
     ///
     /// # Errors
     ///
-    /// Fails once the endpoint has started again.
-    pub async fn while_alive<T>(&self, wait: impl Future<Output = T>) -> Result<T, Ending> {
-        let mut since = self.since.clone();
+    /// Fails once the endpoint has restarted.
+    pub async fn until_restart<T>(&self, wait: impl Future<Output = T>) -> Result<T, Ending> {
+        let mut change = self.change.clone();
         tokio::select! {
             biased;
             got = wait => Ok(got),
-            Ok(_) = since.wait_for(|s| *s == EndpointChange::Restarted) => Err(Ending::Restarted),
+            Ok(_) = change.wait_for(|s| *s == EndpointChange::Restarted) => Err(Ending::Restarted),
         }
     }
 
-    /// Reads on in an answer for as long as its endpoint lives.
+    /// Reads the next bytes of an answer while its endpoint lives.
     ///
     /// # Errors
     ///
-    /// Gives how the answer ended.
+    /// Returns how the answer ended.
     pub(super) async fn read(&self, body: &mut EndpointBody) -> Result<Bytes, Ending> {
-        let bytes = self.while_alive(body.next()).await.flatten()?;
-        self.note_bytes(&bytes);
+        let bytes = self.until_restart(body.next()).await.flatten()?;
+        self.record_bytes(&bytes);
         Ok(bytes)
     }
 
-    /// Notes that the head of this dispatch's answer came.
-    pub(super) fn note_head(&self, framing: Framing) {
+    /// Records that the head of this dispatch's answer arrived.
+    pub(super) fn record_head(&self, framing: Framing) {
         self.delivered().end = Some(AnswerEnd::new(framing));
     }
 
-    /// Notes bytes of the body that were read.
-    pub(super) fn note_bytes(&self, bytes: &[u8]) {
+    /// Records bytes of the body that were read.
+    pub(super) fn record_bytes(&self, bytes: &[u8]) {
         if let Some(end) = &mut self.delivered().end {
             end.bytes += bytes.len() as u64;
         }
     }
 
-    /// Notes how the answer ended, decides whether it is whole, and tells the scheduler where nobody knows.
+    /// Records how the answer ended and decides whether it is complete. If that is unknown, reports
+    /// so to the scheduler.
     ///
     /// # Errors
     ///
-    /// Fails with [`Stop::Endpoint`] where it is not.
-    pub(super) async fn settle(
+    /// Fails with [`DispatchError::EndpointFailed`] if the answer is incomplete.
+    pub(super) async fn finish_answer(
         &self,
         framing: Framing,
         ending: Ending,
@@ -261,12 +270,13 @@
             end.ending = Some(ending);
         }
         match assess_completeness(framing, ending, shape) {
-            // An earlier head promised an end that would claim more than is known.
+            // The head sent earlier declared a framing, and ending the answer by it would claim
+            // that it is complete.
             Completeness::Unproven if self.delivered().framed => {
                 Err(DispatchError::EndpointFailed(BreakCause::Closed))
             }
             Completeness::Unproven => {
-                self.tell(DispatchUpdate::Unproven).await;
+                self.report(DispatchUpdate::Unproven).await;
                 Ok(())
             }
             Completeness::Complete => Ok(()),
@@ -274,26 +284,25 @@
         }
     }
 
-    /// Looks at the key's confirmation one last time, right before the write.
-    ///
-    /// Tells whether it lapsed; the scheduler has been told then.
-    async fn lapsed(&self) -> bool {
-        let lapsed = self
+    /// Checks right before the write whether the key's confirmation has expired, and reports it to
+    /// the scheduler if so.
+    async fn confirmation_expired(&self) -> bool {
+        let confirmation_expired = self
             .dispatch
             .confirm_by
             .is_some_and(|until| until <= self.clock.now());
-        if lapsed {
-            self.tell(DispatchUpdate::Lapsed).await;
+        if confirmation_expired {
+            self.report(DispatchUpdate::Lapsed).await;
         }
-        lapsed
+        confirmation_expired
     }
 
-    /// Gives the request's id.
+    /// Returns the request ID.
     pub(super) fn id(&self) -> RequestId {
         self.dispatch.id
     }
 
-    /// Gives how much of the answer has been passed on, over all dispatches.
+    /// Returns what has been forwarded of the answer, over all dispatches.
     pub(super) fn delivered(&self) -> MutexGuard<'_, Delivered> {
         self.exchange.delivered()
     }
--- a/crates/firdock-node/src/endpoint/run_engine.rs
+++ b/crates/firdock-node/src/endpoint/run_engine.rs
@@ -14,9 +14,9 @@
 use crate::ingress::ModelCall;
 
 /// Tries to take up a broken stream on the same engine.
-const RESUME_TRIES: u32 = 2;
+const MAX_RESUME_ATTEMPTS: u32 = 2;
 /// Pause before such a try.
-const RESUME_PAUSE: Duration = Duration::from_millis(50);
+const RESUME_DELAY: Duration = Duration::from_millis(50);
 /// Longest text of an answer that is put together for a caller who does not stream.
 const MAX_TEXT_BYTES: usize = 8 << 20;
 
@@ -25,8 +25,8 @@
     let Some(call) = run.exchange.payload.model.clone() else {
         return "no-model-call";
     };
-    if let Some(word) = run.stopped_before_write().await {
-        return word;
+    if let Some(result) = run.check_before_write().await {
+        return result;
     }
     let text = run.delivered().text.clone();
     let order = EngineRequest {
@@ -39,44 +39,45 @@
         trace: run.trace,
     };
     let started = engine.start(run.target.address, order).await;
-    run.tell_notice(&started.head).await;
+    run.report_notice(&started.head).await;
     match started.result {
         Ok(stream) => follow(&engine, &run, order, stream).await,
-        Err(e) => not_started(&run, e).await,
+        Err(e) => report_start_error(&run, e).await,
     }
 }
 
-async fn not_started(run: &DispatchRun, error: StartError) -> &'static str {
+async fn report_start_error(run: &DispatchRun, error: StartError) -> &'static str {
     match error {
-        StartError::Unreachable => run.not_sent(true).await,
-        StartError::Refused => run.not_sent(false).await,
-        StartError::Lost { cause } => run.tell_broken(cause).await,
-        StartError::Answered { status, body } => pass_error(run, status, body).await,
+        StartError::Unreachable => run.report_not_run(true).await,
+        StartError::Refused => run.report_not_run(false).await,
+        StartError::Lost { cause } => run.report_broken(cause).await,
+        StartError::Answered { status, body } => forward_error(run, status, body).await,
     }
 }
 
 /// Passes an engine's own error on as the caller's answer.
-async fn pass_error(run: &DispatchRun, status: u16, body: Bytes) -> &'static str {
+async fn forward_error(run: &DispatchRun, status: u16, body: Bytes) -> &'static str {
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
     let head = AnswerHead {
         status,
         headers: content_type("application/json"),
         unframed: false,
     };
-    run.tell(DispatchUpdate::Started { head_sent: true }).await;
+    run.report(DispatchUpdate::Started { head_sent: true })
+        .await;
     for part in [AnswerPart::Head(head), AnswerPart::Data(body)] {
-        if run.pass(part).await.is_err() {
-            run.tell_caller_left().await;
+        if run.forward(part).await.is_err() {
+            run.report_caller_left().await;
             return "caller-left";
         }
     }
-    run.tell(DispatchUpdate::Ended {
+    run.report(DispatchUpdate::Ended {
         prompt: 0,
         cached: 0,
         output: 0,
     })
     .await;
-    let _ = run.pass(AnswerPart::End).await;
+    let _ = run.forward(AnswerPart::End).await;
     "engine-error"
 }
 
@@ -87,52 +88,52 @@
     order: EngineRequest<'_>,
     mut stream: E::Stream,
 ) -> &'static str {
-    let mut relay = Relay {
+    let mut forwarder = AnswerForwarder {
         run,
         call: order.call,
         usage: EngineUsage::default(),
         begun: false,
     };
-    let mut tries = 0;
+    let mut attempts = 0;
     loop {
-        let Ok(next) = run.while_alive(stream.next(run.limits.silence)).await else {
-            return run.tell_broken(BreakCause::Restarted).await;
+        let Ok(next) = run.until_restart(stream.next(run.limits.silence)).await else {
+            return run.report_broken(BreakCause::Restarted).await;
         };
         run.delivered().end = Some(stream.answer_end());
         match next {
             Ok(Some(event)) => {
-                if relay.pass(event).await.is_err() {
-                    run.tell_caller_left().await;
+                if forwarder.forward(event).await.is_err() {
+                    run.report_caller_left().await;
                     return "caller-left";
                 }
             }
-            Ok(None) => return relay.finish().await,
-            Err(StreamError::Broken) if tries < RESUME_TRIES => {
-                tries += 1;
-                tokio::time::sleep(RESUME_PAUSE).await;
+            Ok(None) => return forwarder.finish().await,
+            Err(StreamError::Broken) if attempts < MAX_RESUME_ATTEMPTS => {
+                attempts += 1;
+                tokio::time::sleep(RESUME_DELAY).await;
                 let from = run.delivered().tokens;
                 let resumed = engine.resume(run.target.address, order, from).await;
-                run.tell_notice(&resumed.head).await;
+                run.report_notice(&resumed.head).await;
                 match resumed.result {
                     Ok(again) => stream = again,
-                    Err(_) => return run.tell_broken(BreakCause::Closed).await,
+                    Err(_) => return run.report_broken(BreakCause::Closed).await,
                 }
             }
-            Err(e) => return run.tell_broken(break_cause(e)).await,
+            Err(e) => return run.report_broken(break_cause(e)).await,
         }
     }
 }
 
 /// Passes token events on in the form that the caller asked for.
-struct Relay<'a> {
+struct AnswerForwarder<'a> {
     run: &'a DispatchRun,
     call: &'a ModelCall,
     usage: EngineUsage,
     begun: bool,
 }
 
-impl Relay<'_> {
-    async fn pass(&mut self, mut event: TokenEvent) -> Result<(), DispatchError> {
+impl AnswerForwarder<'_> {
+    async fn forward(&mut self, mut event: TokenEvent) -> Result<(), DispatchError> {
         if let Some(usage) = event.usage {
             self.usage = usage;
         }
@@ -141,17 +142,19 @@
         if first {
             self.begin().await?;
         }
-        self.note(&event)?;
+        self.record(&event)?;
         if self.call.stream {
             self.begin_stream().await?;
             let line = format!("data: {}\n\n", event.json);
-            self.run.pass(AnswerPart::Data(Bytes::from(line))).await?;
+            self.run
+                .forward(AnswerPart::Data(Bytes::from(line)))
+                .await?;
         }
         if first {
             let delivered = self.run.delivered().tokens;
             let cached = self.usage.cached;
             self.run
-                .tell(DispatchUpdate::Tokens { delivered, cached })
+                .report(DispatchUpdate::Tokens { delivered, cached })
                 .await;
         }
         Ok(())
@@ -161,7 +164,7 @@
     async fn begin(&mut self) -> Result<(), DispatchError> {
         self.begun = true;
         let head_sent = self.call.stream;
-        self.run.tell(DispatchUpdate::Started { head_sent }).await;
+        self.run.report(DispatchUpdate::Started { head_sent }).await;
         Ok(())
     }
 
@@ -172,7 +175,7 @@
         }
         let headers = content_type("text/event-stream");
         self.run
-            .pass(AnswerPart::Head(AnswerHead {
+            .forward(AnswerPart::Head(AnswerHead {
                 status: StatusCode::OK,
                 headers,
                 unframed: false,
@@ -181,7 +184,7 @@
     }
 
     /// Adds the event to what has been passed on.
-    fn note(&self, event: &TokenEvent) -> Result<(), DispatchError> {
+    fn record(&self, event: &TokenEvent) -> Result<(), DispatchError> {
         let mut delivered = self.run.delivered();
         delivered.tokens = delivered.tokens.max(event.offset + event.tokens);
         delivered.text.push_str(&event.text);
@@ -198,29 +201,29 @@
         }
         let output = self.run.delivered().tokens;
         self.run.exchange.reply.mark_complete();
-        if self.pass_end(output).await.is_err() {
-            self.run.tell_caller_left().await;
+        if self.forward_end(output).await.is_err() {
+            self.run.report_caller_left().await;
             return "caller-left";
         }
         let (prompt, cached) = (self.usage.prompt, self.usage.cached);
         self.run
-            .tell(DispatchUpdate::Ended {
+            .report(DispatchUpdate::Ended {
                 prompt,
                 cached,
                 output,
             })
             .await;
-        let _ = self.run.pass(AnswerPart::End).await;
+        let _ = self.run.forward(AnswerPart::End).await;
         "answered"
     }
 
     /// Passes on what closes the answer.
-    async fn pass_end(&self, output: u32) -> Result<(), DispatchError> {
+    async fn forward_end(&self, output: u32) -> Result<(), DispatchError> {
         if self.call.stream {
             self.begin_stream().await?;
             return self
                 .run
-                .pass(AnswerPart::Data(Bytes::from_static(b"data: [DONE]\n\n")))
+                .forward(AnswerPart::Data(Bytes::from_static(b"data: [DONE]\n\n")))
                 .await;
         }
         let usage = crate::ingress::Usage {
@@ -238,8 +241,8 @@
             headers: content_type("application/json"),
             unframed: false,
         };
-        self.run.pass(AnswerPart::Head(head)).await?;
-        self.run.pass(AnswerPart::Data(body)).await
+        self.run.forward(AnswerPart::Head(head)).await?;
+        self.run.forward(AnswerPart::Data(body)).await
     }
 }
 
--- a/crates/firdock-node/src/endpoint/run_plain.rs
+++ b/crates/firdock-node/src/endpoint/run_plain.rs
@@ -15,8 +15,8 @@
     run: DispatchRun,
     answer_cache: AnswerCache,
 ) -> &'static str {
-    if let Some(word) = run.stopped_before_write().await {
-        return word;
+    if let Some(result) = run.check_before_write().await {
+        return result;
     }
     let payload = &run.exchange.payload;
     let order = PlainRequest {
@@ -31,60 +31,65 @@
     let heard = plain
         .call(run.target.address, order, run.limits.silence)
         .await;
-    run.tell_notice(&heard.head).await;
+    run.report_notice(&heard.head).await;
     match heard.result {
-        Ok(answer) => relay(&run, answer, &answer_cache).await,
-        Err(StartError::Unreachable) => run.not_sent(true).await,
-        Err(StartError::Refused) => run.not_sent(false).await,
-        Err(StartError::Answered { .. }) => run.tell_broken(BreakCause::Failed).await,
-        Err(StartError::Lost { cause }) => run.tell_broken(cause).await,
+        Ok(answer) => forward_answer(&run, answer, &answer_cache).await,
+        Err(StartError::Unreachable) => run.report_not_run(true).await,
+        Err(StartError::Refused) => run.report_not_run(false).await,
+        Err(StartError::Answered { .. }) => run.report_broken(BreakCause::Failed).await,
+        Err(StartError::Lost { cause }) => run.report_broken(cause).await,
     }
 }
 
-async fn relay(run: &DispatchRun, answer: PlainAnswer, answer_cache: &AnswerCache) -> &'static str {
+async fn forward_answer(
+    run: &DispatchRun,
+    answer: PlainAnswer,
+    answer_cache: &AnswerCache,
+) -> &'static str {
     let PlainAnswer {
         head,
         body,
         connection,
     } = answer;
-    run.note_head(body.framing());
+    run.record_head(body.framing());
     let mut kept = run
         .exchange
         .payload
         .key
         .as_ref()
         .map(|_| CachedAnswer::new(head.clone()));
-    run.tell(DispatchUpdate::Started { head_sent: true }).await;
-    let passed = match run.pass(AnswerPart::Head(head)).await {
-        Ok(()) => pass_body(run, body, &mut kept).await,
+    run.report(DispatchUpdate::Started { head_sent: true })
+        .await;
+    let result = match run.forward(AnswerPart::Head(head)).await {
+        Ok(()) => forward_body(run, body, &mut kept).await,
         Err(stop) => Err(stop),
     };
     drop(connection);
-    match passed {
+    match result {
         Ok(()) => {
             run.exchange.reply.mark_complete();
             if let Some(kept) = kept {
                 answer_cache.insert(run.dispatch.id, kept);
             }
-            run.tell(DispatchUpdate::Ended {
+            run.report(DispatchUpdate::Ended {
                 prompt: 0,
                 cached: 0,
                 output: 0,
             })
             .await;
-            let _ = run.pass(AnswerPart::End).await;
+            let _ = run.forward(AnswerPart::End).await;
             "answered"
         }
         Err(DispatchError::CallerGone) => {
-            run.tell_caller_left().await;
+            run.report_caller_left().await;
             "caller-left"
         }
-        Err(DispatchError::EndpointFailed(cause)) => run.tell_broken(cause).await,
+        Err(DispatchError::EndpointFailed(cause)) => run.report_broken(cause).await,
     }
 }
 
 /// Passes the body on to its end; an end that comes early is an error of the connection.
-async fn pass_body(
+async fn forward_body(
     run: &DispatchRun,
     mut body: EndpointBody,
     kept: &mut Option<CachedAnswer>,
@@ -93,11 +98,15 @@
         let next = timeout(run.limits.silence, body.next()).await;
         match next.unwrap_or(Err(Ending::Silent)) {
             Ok(bytes) => {
-                run.note_bytes(&bytes);
+                run.record_bytes(&bytes);
                 keep(kept, &bytes);
-                run.pass(AnswerPart::Data(bytes)).await?;
+                run.forward(AnswerPart::Data(bytes)).await?;
+            }
+            Err(ending) => {
+                return run
+                    .finish_answer(body.framing(), ending, BodyState::Opaque)
+                    .await;
             }
-            Err(ending) => return run.settle(body.framing(), ending, BodyState::Opaque).await,
         }
     }
 }
--- a/crates/firdock-node/src/endpoint/sse.rs
+++ b/crates/firdock-node/src/endpoint/sse.rs
@@ -53,7 +53,7 @@
             let Ok(line) = std::str::from_utf8(line) else {
                 return InvalidEventStreamSnafu.fail();
             };
-            if let Some(event) = take_line(line, &mut self.data, &mut self.has_data) {
+            if let Some(event) = decode_line(line, &mut self.data, &mut self.has_data) {
                 return Ok(Some(event));
             }
             if self.data.len() > MAX_EVENT_BYTES {
@@ -67,7 +67,7 @@
     }
 }
 
-fn take_line(line: &str, data: &mut String, has_data: &mut bool) -> Option<SseEvent> {
+fn decode_line(line: &str, data: &mut String, has_data: &mut bool) -> Option<SseEvent> {
     if line.is_empty() {
         let whole = std::mem::take(has_data).then(|| std::mem::take(data));
         return whole.map(SseEvent::Data);
