--- a/crates/firdock-node/src/driver.rs
+++ b/crates/firdock-node/src/driver.rs
@@ -1,7 +1,7 @@
-//! The thread that owns the scheduler's tables, and the carrying out of its actions.
+//! The driver owns the scheduler's tables and carries out its actions.
 //!
-//! All else sends inputs over one bounded channel; the scheduler runs on each input and on a
-//! short timer, so that an instant call never waits for a tick.
+//! All other tasks send inputs over one bounded channel. The scheduler runs on each input and on a
+//! short timer, so that decisions never wait for a tick.
 
 mod answer;
 mod liveness;
@@ -37,23 +37,23 @@
     DecisionLog, LogLimiter, Metrics, RolloutLog, ShareLog, StateChangeLog, SuspectLog,
 };
 
-/// Pause between two runs of the timed systems.
+/// Interval between two runs of the timer systems.
 const TICK: Duration = Duration::from_millis(25);
-/// Ticks between two publications of counters and two checks of invariants.
+/// Number of ticks between two publications of counters, with a check of the invariants.
 const TICKS_PER_PUBLICATION: u32 = 8;
 
-/// What the driver needs besides the scheduler.
+/// What the driver needs in addition to the scheduler.
 #[derive(Debug)]
 pub struct DriverParts<B> {
-    /// Way to endpoints.
+    /// Runs dispatches at endpoints.
     pub dispatcher: B,
-    /// Way to peers.
+    /// Connects to peers.
     pub dialer: Dialer,
     /// Configuration in force.
     pub site: Arc<Site>,
-    /// Kept answers.
+    /// Answers kept for repeated requests.
     pub answer_cache: AnswerCache,
-    /// Where answers wait for their callers.
+    /// Byte budget of the answers that callers have not read yet.
     pub answer_budget: AnswerBudget,
     /// Metrics.
     pub metrics: Arc<Metrics>,
@@ -63,21 +63,21 @@
     pub clock: Clock,
     /// Logger.
     pub log: Logger,
-    /// Bound on the lines of the log.
+    /// Rate limit of log lines.
     pub log_limiter: Arc<LogLimiter>,
-    /// Runtime for the tasks that carry actions out.
+    /// Runtime for the tasks that carry out actions.
     pub runtime: Handle,
-    /// Way back to the scheduler, for those tasks.
+    /// Channel for their results, back to the driver.
     pub inputs: mpsc::Sender<Input>,
-    /// What peers are told of this instance.
+    /// What peers are told about this instance.
     pub self_status: watch::Sender<SelfStatus>,
-    /// States of roll-outs that are to be kept in the platform's store.
+    /// Roll-out states to write to the platform's store.
     pub records: watch::Sender<PendingRecords>,
-    /// Turns true once a stopping instance has nothing left to do.
+    /// Becomes true once a stopping instance has nothing left to do.
     pub drained: watch::Sender<bool>,
 }
 
-/// Owner of the tables.
+/// Owner of the scheduler's tables.
 #[derive(Debug)]
 pub struct Driver<B> {
     scheduler: Scheduler,
@@ -98,15 +98,15 @@
 struct Live {
     exchange: Arc<Exchange>,
     arrived: Time,
-    /// Where it was last sent, for the line on how it ended.
+    /// Last dispatch, for the log line about the request's end.
     sent: Option<LastDispatch>,
     task: Option<AbortHandle>,
-    /// Way to tell the present dispatch what has become of its endpoint.
+    /// Notifies the current dispatch of changes of its endpoint.
     change: Option<watch::Sender<EndpointChange>>,
 }
 
 impl Live {
-    /// Gives what the lines on the request's end tell.
+    /// Returns the data for the log lines about the request's end.
     fn log_context(&self) -> RequestContext<'_> {
         RequestContext {
             exchange: &self.exchange,
@@ -117,7 +117,7 @@
 }
 
 impl<B: Dispatcher> Driver<B> {
-    /// Makes a driver.
+    /// Creates a driver.
     #[must_use]
     pub fn new(scheduler: Scheduler, parts: DriverParts<B>) -> Self {
         let decisions = DecisionLog::new(parts.log.clone(), Arc::clone(&parts.log_limiter));
@@ -146,14 +146,14 @@
         }
     }
 
-    /// Lets requests be placed on engines by the coordinator of the instance's group.
+    /// Enables placement of requests on engines by the coordinator of the instance's group.
     #[must_use]
     pub fn with_placement(mut self, placement: Placement) -> Self {
         self.placement = Some(placement);
         self
     }
 
-    /// Runs until every sender of inputs is gone or `stop` turns true.
+    /// Runs until all senders of inputs are gone or `stop` becomes true.
     pub async fn run(mut self, mut rx: mpsc::Receiver<Input>, mut stop: watch::Receiver<bool>) {
         let mut ticks = interval(TICK);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -162,7 +162,7 @@
                 input = rx.recv() => match input {
                     Some(input) => {
                         self.take(input);
-                        // What follows from inputs that came together is told together.
+                        // The effects of inputs that arrived together are sent together.
                         if rx.is_empty() {
                             self.send_placement_updates();
                         }
@@ -224,7 +224,7 @@
         self.apply(event);
     }
 
-    /// Takes an event, and drops the request that it is about if that ended by it.
+    /// Handles an event and drops its request if the event ended it.
     fn apply(&mut self, event: Event) {
         let id = subject(&event);
         self.step(event);
@@ -233,7 +233,7 @@
         }
     }
 
-    /// Writes what an endpoint told of a dispatch, while the request's row is still there.
+    /// Logs an update of a dispatch. Must be called before the request's row is removed.
     fn note_news(&self, event: &EndpointEvent) {
         let row = self.scheduler.tables().requests.get(event.id);
         let row = row.filter(|r| r.dispatch == event.dispatch);
@@ -271,7 +271,7 @@
             .dispatch_failed(now, self.scheduler.tables(), row, failed, &live.exchange);
     }
 
-    /// Writes that a caller left before its answer was whole.
+    /// Logs that a caller left before its answer was complete.
     fn note_caller_left(&self, id: RequestId) {
         if let Some(live) = self.exchanges.get(&id) {
             let now = self.parts.clock.now();
@@ -302,8 +302,8 @@
         self.drop_ended();
     }
 
-    /// Tells whether what is known of requests under which endpoints ended has changed; those that are out
-    /// of quarantine are not kept in the platform's store any more.
+    /// Logs changes of the suspects and returns whether there were any. Suspects that were released
+    /// from quarantine are removed from the platform's store.
     fn note_suspects(&mut self, now: Time) -> bool {
         let released = self.suspects.record(now, self.scheduler.tables());
         let Some(released) = released else {
@@ -335,7 +335,7 @@
         }
     }
 
-    /// Drops what ended by time alone.
+    /// Drops requests that ended by a timer.
     fn drop_ended(&mut self) {
         let requests = &self.scheduler.tables().requests;
         if self.exchanges.len() > requests.len() {
@@ -406,7 +406,7 @@
         }
     }
 
-    /// Sends an event to the scheduler itself, after what is already waiting.
+    /// Queues an event for the scheduler behind the inputs that already wait.
     fn send(&self, event: Event) {
         let inputs = self.parts.inputs.clone();
         self.parts.runtime.spawn(async move {
@@ -435,7 +435,7 @@
     }
 }
 
-/// Gives the request that an event is about.
+/// Returns the request that an event concerns.
 fn subject(event: &Event) -> Option<RequestId> {
     match event {
         Event::CallerLeft(id) | Event::NotGranted(id, _) => Some(*id),
--- a/crates/firdock-node/src/driver/answer.rs
+++ b/crates/firdock-node/src/driver/answer.rs
@@ -1,4 +1,4 @@
-//! What the driver tells the callers of requests.
+//! Actions that answer callers.
 
 use std::sync::Arc;
 
@@ -26,7 +26,7 @@
         self.reply(id, AnswerPart::Cut);
     }
 
-    /// Gives the caller the answer with which the last endpoint failed.
+    /// Sends the caller the failed answer that was kept from the last endpoint.
     pub(super) fn pass_failure(&self, id: RequestId) {
         let Some(live) = self.exchanges.get(&id) else {
             return;
--- a/crates/firdock-node/src/driver/liveness.rs
+++ b/crates/firdock-node/src/driver/liveness.rs
@@ -1,4 +1,4 @@
-//! Looks at endpoints whose connections ended early.
+//! Checks the liveness of endpoints whose connections ended early.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -14,16 +14,18 @@
 use crate::endpoint::Dispatcher;
 use crate::input::Input;
 
-/// Connects after which an address that closes each of them at once is given up.
+/// Number of connection attempts before an address that closes each connection at once is given up.
 const TRIES: u32 = 3;
-/// Time for which a connection has to stay open to count: a process that ends is gone in less.
+/// A connection must stay open for this long to count as proof of life. A terminating process
+/// closes it sooner.
 const STAYS_OPEN: Duration = Duration::from_millis(20);
 
 impl<B: Dispatcher> Driver<B> {
-    /// Looks whether an endpoint's address takes connections, and tells the scheduler.
+    /// Checks whether an endpoint's address accepts connections and reports the result to the
+    /// scheduler.
     pub(super) fn check_liveness(&self, endpoint: &EndpointId, start: StartId) {
         let Some(place) = self.parts.site.view().location(endpoint) else {
-            // The list has lost it, which is told by itself.
+            // The endpoint is no longer listed, which is handled separately.
             let found = Liveness::Silent;
             self.send(Event::LivenessChecked(LivenessResult { start, found }));
             return;
@@ -37,10 +39,11 @@
     }
 }
 
-/// Tells by a connect whether an endpoint is there: only a refusal says that its process has ended.
+/// Checks by connecting whether an endpoint is alive. Only a refused connection proves that its
+/// process has exited.
 ///
-/// A process that ends closes its sockets one after the other, so that it may still take a connection of
-/// which nothing comes any more: one that is closed again at once is no answer, and is tried anew.
+/// A terminating process closes its sockets one by one and may still accept a connection that it
+/// never serves. A connection that is closed at once is therefore inconclusive and is retried.
 async fn probe(address: SocketAddr, limit: Duration) -> Liveness {
     for _ in 0..TRIES {
         match timeout(limit, TcpStream::connect(address)).await {
@@ -56,9 +59,9 @@
     Liveness::Silent
 }
 
-/// Waits until the far end closes a connection on which it has nothing to say.
+/// Waits until the peer closes a connection on which neither side sends anything.
 async fn closed(stream: &TcpStream) {
     let mut byte = [0];
-    // Bytes, an end or an error: none of them is what a server does that waits for a request.
+    // Data, an end or an error: a server that waits for a request does none of these.
     let _ = stream.peek(&mut byte).await;
 }
--- a/crates/firdock-node/src/driver/placement.rs
+++ b/crates/firdock-node/src/driver/placement.rs
@@ -1,6 +1,6 @@
-//! What the driver does for the placement of requests by coordinators.
+//! Connects the driver with placement by coordinators.
 //!
-//! Each is nothing where requests are placed by the instance's own scheduler alone.
+//! All methods do nothing if the instance's own scheduler places its requests alone.
 
 use firdock_core::RequestId;
 use firdock_policy::Event;
@@ -11,7 +11,7 @@
 use crate::placement::PlacementInput;
 
 impl<B: Dispatcher> Driver<B> {
-    /// Takes a report or a reply that came by datagram.
+    /// Handles a report or a reply that arrived by datagram.
     pub(super) fn take_placement(&mut self, input: PlacementInput) {
         let now = self.parts.clock.now();
         if let Some(placement) = &mut self.placement {
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Tells the placement of requests what an event means for it, before the event is taken.
+    /// Passes an event on to placement. Must be called before the scheduler handles the event.
     pub(super) fn note_placement(&mut self, event: &Event) {
         let Some(placement) = &mut self.placement else {
             return;
@@ -35,21 +35,21 @@
         }
     }
 
-    /// Asks for a place for a request with the next report.
+    /// Queues a request for placement with the next report.
     pub(super) fn ask_placement(&mut self, id: RequestId) {
         if let Some(placement) = &mut self.placement {
             placement.request_placement(id);
         }
     }
 
-    /// Gives back a place that a request was given.
+    /// Declines the assignment of a request.
     pub(super) fn decline_placement(&mut self, grant: &Grant) {
         if let Some(placement) = &mut self.placement {
             placement.decline(self.scheduler.tables(), grant);
         }
     }
 
-    /// Runs what placement does by time.
+    /// Runs the timers of placement.
     pub(super) fn tick_placement(&mut self) {
         let Some(placement) = &mut self.placement else {
             return;
@@ -59,7 +59,8 @@
         self.send_placement_updates();
     }
 
-    /// Tells the coordinator what is new, and takes what it answers at once where it runs here.
+    /// Sends pending changes to the coordinator. If it runs on this instance, applies its reply
+    /// immediately.
     pub(super) fn send_placement_updates(&mut self) {
         let now = self.parts.clock.now();
         while let Some(placement) = &mut self.placement {
--- a/crates/firdock-node/src/driver/send.rs
+++ b/crates/firdock-node/src/driver/send.rs
@@ -1,4 +1,4 @@
-//! What the driver sends out for requests: dispatches to endpoints and hand-overs to peers.
+//! Actions that send requests: dispatches to endpoints and hand-overs to peers.
 
 use std::sync::Arc;
 
@@ -24,7 +24,7 @@
         };
         let id = dispatch.id;
         if exchange.reply.is_closed() {
-            // The word that the caller left waits behind others; nothing is sent for nobody.
+            // The event of the caller's departure is still queued, so the request is not sent.
             self.send(Event::CallerLeft(id));
             return;
         }
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Gives a dispatch back whose endpoint has no address any more; nothing was sent.
+    /// Returns a dispatch whose endpoint no longer has an address. Nothing was sent.
     fn refuse(&self, dispatch: &Dispatch) {
         let news = DispatchUpdate::Refused { unreachable: true };
         let event = EndpointEvent {
@@ -104,7 +104,7 @@
         self.parts.runtime.spawn(cancelling);
     }
 
-    /// Tells a dispatch what has become of its endpoint; it tells how far it came.
+    /// Notifies a dispatch of a change of its endpoint. The dispatch then reports how far it got.
     pub(super) fn notify_dispatch(&mut self, id: RequestId, dispatch: u32, change: EndpointChange) {
         let live = self.exchanges.get(&id);
         let live = live.filter(|l| l.sent.as_ref().is_some_and(|s| s.is(dispatch)));
@@ -134,7 +134,7 @@
         self.set_task(id, task.abort_handle());
     }
 
-    /// Makes the order of a hand-over; `None` where the peer has no address.
+    /// Builds a hand-over, or returns `None` if the peer has no address.
     fn order(
         &self,
         id: RequestId,
@@ -156,7 +156,7 @@
         })
     }
 
-    /// Gives a hand-over back whose peer has no address; nothing was sent.
+    /// Returns a hand-over whose peer has no address. Nothing was sent.
     fn refuse_hand_over(&self, id: RequestId) {
         let refusal = HandOverRefusal {
             id,
--- a/crates/firdock-node/src/edge.rs
+++ b/crates/firdock-node/src/edge.rs
@@ -1,8 +1,8 @@
-//! An entry instance at the edge of a platform: the scheduler between a platform's interface, its
-//! endpoints and its source of resources, each behind a trait.
+//! An entry instance at the edge of a platform. It connects the scheduler with the platform's
+//! interface, its endpoints and its source of resources, each of them behind a trait.
 //!
-//! All of it runs on one thread: an edge instance has a part of one core, on which threads only
-//! cost switches (figures in `docs/design/platform.md`).
+//! Everything runs on one thread. An edge instance gets a fraction of a core, where more threads
+//! would only add context switches (measurements in `docs/design/platform.md`).
 
 mod parts;
 
@@ -29,15 +29,16 @@
 use crate::source::{PendingRecords, ResourceSource};
 use crate::telemetry::{LogLimiter, discard_logger};
 
-/// Time after the order to stop in which calls are still served: the balancer asks once a second,
-/// takes an instance out after two refusals, and connections it passed on just before bring one
-/// more call each.
+/// Time after the stop request during which calls are still accepted. The load balancer checks
+/// readiness once a second and removes an instance after two failures, and connections passed on
+/// just before that bring one more call each.
 const SERVE_ON: Duration = Duration::from_millis(2_800);
-/// Time kept free before the platform ends the process, for the last answers to be written.
+/// Time reserved for writing the last answers before the platform kills the process.
 const RESERVE: Duration = Duration::from_millis(700);
-/// Changes of the platform's store that may wait to be told; more are asked for by each peer.
+/// Capacity of the queue of store changes to forward to peers. Peers request further ones
+/// themselves.
 const CHANGES_WAITING: usize = 64;
-/// An edge instance that is to be started.
+/// Configuration of an edge instance before its start.
 #[derive(Debug)]
 pub struct EdgeInstance<I, D, S> {
     settings: Settings,
@@ -62,7 +63,7 @@
 }
 
 impl<I: Interface, D: Dialect, S: ResourceSource> EdgeInstance<I, D, S> {
-    /// Makes an instance from checked settings and the platform's adapters.
+    /// Creates an instance from checked settings and the platform's adapters.
     #[must_use]
     pub fn new(settings: Settings, interface: I, dialect: D, source: S) -> Self {
         Self {
@@ -81,11 +82,11 @@
         self
     }
 
-    /// Starts the instance on the present runtime.
+    /// Starts the instance on the current runtime.
     ///
     /// # Errors
     ///
-    /// Fails if an address is missing or cannot be listened on.
+    /// Fails if an address is missing or cannot be bound.
     pub async fn start(self) -> Result<RunningEdge, StartError> {
         let parts = Parts::new(&self.settings, self.log.clone());
         let (inputs, waiting) = mpsc::channel(INPUT_QUEUE_CAPACITY);
@@ -140,7 +141,7 @@
     }
 }
 
-/// Runs the driver; a panic there is a broken promise, so the process ends instead of going on.
+/// Runs the driver. A panic there is a violated invariant and aborts the process.
 async fn run_or_abort<B: Dispatcher>(
     driver: Driver<B>,
     inputs: mpsc::Receiver<Input>,
@@ -150,8 +151,9 @@
 }
 
 impl RunningEdge {
-    /// Stops in order: not ready at once, calls served on until the balancer knows, what runs
-    /// ended in place, and all of it before the platform ends the process.
+    /// Stops gracefully: reports not ready at once, accepts calls until the load balancer has
+    /// noticed, and lets running requests finish here, all within the time that the platform
+    /// allows.
     pub async fn stop(self) {
         let now = Instant::now();
         let end = now + self.stop_time.saturating_sub(RESERVE);
--- a/crates/firdock-node/src/edge/parts.rs
+++ b/crates/firdock-node/src/edge/parts.rs
@@ -1,4 +1,4 @@
-//! The parts of an edge instance, each made from what all of them share.
+//! The components of an edge instance, created from the state they share.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -37,15 +37,16 @@
 use crate::status::{self, Readiness};
 use crate::telemetry::{LogLimiter, Metrics};
 
-/// Broken dispatches in a row after which an endpoint is ejected: plain servers fail some of their
-/// requests while they are well (one in seven at the users' sites), so that one says little.
+/// Number of consecutive broken dispatches after which an endpoint is ejected. Healthy plain
+/// servers also fail some requests (one in seven in deployments), so a single failure is weak
+/// evidence.
 const EJECT_AFTER: u32 = 3;
-/// Connections of the balancer and of whoever collects metrics.
+/// Connection limit of the status endpoints, which the load balancer and metrics collectors use.
 const STATUS_CONNECTIONS: usize = 64;
-/// Bytes in the head of a call for the instance's status.
+/// Maximum size of the head of a status request.
 const STATUS_HEAD_BYTES: usize = 16 << 10;
 
-/// What the parts of an edge instance share.
+/// State shared by the components of an edge instance.
 #[derive(Debug)]
 pub struct Parts {
     settings: Settings,
@@ -61,33 +62,33 @@
     pub log_limiter: Arc<LogLimiter>,
 }
 
-/// Where the driver tells what others wait for.
+/// Channels on which the driver publishes state.
 #[derive(Debug)]
 pub struct DriverOutlets {
-    /// What peers are told of this instance.
+    /// What peers are told about this instance.
     pub self_status: watch::Sender<SelfStatus>,
-    /// States of roll-outs that are to be kept in the platform's store.
+    /// Roll-out states to write to the platform's store.
     pub records: watch::Sender<PendingRecords>,
-    /// Turns true once a stopping instance has nothing left to do.
+    /// Becomes true once a stopping instance has nothing left to do.
     pub drained: watch::Sender<bool>,
 }
 
-/// Gives where the instances take heartbeats that are asked first at the start: heartbeats are taken
-/// at the same port everywhere.
+/// Returns the heartbeat addresses of the seeds, the instances that are asked first at the start.
+/// Heartbeats use the same port on all instances.
 fn seeds(settings: &Settings) -> impl Iterator<Item = SocketAddr> {
     let port = settings.instance.peers.map_or(0, |own| own.port());
     let seeds = settings.peers.seeds.iter();
     seeds.map(move |seed| SocketAddr::new(seed.ip(), port))
 }
 
-/// The same without this instance.
+/// Returns the seeds except this instance.
 fn other_seeds(settings: &Settings) -> Vec<SocketAddr> {
     let me = settings.instance.peers;
     seeds(settings).filter(|seed| Some(*seed) != me).collect()
 }
 
-/// Tells whether this instance asks others at its start before it reads the store: those that the
-/// others ask read it themselves, since all may start at one moment.
+/// Whether this instance asks its peers before it reads the store at the start. Seeds do not: the
+/// others ask them, and all instances may start at the same moment.
 fn asks_first(settings: &Settings) -> bool {
     let me = settings.instance.peers;
     let is_seed = seeds(settings).any(|seed| Some(seed) == me);
@@ -95,7 +96,7 @@
 }
 
 impl Parts {
-    /// Makes what is shared, for a new start of the process.
+    /// Creates the shared state for a new start of the process.
     pub fn new(settings: &Settings, log: Logger) -> Self {
         let name = settings.instance.name.clone();
         let clock = Clock::new();
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Makes what the platform's source tells of what it reads.
+    /// Creates the sink through which the platform's source reports what it reads.
     pub fn sink(
         &self,
         inputs: &mpsc::Sender<Input>,
@@ -149,7 +150,7 @@
         }
     }
 
-    /// Makes the callers' door.
+    /// Creates the ingress for callers.
     pub fn ingress<I: Interface>(&self, interface: I, inputs: mpsc::Sender<Input>) -> Ingress<I> {
         let limits = IngressLimits::new(&self.settings.limits);
         let site = Arc::clone(&self.site);
@@ -166,7 +167,7 @@
         .with_answer_budget(self.answer_budget.clone())
     }
 
-    /// Makes the owner of the scheduler's tables.
+    /// Creates the driver, which owns the scheduler's tables.
     pub fn driver<D: Dialect>(
         &self,
         dialect: D,
@@ -205,7 +206,7 @@
             .with_unix_zero(self.clock.unix_zero())
     }
 
-    /// Makes both sides of the placement of requests on engines.
+    /// Creates the member and coordinator sides of placement.
     pub fn placement(&self, socket: Arc<UdpSocket>) -> Placement {
         let log = self.log.new(o!("part" => "placement"));
         let link = DatagramLink::new(socket, self.key(), log.clone());
@@ -219,7 +220,7 @@
         Arc::from(self.settings.peers.shared_key.as_bytes())
     }
 
-    /// Opens the socket of heartbeats and placements.
+    /// Opens the socket for heartbeats and placements.
     pub async fn open_datagrams(&self) -> Result<Arc<UdpSocket>, StartError> {
         let field = "instance.peers";
         let address = self.settings.instance.peers.context(UnsetSnafu { field })?;
@@ -229,7 +230,7 @@
         Ok(Arc::new(socket))
     }
 
-    /// Starts the sending and taking of heartbeats.
+    /// Starts sending and receiving heartbeats.
     pub fn start_beacons(
         &self,
         socket: &Arc<UdpSocket>,
@@ -258,7 +259,7 @@
         tokio::spawn(beacons.run(stop));
     }
 
-    /// Serves readiness, and metrics and the list of endpoints where an address for them is set.
+    /// Serves readiness, and, if an address is set for them, metrics and the list of endpoints.
     pub fn serve_status(&self, stop: &watch::Receiver<bool>) -> Result<(), StartError> {
         let options = ServerOptions {
             connections: STATUS_CONNECTIONS,
--- a/crates/firdock-node/src/endpoint.rs
+++ b/crates/firdock-node/src/endpoint.rs
@@ -1,7 +1,7 @@
-//! Endpoints: small traits for engines and plain servers, and their HTTP adapters.
+//! Traits for engines and plain servers, with their HTTP adapters.
 //!
-//! Only an adapter has to change for other far ends; the tasks that drive a dispatch take the
-//! traits as generics (see `docs/design/endpoints.md`).
+//! Supporting another kind of endpoint only takes another adapter. The tasks that run dispatches
+//! are generic over the traits (see `docs/design/endpoints.md`).
 
 mod body;
 mod direct;
@@ -48,18 +48,18 @@
 use crate::site::EndpointLocation;
 use crate::telemetry::TraceContext;
 
-/// Header by which an endpoint tells that it refused a request before doing anything for it.
+/// Header of a response to a request that the endpoint refused without starting it.
 pub const NOT_STARTED_HEADER: &str = "request-not-started";
-/// Header by which an endpoint says that it leaves, by the value `1` on any answer.
+/// Header that announces, with the value `1` on any response, that an endpoint is leaving.
 pub const LEAVING_HEADER: HeaderName = HeaderName::from_static("endpoint-leaving");
-/// Header that carries the number of the dispatch.
+/// Header with the number of the dispatch.
 pub const DISPATCH_HEADER: &str = "x-dispatch";
 /// Path of an endpoint's report.
 pub const REPORT_PATH: &str = "/report";
 
-/// Carries dispatches out at endpoints.
+/// Runs dispatches at endpoints.
 pub trait Dispatcher: Clone + Send + Sync + 'static {
-    /// Runs a dispatch to its end; gives a word on how it ended for the trace.
+    /// Runs a dispatch to its end and returns the result for the trace.
     fn run(
         &self,
         place: EndpointLocation,
@@ -75,33 +75,33 @@
     ) -> impl Future<Output = ()> + Send;
 }
 
-/// Why an endpoint did not begin an answer.
+/// Why an endpoint did not start an answer.
 #[derive(Debug, Snafu)]
 #[non_exhaustive]
 pub enum StartError {
     /// The request was never sent.
     #[snafu(display("endpoint not reached"))]
     Unreachable,
-    /// The endpoint refused before doing anything.
+    /// The endpoint refused the request without starting it.
     #[snafu(display("endpoint refused"))]
     Refused,
     /// The request may have run.
     #[snafu(display("endpoint lost after the request was sent"))]
     Lost {
-        /// How it came about.
+        /// How the answer broke off.
         cause: BreakCause,
     },
-    /// The endpoint answered with an error of its own, which is the caller's answer.
+    /// The endpoint responded with an error of its own, which is forwarded to the caller.
     #[snafu(display("endpoint answered {status}"))]
     Answered {
-        /// Status.
+        /// Status code.
         status: u16,
         /// Body.
         body: Bytes,
     },
 }
 
-/// Gives how a call came to break off after its request may have been sent.
+/// Returns how a call broke off after its request may have been sent.
 pub(crate) fn break_cause(error: &CallError) -> BreakCause {
     match error {
         CallError::AnswerTime => BreakCause::Silent,
@@ -110,17 +110,17 @@
     }
 }
 
-/// What came of a call to an endpoint, with what the head of its answer said of the endpoint.
+/// Result of a call to an endpoint, with the endpoint's notice about itself.
 #[derive(Debug)]
 pub struct EndpointResponse<T> {
-    /// What the head said; nothing where none came.
+    /// Notice in the response head; empty if there was no response.
     pub head: HeadNotice,
-    /// What came of the call.
+    /// Result of the call.
     pub result: Result<T, StartError>,
 }
 
 impl<T> EndpointResponse<T> {
-    /// Makes what came of a call that got no answer.
+    /// Creates the result of a call without a response.
     #[must_use]
     pub fn without_head(error: StartError) -> Self {
         Self {
@@ -130,108 +130,108 @@
     }
 }
 
-/// Why a stream of tokens stopped before its end.
+/// Why a token stream stopped before its end.
 #[derive(Debug, Snafu, Clone, Copy, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum StreamError {
     /// The connection broke; the engine may still hold the stream.
     #[snafu(display("connection broke"))]
     Broken,
-    /// Nothing came for too long.
+    /// No data arrived within the time limit.
     #[snafu(display("engine fell silent"))]
     Silent,
-    /// What came is not this request's answer, or has a hole.
+    /// The data belongs to another request, or tokens are missing.
     #[snafu(display("crossed or incomplete answer"))]
     Crossed,
 }
 
-/// Order to an engine to answer a model call.
+/// Request to an engine to answer a model call.
 #[derive(Debug, Clone, Copy)]
 pub struct EngineRequest<'a> {
-    /// Request.
+    /// Request ID.
     pub id: RequestId,
     /// Number of the dispatch.
     pub dispatch: u32,
-    /// Tokens that the caller already has.
+    /// Number of tokens that the caller already has.
     pub resume_from: u32,
-    /// Text of those tokens, so that the engine can go on from it.
+    /// Text of those tokens, from which the engine resumes.
     pub resume_text: &'a str,
-    /// 0 goes first.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// The call.
+    /// The model call.
     pub call: &'a ModelCall,
-    /// Trace.
+    /// Trace context.
     pub trace: TraceContext,
 }
 
 /// A token event of an answer.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TokenEvent {
-    /// Tokens of the whole answer before this event.
+    /// Number of tokens in the answer before this event.
     pub offset: u32,
-    /// Tokens in this event; 0 in the last one.
+    /// Number of tokens in this event; 0 in the last one.
     pub tokens: u32,
     /// Text of the event.
     pub text: String,
-    /// The event's JSON, passed on to callers who stream.
+    /// JSON of the event, forwarded to callers that stream.
     pub json: serde_json::Value,
-    /// Prompt tokens and those taken from the cache, as far as the engine has told.
+    /// Prompt token counts, if the engine has reported them.
     pub usage: Option<EngineUsage>,
-    /// Why the answer ended, in the last event.
+    /// Why the answer ended; set on the last event.
     pub finish: Option<String>,
 }
 
-/// Token counts by the engine.
+/// Token counts reported by an engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct EngineUsage {
-    /// Tokens of the prompt.
+    /// Prompt tokens.
     pub prompt: u32,
-    /// Tokens of the prompt that were cached.
+    /// Prompt tokens taken from the cache.
     pub cached: u32,
 }
 
-/// Report of an endpoint: load, and cache changes since the last one.
+/// Report of an endpoint: its load, and the cache changes since the previous report.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct EndpointReport {
-    /// Age of the reading in milliseconds.
+    /// Age of the data in milliseconds.
     pub age_millis: u64,
-    /// Requests that it works on.
+    /// Running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Waiting requests.
     pub waiting: u32,
-    /// Prompt tokens that it has yet to compute.
+    /// Prompt tokens that have not been computed yet.
     pub backlog: u32,
-    /// Whether it is leaving.
+    /// Whether the endpoint is leaving.
     pub leaving: bool,
-    /// Number to ask the next changes after.
+    /// Sequence number from which to request the next changes.
     pub sequence: u64,
-    /// Whether changes after the number asked for are missing.
+    /// Whether changes after the requested sequence number are missing.
     pub gap: bool,
-    /// Blocks that came into the cache.
+    /// Blocks added to the cache.
     pub added: Vec<BlockHash>,
-    /// Blocks that were dropped.
+    /// Blocks removed from the cache.
     pub removed: Vec<BlockHash>,
 }
 
-/// An order to an engine outside any request; one with an older fence is refused.
+/// A command to an engine, independent of any request. One with an older fence is refused.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FencedCommand {
-    /// Greater than in all earlier orders.
+    /// Greater than in all earlier commands.
     pub fence: u64,
-    /// What to do.
+    /// The command.
     pub order: EngineCommand,
 }
 
-/// What an engine can be told to be.
+/// Commands to an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EngineCommand {
     /// Load a model.
     LoadModel(String),
-    /// Stop taking new work.
+    /// Stop accepting requests.
     Leave,
-    /// Take work again.
+    /// Accept requests again.
     Stay,
 }
 
@@ -241,7 +241,7 @@
 
 /// A stream of tokens.
 pub trait TokenStream: Send + 'static {
-    /// Gives the next event; `None` after the last one.
+    /// Returns the next event, or `None` after the last one.
     ///
     /// # Errors
     ///
@@ -251,26 +251,27 @@
         silence: Duration,
     ) -> impl Future<Output = Result<Option<TokenEvent>, StreamError>> + Send;
 
-    /// Gives what has come of the answer, for the lines on its end.
+    /// Returns statistics on the answer, for the log lines about its end.
     fn answer_end(&self) -> AnswerEnd;
 }
 
 /// A model engine.
 pub trait EngineClient: Clone + Send + Sync + 'static {
-    /// Stream of an answer.
+    /// Token stream of an answer.
     type Stream: TokenStream;
 
-    /// Starts a request; a first `offset` of `resume_from` goes on where another engine stopped.
+    /// Starts a request. If `resume_from` is not 0, the first event has that offset, and the answer
+    /// resumes where another engine stopped.
     ///
-    /// A failure tells whether the request may have run.
+    /// An error tells whether the request may have run.
     fn start(
         &self,
         at: SocketAddr,
         order: EngineRequest<'_>,
     ) -> impl Future<Output = EndpointResponse<Self::Stream>> + Send;
 
-    /// Takes a running stream up again at an offset, after its connection broke; fails if the engine
-    /// does not have the request any more.
+    /// Resumes a running stream at an offset after its connection broke. Fails if the engine no
+    /// longer has the request.
     fn resume(
         &self,
         at: SocketAddr,
@@ -278,7 +279,7 @@
         from: u32,
     ) -> impl Future<Output = EndpointResponse<Self::Stream>> + Send;
 
-    /// Cancels a request; an engine that does not know it does nothing.
+    /// Cancels a request. An engine that does not know the request ignores it.
     fn cancel(
         &self,
         at: SocketAddr,
@@ -290,7 +291,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the engine has none or is not reached.
+    /// Fails if the engine has none or cannot be reached.
     fn export_kv(
         &self,
         at: SocketAddr,
@@ -301,7 +302,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the engine cannot take it or is not reached.
+    /// Fails if the engine rejects it or cannot be reached.
     fn import_kv(
         &self,
         at: SocketAddr,
@@ -309,11 +310,11 @@
         cache: KvCache,
     ) -> impl Future<Output = Result<(), StartError>> + Send;
 
-    /// Gives an order outside any request.
+    /// Sends a command.
     ///
     /// # Errors
     ///
-    /// Fails if a later order was given before, or the engine is not reached.
+    /// Fails if a later command was sent before, or the engine cannot be reached.
     fn order(
         &self,
         at: SocketAddr,
@@ -324,27 +325,27 @@
 /// A call to a plain server.
 #[derive(Debug, Clone, Copy)]
 pub struct PlainRequest<'a> {
-    /// Request.
+    /// Request ID.
     pub id: RequestId,
     /// Number of the dispatch.
     pub dispatch: u32,
     /// Method.
     pub method: &'a Method,
-    /// Path with the query.
+    /// Path and query.
     pub target: &'a str,
     /// Headers.
     pub headers: &'a HeaderMap,
     /// Body.
     pub body: &'a Bytes,
-    /// Trace.
+    /// Trace context.
     pub trace: TraceContext,
 }
 
 /// A plain application server.
 pub trait PlainClient: Clone + Send + Sync + 'static {
-    /// Sends a call and waits for the head of the answer.
+    /// Sends a call and waits for the head of the response.
     ///
-    /// A failure tells whether the request may have run.
+    /// An error tells whether the request may have run.
     fn call(
         &self,
         at: SocketAddr,
@@ -353,7 +354,7 @@
     ) -> impl Future<Output = EndpointResponse<PlainAnswer>> + Send;
 }
 
-/// Head of a plain server's answer, with the body to come.
+/// Head of a plain server's answer, with the body still to be read.
 #[derive(Debug)]
 pub struct PlainAnswer {
     /// Head.
@@ -364,13 +365,13 @@
     pub connection: crate::http::Connection,
 }
 
-/// Source of endpoints' reports.
+/// Source of endpoint reports.
 pub trait ReportSource: Clone + Send + Sync + 'static {
-    /// Asks an endpoint for its report and the cache changes after `after`.
+    /// Requests an endpoint's report, with the cache changes after `after`.
     ///
     /// # Errors
     ///
-    /// Fails if the endpoint is not reached or answers with anything else.
+    /// Fails if the endpoint cannot be reached or the response is not a report.
     fn report(
         &self,
         at: SocketAddr,
@@ -378,7 +379,7 @@
     ) -> impl Future<Output = Result<EndpointReport, StartError>> + Send;
 }
 
-/// Name of an endpoint with its address, for tasks.
+/// Name and address of an endpoint, for tasks.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Target {
     /// Endpoint.
--- a/crates/firdock-node/src/endpoint/body.rs
+++ b/crates/firdock-node/src/endpoint/body.rs
@@ -1,4 +1,4 @@
-//! Reading of the body of an endpoint's answer, with how it ended.
+//! Reads the body of an endpoint's answer and determines how it ended.
 
 use std::error::Error;
 use std::io::{self, ErrorKind};
@@ -9,7 +9,7 @@
 
 use super::ending::{Ending, Framing};
 
-/// Body of an endpoint's answer on its way in.
+/// Body of an endpoint's answer that is being received.
 #[derive(Debug)]
 pub struct EndpointBody {
     body: Incoming,
@@ -17,29 +17,30 @@
 }
 
 impl EndpointBody {
-    /// Makes the reader of a body whose head told this framing.
+    /// Creates the reader of a body with the framing given by its head.
     #[must_use]
     pub fn new(body: Incoming, framing: Framing) -> Self {
         Self { body, framing }
     }
 
-    /// Gives how the head framed it.
+    /// Returns the framing of the body.
     #[must_use]
     pub fn framing(&self) -> Framing {
         self.framing
     }
 
-    /// Tells whether all of it has been read.
+    /// Whether the body has been read completely.
     #[must_use]
     pub fn is_read(&self) -> bool {
         self.body.is_end_stream()
     }
 
-    /// Gives the next bytes.
+    /// Returns the next bytes.
     ///
     /// # Errors
     ///
-    /// Gives how the body ended once no more come, the end that its framing asks for among them.
+    /// Returns how the body ended once there are no more bytes, also when it ended as its framing
+    /// says.
     pub async fn next(&mut self) -> Result<Bytes, Ending> {
         loop {
             match self.body.frame().await {
@@ -56,7 +57,7 @@
     }
 }
 
-/// Gives how a connection came to break off, by its error.
+/// Returns how a connection ended, by its error.
 pub(crate) fn ending_of(error: &hyper::Error) -> Ending {
     if error.is_parse() {
         return Ending::Foreign;
@@ -68,7 +69,8 @@
     }
 }
 
-/// Finds what the operating system, or the decoder of chunks, says in an error's causes.
+/// Finds the kind of the I/O error among the causes, which the operating system or the chunk
+/// decoder reported.
 fn io_kind(error: &hyper::Error) -> Option<ErrorKind> {
     let mut cause = error.source();
     while let Some(e) = cause {
--- a/crates/firdock-node/src/endpoint/direct.rs
+++ b/crates/firdock-node/src/endpoint/direct.rs
@@ -1,4 +1,4 @@
-//! Dispatches over firdock's own protocol for engines, and plain HTTP for servers.
+//! Dispatches by firdock's own protocol for engines, and by plain HTTP for servers.
 
 use firdock_core::RequestId;
 use firdock_core::resource::EndpointKind;
@@ -8,7 +8,7 @@
 use crate::answer_cache::AnswerCache;
 use crate::site::EndpointLocation;
 
-/// Adapters to the far ends, and the store of answers that resends get.
+/// The adapters for engines and servers, with the answers kept for repeated requests.
 #[derive(Debug, Clone)]
 pub struct DirectDispatcher<E, P> {
     engine: E,
@@ -17,7 +17,7 @@
 }
 
 impl<E, P> DirectDispatcher<E, P> {
-    /// Puts the adapters together.
+    /// Creates a dispatcher from its adapters.
     #[must_use]
     pub fn new(engine: E, plain: P, answer_cache: AnswerCache) -> Self {
         Self {
--- a/crates/firdock-node/src/endpoint/engine.rs
+++ b/crates/firdock-node/src/endpoint/engine.rs
@@ -1,7 +1,7 @@
 //! HTTP adapter for model engines that speak the OpenAI-compatible protocol.
 //!
-//! Beyond that protocol, an engine echoes request id and dispatch number, numbers its tokens and
-//! keeps a running request for a while when its connection breaks.
+//! In addition to that protocol, an engine echoes the request ID and the dispatch number, numbers
+//! its tokens, and keeps a running request for a while after its connection breaks.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -27,9 +27,9 @@
 use crate::http::{CallError, Connection, connect};
 use crate::ingress::REQUEST_ID_HEADER;
 
-/// Largest body of an answer that is not a stream.
+/// Maximum size of a body that is not a stream.
 const MAX_BODY_BYTES: usize = 8 << 20;
-/// End of a stream, by the `OpenAI` protocol.
+/// End marker of a stream in the `OpenAI` protocol.
 const DONE: &str = "[DONE]";
 
 /// Adapter for engines.
@@ -40,7 +40,7 @@
 }
 
 impl HttpEngine {
-    /// Makes an adapter with its time limits.
+    /// Creates an adapter with its time limits.
     #[must_use]
     pub fn new(connect_time: Duration, answer_time: Duration) -> Self {
         Self {
@@ -87,7 +87,7 @@
         EndpointResponse { head, result }
     }
 
-    /// Makes a small call of which only success counts.
+    /// Makes a call outside the token streams and returns its body if it succeeds.
     async fn call_engine(
         &self,
         at: SocketAddr,
@@ -116,7 +116,7 @@
     }
 }
 
-/// Takes an answer's head; gives the stream that follows.
+/// Checks the head of a response and returns its body if the answer follows.
 async fn answer_body(
     order: EngineRequest<'_>,
     response: Response<Incoming>,
@@ -150,16 +150,17 @@
     }
 }
 
-/// Tells whether an answer carries the id and the dispatch number that were sent.
+/// Whether a response echoes the request ID and the dispatch number.
 fn echoes(response: &Response<Incoming>, order: EngineRequest<'_>) -> bool {
     let text = |name: &str| response.headers().get(name).and_then(|v| v.to_str().ok());
     let id = text(REQUEST_ID_HEADER.as_str()) == Some(order.id.to_string().as_str());
     id && text(DISPATCH_HEADER) == Some(order.dispatch.to_string().as_str())
 }
 
-/// Reads a body that firdock itself takes for something: all of it, or nothing.
+/// Reads a body that firdock itself interprets, either completely or not at all.
 ///
-/// One without framing proves that it is whole by its form, which JSON has and a KV cache has not.
+/// Without framing, only a format that marks its own end proves that the body is complete. JSON
+/// does, a KV cache does not.
 async fn read_all(method: &Method, response: Response<Incoming>) -> Result<Bytes, StartError> {
     let framing = Framing::read(method, response.status(), response.headers());
     let mut body = EndpointBody::new(response.into_body(), framing);
@@ -191,7 +192,7 @@
     }
 }
 
-/// Makes the body that goes to the engine: the caller's, with what firdock adds.
+/// Builds the request body for the engine: the caller's body with firdock's additions.
 fn request_body(order: EngineRequest<'_>) -> Bytes {
     let mut body = order.call.body.clone();
     body["stream"] = json!(true);
@@ -297,7 +298,7 @@
     }
 }
 
-/// Stream of an engine's tokens, checked for holes and doubles.
+/// Stream of an engine's tokens, checked for missing and repeated ones.
 #[derive(Debug)]
 pub struct HttpTokenStream {
     _connection: Connection,
@@ -330,7 +331,7 @@
     }
 }
 
-/// One step of a stream: an event, or its end.
+/// One step of a stream: an event, or the end.
 struct Step {
     event: Option<TokenEvent>,
 }
@@ -347,7 +348,8 @@
                 self.decoder.push(&bytes);
                 Ok(())
             }
-            // Its end mark has not come, so that no end of the body makes the answer whole.
+            // The end marker has not arrived, so that the answer is incomplete however the body
+            // ended.
             Ok(Err(ending)) => {
                 self.answer_end.ending = Some(ending);
                 Err(StreamError::Broken)
@@ -355,7 +357,8 @@
         }
     }
 
-    /// Takes one event's data; events that came before are dropped, holes are an error.
+    /// Handles the data of one event. Events received before are dropped; missing tokens are an
+    /// error.
     fn handle_event(&mut self, data: &str) -> Result<Option<Step>, StreamError> {
         if data == DONE {
             let whole = self.ended;
--- a/crates/firdock-node/src/endpoint/plain.rs
+++ b/crates/firdock-node/src/endpoint/plain.rs
@@ -25,7 +25,7 @@
 }
 
 impl HttpPlain {
-    /// Makes an adapter with its time limit for connects.
+    /// Creates an adapter with a time limit for connecting.
     #[must_use]
     pub fn new(connect_time: Duration) -> Self {
         Self { connect_time }
@@ -74,7 +74,7 @@
     }
 }
 
-/// Takes an answer's head: whether it answers the call at all.
+/// Checks from its head whether a response belongs to the call.
 fn check_response(
     order: PlainRequest<'_>,
     mut response: Response<Incoming>,
--- a/crates/firdock-node/src/endpoint/report.rs
+++ b/crates/firdock-node/src/endpoint/report.rs
@@ -1,4 +1,4 @@
-//! Reading of endpoints' reports, one task an endpoint, at a steady pace.
+//! Polls endpoint reports at a fixed interval, with one task per endpoint.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
 use super::{EndpointReport, ReportSource, Target};
 use crate::input::Input;
 
-/// Blocks taken from one report; the rest of a longer one counts as a gap.
+/// Maximum number of blocks read from one report. More of them count as a gap.
 const MAX_BLOCKS: usize = 4_096;
 
-/// Reads an endpoint's reports until the scheduler is gone.
+/// Polls an endpoint's reports until the scheduler has stopped.
 pub async fn poll_reports<R: ReportSource>(
     source: R,
     target: Target,
--- a/crates/firdock-node/src/endpoint/run_engine.rs
+++ b/crates/firdock-node/src/endpoint/run_engine.rs
@@ -1,4 +1,4 @@
-//! Driving of one dispatch to a model engine, from the write to the end of the answer.
+//! Runs a dispatch to a model engine, from the write to the end of the answer.
 
 use std::time::Duration;
 
@@ -13,14 +13,14 @@
 use crate::exchange::{AnswerHead, AnswerPart};
 use crate::ingress::ModelCall;
 
-/// Tries to take up a broken stream on the same engine.
+/// Maximum number of attempts to resume a broken stream on the same engine.
 const MAX_RESUME_ATTEMPTS: u32 = 2;
-/// Pause before such a try.
+/// Delay before each attempt.
 const RESUME_DELAY: Duration = Duration::from_millis(50);
-/// Longest text of an answer that is put together for a caller who does not stream.
+/// Maximum size of an answer that is assembled for a caller that does not stream.
 const MAX_TEXT_BYTES: usize = 8 << 20;
 
-/// Runs a dispatch to a model engine; gives a word on how it ended for the trace.
+/// Runs a dispatch to a model engine and returns the result for the trace.
 pub async fn run<E: EngineClient>(engine: E, run: DispatchRun) -> &'static str {
     let Some(call) = run.exchange.payload.model.clone() else {
         return "no-model-call";
@@ -55,7 +55,7 @@
     }
 }
 
-/// Passes an engine's own error on as the caller's answer.
+/// Forwards an engine's error response as the caller's answer.
 async fn forward_error(run: &DispatchRun, status: u16, body: Bytes) -> &'static str {
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
     let head = AnswerHead {
@@ -81,7 +81,7 @@
     "engine-error"
 }
 
-/// Follows the stream to its end, taking it up again where its connection breaks.
+/// Reads the stream to its end and resumes it when its connection breaks.
 async fn follow<E: EngineClient>(
     engine: &E,
     run: &DispatchRun,
@@ -124,7 +124,7 @@
     }
 }
 
-/// Passes token events on in the form that the caller asked for.
+/// Forwards token events in the format that the caller requested.
 struct AnswerForwarder<'a> {
     run: &'a DispatchRun,
     call: &'a ModelCall,
@@ -160,7 +160,7 @@
         Ok(())
     }
 
-    /// Tells the scheduler that the answer began.
+    /// Reports to the scheduler that the answer has started.
     async fn begin(&mut self) -> Result<(), DispatchError> {
         self.begun = true;
         let head_sent = self.call.stream;
@@ -168,7 +168,7 @@
         Ok(())
     }
 
-    /// Passes the head of a streamed answer on, once over all dispatches.
+    /// Forwards the head of a streamed answer, once over all dispatches.
     async fn begin_stream(&self) -> Result<(), DispatchError> {
         if std::mem::replace(&mut self.run.delivered().head_sent, true) {
             return Ok(());
@@ -183,7 +183,7 @@
             .await
     }
 
-    /// Adds the event to what has been passed on.
+    /// Adds the event to the delivered part of the answer.
     fn record(&self, event: &TokenEvent) -> Result<(), DispatchError> {
         let mut delivered = self.run.delivered();
         delivered.tokens = delivered.tokens.max(event.offset + event.tokens);
@@ -217,7 +217,7 @@
         "answered"
     }
 
-    /// Passes on what closes the answer.
+    /// Forwards the end of the answer.
     async fn forward_end(&self, output: u32) -> Result<(), DispatchError> {
         if self.call.stream {
             self.begin_stream().await?;
--- a/crates/firdock-node/src/endpoint/run_plain.rs
+++ b/crates/firdock-node/src/endpoint/run_plain.rs
@@ -1,4 +1,4 @@
-//! Driving of one dispatch to a plain server, from the write to the end of the answer.
+//! Runs a dispatch to a plain server, from the write to the end of the answer.
 
 use bytes::Bytes;
 use firdock_policy::event::{BreakCause, DispatchUpdate};
@@ -9,7 +9,7 @@
 use crate::answer_cache::{AnswerCache, CachedAnswer};
 use crate::exchange::AnswerPart;
 
-/// Runs a dispatch to a plain server; gives a word on how it ended for the trace.
+/// Runs a dispatch to a plain server and returns the result for the trace.
 pub async fn run<P: PlainClient>(
     plain: P,
     run: DispatchRun,
@@ -88,7 +88,7 @@
     }
 }
 
-/// Passes the body on to its end; an end that comes early is an error of the connection.
+/// Forwards the body to its end. A premature end is a connection error.
 async fn forward_body(
     run: &DispatchRun,
     mut body: EndpointBody,
--- a/crates/firdock-node/src/endpoint/sse.rs
+++ b/crates/firdock-node/src/endpoint/sse.rs
@@ -1,26 +1,26 @@
-//! Decoder of server-sent events: bytes in, events out, bounded.
+//! Decoder of server-sent events with bounded buffers.
 
 use bytes::BytesMut;
 use snafu::Snafu;
 
-/// Longest event, in bytes.
+/// Maximum size of an event in bytes.
 const MAX_EVENT_BYTES: usize = 256 << 10;
 
-/// One event.
+/// A decoded event.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SseEvent {
     /// Data of an event.
     Data(String),
-    /// A comment, which only shows that the sender lives.
+    /// A comment, which serves only as a keep-alive.
     Comment,
 }
 
-/// The bytes are no event stream.
+/// The bytes are not an event stream.
 #[derive(Debug, Snafu, Clone, Copy, PartialEq, Eq)]
 #[snafu(display("no event stream, or an event of more than {MAX_EVENT_BYTES} bytes"))]
 pub struct InvalidEventStream;
 
-/// Puts events together from bytes as they come.
+/// Assembles events from the received bytes.
 #[derive(Debug, Default)]
 pub struct SseDecoder {
     buffer: BytesMut,
@@ -29,22 +29,22 @@
 }
 
 impl SseDecoder {
-    /// Makes an empty decoder.
+    /// Creates an empty decoder.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Adds bytes that came.
+    /// Adds received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Gives the next whole event; `None` until more bytes come.
+    /// Returns the next complete event, or `None` if more bytes are needed.
     ///
     /// # Errors
     ///
-    /// Fails on text that is not UTF-8 and on events that are too long.
+    /// Fails on text that is not UTF-8 and on events above the size limit.
     pub fn next_event(&mut self) -> Result<Option<SseEvent>, InvalidEventStream> {
         while let Some(end) = self.buffer.iter().position(|b| *b == b'\n') {
             let line = self.buffer.split_to(end + 1);
