--- a/crates/firdock-node/src/driver.rs
+++ b/crates/firdock-node/src/driver.rs
@@ -1,7 +1,7 @@
 //! The driver owns the scheduler's tables and carries out its actions.
 //!
 //! All other tasks send inputs over one bounded channel. The scheduler runs on each input and on a
-//! short timer, so that decisions never wait for a tick.
+//! short timer, so that latency-critical requests never wait for a tick.
 
 mod answer;
 mod liveness;
@@ -38,7 +38,7 @@
 };
 
 /// Interval between two runs of the timer systems.
-const TICK: Duration = Duration::from_millis(25);
+const TICK_INTERVAL: Duration = Duration::from_millis(25);
 /// Number of ticks between two publications of counters, with a check of the invariants.
 const TICKS_PER_PUBLICATION: u32 = 8;
 
@@ -82,7 +82,7 @@
 pub struct Driver<B> {
     scheduler: Scheduler,
     parts: DriverParts<B>,
-    exchanges: HashMap<RequestId, Live>,
+    active: HashMap<RequestId, ActiveRequest>,
     actions: Vec<Action>,
     ticks: u32,
     decisions: DecisionLog,
@@ -95,7 +95,7 @@
 
 /// A request that has not ended.
 #[derive(Debug)]
-struct Live {
+struct ActiveRequest {
     exchange: Arc<Exchange>,
     arrived: Time,
     /// Last dispatch, for the log line about the request's end.
@@ -105,7 +105,7 @@
     change: Option<watch::Sender<EndpointChange>>,
 }
 
-impl Live {
+impl ActiveRequest {
     /// Returns the data for the log lines about the request's end.
     fn log_context(&self) -> RequestContext<'_> {
         RequestContext {
@@ -134,7 +134,7 @@
         Self {
             scheduler,
             parts,
-            exchanges: HashMap::new(),
+            active: HashMap::new(),
             actions: Vec::new(),
             ticks: 0,
             decisions,
@@ -155,13 +155,13 @@
 
     /// Runs until all senders of inputs are gone or `stop` becomes true.
     pub async fn run(mut self, mut rx: mpsc::Receiver<Input>, mut stop: watch::Receiver<bool>) {
-        let mut ticks = interval(TICK);
+        let mut ticks = interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 input = rx.recv() => match input {
                     Some(input) => {
-                        self.take(input);
+                        self.handle_input(input);
                         // The effects of inputs that arrived together are sent together.
                         if rx.is_empty() {
                             self.send_placement_updates();
@@ -175,13 +175,13 @@
         }
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         match input {
             Input::Arrived(new, exchange) => {
                 let id = new.id;
-                self.exchanges.insert(
+                self.active.insert(
                     id,
-                    Live {
+                    ActiveRequest {
                         exchange,
                         arrived: self.parts.clock.now(),
                         sent: None,
@@ -192,17 +192,18 @@
                 self.step(Event::Arrived(new));
                 self.drop_if_ended(id);
             }
-            Input::Placement(input) => self.take_placement(input),
-            Input::Malformed(kind, endpoint, told) => {
+            Input::Placement(input) => self.handle_placement(input),
+            Input::Malformed(kind, endpoint, value) => {
                 let now = self.parts.clock.now();
-                self.decisions.malformed_report(now, kind, &endpoint, &told);
+                self.decisions
+                    .malformed_report(now, kind, &endpoint, &value);
             }
-            Input::Event(event) => self.take_event(event),
+            Input::Event(event) => self.handle_event(event),
         }
     }
 
-    fn take_event(&mut self, event: Event) {
-        self.note_placement(&event);
+    fn handle_event(&mut self, event: Event) {
+        self.notify_placement(&event);
         match &event {
             Event::Config(catalog) => {
                 let now = self.parts.clock.now();
@@ -211,13 +212,14 @@
                 self.parts.site.set(catalog);
             }
             Event::ConfigConfirmed(at) => self.parts.site.set_fresh(*at),
-            Event::Endpoint(news) => self.note_news(news),
-            Event::CallerLeft(id) => self.note_caller_left(*id),
+            Event::Endpoint(news) => self.log_dispatch_update(news),
+            Event::CallerLeft(id) => self.log_caller_left(*id),
             Event::LivenessChecked(look) => self
                 .decisions
                 .liveness_checked(self.parts.clock.now(), look),
-            Event::NoticeReported(told) => {
-                self.decisions.endpoint_notice(self.parts.clock.now(), told);
+            Event::NoticeReported(report) => {
+                self.decisions
+                    .endpoint_notice(self.parts.clock.now(), report);
             }
             _ => {}
         }
@@ -226,7 +228,7 @@
 
     /// Handles an event and drops its request if the event ended it.
     fn apply(&mut self, event: Event) {
-        let id = subject(&event);
+        let id = request_of(&event);
         self.step(event);
         if let Some(id) = id {
             self.drop_if_ended(id);
@@ -234,15 +236,15 @@
     }
 
     /// Logs an update of a dispatch. Must be called before the request's row is removed.
-    fn note_news(&self, event: &EndpointEvent) {
+    fn log_dispatch_update(&self, event: &EndpointEvent) {
         let row = self.scheduler.tables().requests.get(event.id);
         let row = row.filter(|r| r.dispatch == event.dispatch);
-        let (Some(row), Some(live)) = (row, self.exchanges.get(&event.id)) else {
+        let (Some(row), Some(request)) = (row, self.active.get(&event.id)) else {
             return;
         };
         let now = self.parts.clock.now();
         if let DispatchUpdate::Ended { .. } | DispatchUpdate::Broke { .. } = event.update {
-            let end = live.exchange.delivered().end;
+            let end = request.exchange.delivered().end;
             if let Some(end) = end {
                 self.parts.metrics.count_answer_end(end);
             }
@@ -251,7 +253,7 @@
             DispatchUpdate::Ended { .. } => {
                 self.parts.metrics.observe_answer(now, row);
                 self.decisions
-                    .answered(now, self.scheduler.tables(), row, &live.exchange);
+                    .answered(now, self.scheduler.tables(), row, &request.exchange);
                 return;
             }
             DispatchUpdate::Started { .. }
@@ -267,15 +269,20 @@
             DispatchUpdate::Withheld => "withheld",
             DispatchUpdate::Broke { .. } => "broke",
         };
-        self.decisions
-            .dispatch_failed(now, self.scheduler.tables(), row, failed, &live.exchange);
+        self.decisions.dispatch_failed(
+            now,
+            self.scheduler.tables(),
+            row,
+            failed,
+            &request.exchange,
+        );
     }
 
     /// Logs that a caller left before its answer was complete.
-    fn note_caller_left(&self, id: RequestId) {
-        if let Some(live) = self.exchanges.get(&id) {
+    fn log_caller_left(&self, id: RequestId) {
+        if let Some(request) = self.active.get(&id) {
             let now = self.parts.clock.now();
-            self.decisions.caller_left(now, live.log_context());
+            self.decisions.caller_left(now, request.log_context());
         }
     }
 
@@ -285,7 +292,7 @@
         self.ticks += 1;
         let now = self.parts.clock.now();
         let stepped = self.steps.record(now, self.scheduler.tables());
-        if stepped | self.note_suspects(now) {
+        if stepped | self.log_suspects(now) {
             self.publish();
         }
         if self.ticks.is_multiple_of(TICKS_PER_PUBLICATION) {
@@ -304,7 +311,7 @@
 
     /// Logs changes of the suspects and returns whether there were any. Suspects that were released
     /// from quarantine are removed from the platform's store.
-    fn note_suspects(&mut self, now: Time) -> bool {
+    fn log_suspects(&mut self, now: Time) -> bool {
         let released = self.suspects.record(now, self.scheduler.tables());
         let Some(released) = released else {
             return false;
@@ -331,15 +338,15 @@
 
     fn drop_if_ended(&mut self, id: RequestId) {
         if self.scheduler.tables().requests.get(id).is_none() {
-            self.exchanges.remove(&id);
+            self.active.remove(&id);
         }
     }
 
     /// Drops requests that ended by a timer.
     fn drop_ended(&mut self) {
         let requests = &self.scheduler.tables().requests;
-        if self.exchanges.len() > requests.len() {
-            self.exchanges.retain(|id, _| requests.get(*id).is_some());
+        if self.active.len() > requests.len() {
+            self.active.retain(|id, _| requests.get(*id).is_some());
         }
     }
 
@@ -374,7 +381,7 @@
             Action::Withhold { id, dispatch } => {
                 self.notify_dispatch(id, dispatch, EndpointChange::Closed);
             }
-            Action::Ask { id } => self.ask_placement(id),
+            Action::Ask { id } => self.request_placement(id),
             Action::Decline(grant) => self.decline_placement(&grant),
             Action::HandOver { id, peer, cause } => self.hand_over(id, peer, cause),
             Action::CancelHandOver { id, .. } => self.abort(id),
@@ -390,12 +397,12 @@
                 let sending = peer::transfer_keys(self.parts.dialer.clone(), peer, transfer);
                 self.parts.runtime.spawn(sending);
             }
-            Action::Quarantine(told) => {
+            Action::Quarantine(suspect) => {
                 let now = self.parts.clock.now();
-                self.suspects.quarantined(now, &told);
+                self.suspects.quarantined(now, &suspect);
                 self.parts
                     .records
-                    .send_modify(|wanted| wanted.quarantine(now, told));
+                    .send_modify(|wanted| wanted.quarantine(now, suspect));
             }
             Action::Record(record) => {
                 self.parts.records.send_modify(|wanted| wanted.add(record));
@@ -415,28 +422,28 @@
     }
 
     fn exchange(&self, id: RequestId) -> Option<Arc<Exchange>> {
-        let live = self.exchanges.get(&id);
-        if live.is_none() {
+        let request = self.active.get(&id);
+        if request.is_none() {
             warn!(self.parts.log, "action for an unknown request"; "request_id" => id.to_string());
         }
-        live.map(|l| Arc::clone(&l.exchange))
+        request.map(|r| Arc::clone(&r.exchange))
     }
 
     fn set_task(&mut self, id: RequestId, task: AbortHandle) {
-        if let Some(live) = self.exchanges.get_mut(&id) {
-            live.task = Some(task);
+        if let Some(request) = self.active.get_mut(&id) {
+            request.task = Some(task);
         }
     }
 
     fn abort(&mut self, id: RequestId) {
-        if let Some(task) = self.exchanges.get_mut(&id).and_then(|l| l.task.take()) {
+        if let Some(task) = self.active.get_mut(&id).and_then(|r| r.task.take()) {
             task.abort();
         }
     }
 }
 
 /// Returns the request that an event concerns.
-fn subject(event: &Event) -> Option<RequestId> {
+fn request_of(event: &Event) -> Option<RequestId> {
     match event {
         Event::CallerLeft(id) | Event::NotGranted(id, _) => Some(*id),
         Event::Endpoint(e) => Some(e.id),
--- a/crates/firdock-node/src/driver/answer.rs
+++ b/crates/firdock-node/src/driver/answer.rs
@@ -11,33 +11,34 @@
 
 impl<B: Dispatcher> Driver<B> {
     pub(super) fn answer(&self, id: RequestId, verdict: Verdict) {
-        if let Some(live) = self.exchanges.get(&id) {
+        if let Some(request) = self.active.get(&id) {
             let (now, t) = (self.parts.clock.now(), self.scheduler.tables());
-            self.decisions.verdict(now, t, live.log_context(), verdict);
+            self.decisions
+                .verdict(now, t, request.log_context(), verdict);
         }
         self.reply(id, AnswerPart::Verdict(verdict));
     }
 
     pub(super) fn cut(&self, id: RequestId, reason: Reason) {
-        if let Some(live) = self.exchanges.get(&id) {
+        if let Some(request) = self.active.get(&id) {
             let now = self.parts.clock.now();
-            self.decisions.cut(now, live.log_context(), reason);
+            self.decisions.cut(now, request.log_context(), reason);
         }
         self.reply(id, AnswerPart::Cut);
     }
 
     /// Sends the caller the failed answer that was kept from the last endpoint.
     pub(super) fn pass_failure(&self, id: RequestId) {
-        let Some(live) = self.exchanges.get(&id) else {
+        let Some(request) = self.active.get(&id) else {
             return;
         };
-        let failure = live.exchange.delivered().failure.take();
+        let failure = request.exchange.delivered().failure.take();
         let Some(failure) = failure else {
             return;
         };
         let now = self.parts.clock.now();
         self.decisions
-            .failure_forwarded(now, live.log_context(), failure.head.status);
+            .failure_forwarded(now, request.log_context(), failure.head.status);
         self.reply(id, AnswerPart::Head(failure.head));
         self.reply(id, AnswerPart::Data(failure.body));
         self.reply(id, AnswerPart::End);
@@ -59,11 +60,11 @@
     }
 
     pub(super) fn reply(&self, id: RequestId, part: AnswerPart) {
-        let Some(live) = self.exchanges.get(&id) else {
+        let Some(request) = self.active.get(&id) else {
             return;
         };
-        if let SendResult::Full(part) = live.exchange.reply.try_send(part) {
-            let exchange = Arc::clone(&live.exchange);
+        if let SendResult::Full(part) = request.exchange.reply.try_send(part) {
+            let exchange = Arc::clone(&request.exchange);
             self.parts
                 .runtime
                 .spawn(async move { exchange.reply.send(part).await });
--- a/crates/firdock-node/src/driver/liveness.rs
+++ b/crates/firdock-node/src/driver/liveness.rs
@@ -15,10 +15,10 @@
 use crate::input::Input;
 
 /// Number of connection attempts before an address that closes each connection at once is given up.
-const TRIES: u32 = 3;
+const MAX_CONNECT_ATTEMPTS: u32 = 3;
 /// A connection must stay open for this long to count as proof of life. A terminating process
 /// closes it sooner.
-const STAYS_OPEN: Duration = Duration::from_millis(20);
+const MIN_OPEN_TIME: Duration = Duration::from_millis(20);
 
 impl<B: Dispatcher> Driver<B> {
     /// Checks whether an endpoint's address accepts connections and reports the result to the
@@ -45,10 +45,13 @@
 /// A terminating process closes its sockets one by one and may still accept a connection that it
 /// never serves. A connection that is closed at once is therefore inconclusive and is retried.
 async fn probe(address: SocketAddr, limit: Duration) -> Liveness {
-    for _ in 0..TRIES {
+    for _ in 0..MAX_CONNECT_ATTEMPTS {
         match timeout(limit, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => {
-                if timeout(STAYS_OPEN, closed(&stream)).await.is_err() {
+                if timeout(MIN_OPEN_TIME, wait_until_closed(&stream))
+                    .await
+                    .is_err()
+                {
                     return Liveness::Open;
                 }
             }
@@ -60,7 +63,7 @@
 }
 
 /// Waits until the peer closes a connection on which neither side sends anything.
-async fn closed(stream: &TcpStream) {
+async fn wait_until_closed(stream: &TcpStream) {
     let mut byte = [0];
     // Data, an end or an error: a server that waits for a request does none of these.
     let _ = stream.peek(&mut byte).await;
--- a/crates/firdock-node/src/driver/placement.rs
+++ b/crates/firdock-node/src/driver/placement.rs
@@ -12,7 +12,7 @@
 
 impl<B: Dispatcher> Driver<B> {
     /// Handles a report or a reply that arrived by datagram.
-    pub(super) fn take_placement(&mut self, input: PlacementInput) {
+    pub(super) fn handle_placement(&mut self, input: PlacementInput) {
         let now = self.parts.clock.now();
         if let Some(placement) = &mut self.placement {
             let events = placement.handle_input(now, input);
@@ -21,7 +21,7 @@
     }
 
     /// Passes an event on to placement. Must be called before the scheduler handles the event.
-    pub(super) fn note_placement(&mut self, event: &Event) {
+    pub(super) fn notify_placement(&mut self, event: &Event) {
         let Some(placement) = &mut self.placement else {
             return;
         };
@@ -29,14 +29,14 @@
         match event {
             Event::Endpoint(news) => placement.record_progress(t, news),
             Event::CallerLeft(id) => placement.record_caller_left(t, *id),
-            Event::PaceReported(told) => placement.record_pace(t, told),
-            Event::NoticeReported(told) => placement.record_notice(told),
+            Event::PaceReported(report) => placement.record_pace(t, report),
+            Event::NoticeReported(report) => placement.record_notice(report),
             _ => placement.observe(self.parts.clock.now(), event),
         }
     }
 
     /// Queues a request for placement with the next report.
-    pub(super) fn ask_placement(&mut self, id: RequestId) {
+    pub(super) fn request_placement(&mut self, id: RequestId) {
         if let Some(placement) = &mut self.placement {
             placement.request_placement(id);
         }
--- a/crates/firdock-node/src/driver/send.rs
+++ b/crates/firdock-node/src/driver/send.rs
@@ -36,9 +36,9 @@
         self.decisions.dispatched(now, t, &dispatch, &exchange);
         exchange.delivered().end = None;
         let (change, change_receiver) = watch::channel(EndpointChange::Unchanged);
-        if let Some(live) = self.exchanges.get_mut(&id) {
-            live.sent = Some(LastDispatch::new(now, &dispatch));
-            live.change = Some(change);
+        if let Some(request) = self.active.get_mut(&id) {
+            request.sent = Some(LastDispatch::new(now, &dispatch));
+            request.change = Some(change);
         }
         let run = self.make_run(exchange, dispatch, place, change_receiver);
         let dispatcher = self.parts.dispatcher.clone();
@@ -106,9 +106,9 @@
 
     /// Notifies a dispatch of a change of its endpoint. The dispatch then reports how far it got.
     pub(super) fn notify_dispatch(&mut self, id: RequestId, dispatch: u32, change: EndpointChange) {
-        let live = self.exchanges.get(&id);
-        let live = live.filter(|l| l.sent.as_ref().is_some_and(|s| s.is(dispatch)));
-        if let Some(sender) = live.and_then(|l| l.change.as_ref()) {
+        let request = self.active.get(&id);
+        let request = request.filter(|l| l.sent.as_ref().is_some_and(|s| s.is(dispatch)));
+        if let Some(sender) = request.and_then(|l| l.change.as_ref()) {
             sender.send_replace(change);
         }
     }
--- a/crates/firdock-node/src/edge.rs
+++ b/crates/firdock-node/src/edge.rs
@@ -16,7 +16,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-use self::parts::{DriverOutlets, Parts};
+use self::parts::{DriverOutputs, EdgeParts};
 use crate::clock::millis;
 use crate::driver::Driver;
 use crate::endpoint::Dispatcher;
@@ -32,12 +32,12 @@
 /// Time after the stop request during which calls are still accepted. The load balancer checks
 /// readiness once a second and removes an instance after two failures, and connections passed on
 /// just before that bring one more call each.
-const SERVE_ON: Duration = Duration::from_millis(2_800);
+const SERVE_AFTER_STOP: Duration = Duration::from_millis(2_800);
 /// Time reserved for writing the last answers before the platform kills the process.
-const RESERVE: Duration = Duration::from_millis(700);
+const SHUTDOWN_RESERVE: Duration = Duration::from_millis(700);
 /// Capacity of the queue of store changes to forward to peers. Peers request further ones
 /// themselves.
-const CHANGES_WAITING: usize = 64;
+const CHANGE_QUEUE_CAPACITY: usize = 64;
 /// Configuration of an edge instance before its start.
 #[derive(Debug)]
 pub struct EdgeInstance<I, D, S> {
@@ -88,14 +88,14 @@
     ///
     /// Fails if an address is missing or cannot be bound.
     pub async fn start(self) -> Result<RunningEdge, StartError> {
-        let parts = Parts::new(&self.settings, self.log.clone());
+        let parts = EdgeParts::new(&self.settings, self.log.clone());
         let (inputs, waiting) = mpsc::channel(INPUT_QUEUE_CAPACITY);
         let (stop_ingress, ingress_stops) = watch::channel(false);
         let (stop_rest, rest_stops) = watch::channel(false);
-        let (drained, drain_seen) = watch::channel(false);
+        let (drained, drained_receiver) = watch::channel(false);
         let (self_status, self_status_seen) = watch::channel(SelfStatus::default());
         let (records, records_wanted) = watch::channel(PendingRecords::default());
-        let (changes, changes_told) = mpsc::channel(CHANGES_WAITING);
+        let (changes, change_receiver) = mpsc::channel(CHANGE_QUEUE_CAPACITY);
 
         let callers = open(self.settings.instance.callers, "instance.callers")?;
         parts.serve_status(&rest_stops)?;
@@ -104,16 +104,16 @@
             &socket,
             &inputs,
             self_status_seen,
-            changes_told,
+            change_receiver,
             rest_stops.clone(),
         );
-        let outlets = DriverOutlets {
+        let outputs = DriverOutputs {
             self_status,
             records,
             drained,
         };
         let driver = parts
-            .driver(self.dialect, &inputs, outlets)
+            .driver(self.dialect, &inputs, outputs)
             .with_placement(parts.placement(socket));
         tokio::spawn(run_or_abort(driver, waiting, rest_stops));
         tokio::spawn(
@@ -130,7 +130,7 @@
         Ok(RunningEdge {
             ingress: parts.ingress,
             inputs,
-            drained: drain_seen,
+            drained: drained_receiver,
             serving,
             stop_ingress,
             stop_rest,
@@ -156,11 +156,11 @@
     /// allows.
     pub async fn stop(self) {
         let now = Instant::now();
-        let end = now + self.stop_time.saturating_sub(RESERVE);
+        let end = now + self.stop_time.saturating_sub(SHUTDOWN_RESERVE);
         info!(self.log, "stopping"; "millis" => millis(self.stop_time));
         self.ingress.set(IngressPhase::Closing);
         let _ = self.inputs.send(Input::Event(Event::Drain)).await;
-        sleep_until((now + SERVE_ON).min(end)).await;
+        sleep_until((now + SERVE_AFTER_STOP).min(end)).await;
         self.ingress.set(IngressPhase::Closed);
         self.stop_ingress.send_replace(true);
         let finished = timeout_at(end, self.serving).await.is_ok();
--- a/crates/firdock-node/src/edge/parts.rs
+++ b/crates/firdock-node/src/edge/parts.rs
@@ -48,7 +48,7 @@
 
 /// State shared by the components of an edge instance.
 #[derive(Debug)]
-pub struct Parts {
+pub struct EdgeParts {
     settings: Settings,
     pub member: Member,
     clock: Clock,
@@ -64,7 +64,7 @@
 
 /// Channels on which the driver publishes state.
 #[derive(Debug)]
-pub struct DriverOutlets {
+pub struct DriverOutputs {
     /// What peers are told about this instance.
     pub self_status: watch::Sender<SelfStatus>,
     /// Roll-out states to write to the platform's store.
@@ -89,13 +89,13 @@
 
 /// Whether this instance asks its peers before it reads the store at the start. Seeds do not: the
 /// others ask them, and all instances may start at the same moment.
-fn asks_first(settings: &Settings) -> bool {
+fn asks_peers_first(settings: &Settings) -> bool {
     let me = settings.instance.peers;
     let is_seed = seeds(settings).any(|seed| Some(seed) == me);
     !is_seed && !settings.peers.seeds.is_empty()
 }
 
-impl Parts {
+impl EdgeParts {
     /// Creates the shared state for a new start of the process.
     pub fn new(settings: &Settings, log: Logger) -> Self {
         let name = settings.instance.name.clone();
@@ -124,7 +124,9 @@
                 PeerDirectory::new(name, settings.instance.zone.clone())
                     .with_millicores(settings.instance.millicores()),
             ),
-            reads: Arc::new(SharedReads::default().with_asks_peers_first(asks_first(settings))),
+            reads: Arc::new(
+                SharedReads::default().with_asks_peers_first(asks_peers_first(settings)),
+            ),
             log,
             log_limiter,
         }
@@ -172,7 +174,7 @@
         &self,
         dialect: D,
         inputs: &mpsc::Sender<Input>,
-        told: DriverOutlets,
+        outputs: DriverOutputs,
     ) -> Driver<Relay<D>> {
         let e = &self.settings.endpoints;
         let connect = Duration::from_millis(e.connect_millis);
@@ -191,9 +193,9 @@
             log_limiter: Arc::clone(&self.log_limiter),
             runtime: Handle::current(),
             inputs: inputs.clone(),
-            self_status: told.self_status,
-            records: told.records,
-            drained: told.drained,
+            self_status: outputs.self_status,
+            records: outputs.records,
+            drained: outputs.drained,
         };
         Driver::new(Scheduler::new(self.policy()), parts)
     }
