--- a/crates/firdock-node/src/endpoint.rs
+++ b/crates/firdock-node/src/endpoint.rs
@@ -80,10 +80,10 @@
 #[non_exhaustive]
 pub enum StartError {
     /// The request was never sent.
-    #[snafu(display("endpoint not reached"))]
+    #[snafu(display("endpoint unreachable"))]
     Unreachable,
     /// The endpoint refused the request without starting it.
-    #[snafu(display("endpoint refused"))]
+    #[snafu(display("endpoint refused the request"))]
     Refused,
     /// The request may have run.
     #[snafu(display("endpoint lost after the request was sent"))]
@@ -92,7 +92,7 @@
         cause: BreakCause,
     },
     /// The endpoint responded with an error of its own, which is forwarded to the caller.
-    #[snafu(display("endpoint answered {status}"))]
+    #[snafu(display("endpoint responded with status {status}"))]
     Answered {
         /// Status code.
         status: u16,
@@ -135,14 +135,14 @@
 #[non_exhaustive]
 pub enum StreamError {
     /// The connection broke; the engine may still hold the stream.
-    #[snafu(display("connection broke"))]
+    #[snafu(display("connection lost"))]
     Broken,
     /// No data arrived within the time limit.
-    #[snafu(display("engine fell silent"))]
+    #[snafu(display("no data from the engine within the time limit"))]
     Silent,
     /// The data belongs to another request, or tokens are missing.
-    #[snafu(display("crossed or incomplete answer"))]
-    Crossed,
+    #[snafu(display("data of another request, or missing tokens"))]
+    Inconsistent,
 }
 
 /// Request to an engine to answer a model call.
@@ -267,7 +267,7 @@
     fn start(
         &self,
         at: SocketAddr,
-        order: EngineRequest<'_>,
+        engine_request: EngineRequest<'_>,
     ) -> impl Future<Output = EndpointResponse<Self::Stream>> + Send;
 
     /// Resumes a running stream at an offset after its connection broke. Fails if the engine no
@@ -275,7 +275,7 @@
     fn resume(
         &self,
         at: SocketAddr,
-        order: EngineRequest<'_>,
+        engine_request: EngineRequest<'_>,
         from: u32,
     ) -> impl Future<Output = EndpointResponse<Self::Stream>> + Send;
 
@@ -315,10 +315,10 @@
     /// # Errors
     ///
     /// Fails if a later command was sent before, or the engine cannot be reached.
-    fn order(
+    fn send_command(
         &self,
         at: SocketAddr,
-        order: &FencedCommand,
+        command: &FencedCommand,
     ) -> impl Future<Output = Result<(), StartError>> + Send;
 }
 
@@ -349,7 +349,7 @@
     fn call(
         &self,
         at: SocketAddr,
-        order: PlainRequest<'_>,
+        plain_request: PlainRequest<'_>,
         silence: Duration,
     ) -> impl Future<Output = EndpointResponse<PlainAnswer>> + Send;
 }
--- a/crates/firdock-node/src/endpoint/engine.rs
+++ b/crates/firdock-node/src/endpoint/engine.rs
@@ -65,7 +65,7 @@
     async fn open_stream(
         &self,
         at: SocketAddr,
-        order: EngineRequest<'_>,
+        engine_request: EngineRequest<'_>,
         request: Request<Full<Bytes>>,
         from: u32,
     ) -> EndpointResponse<HttpTokenStream> {
@@ -74,7 +74,7 @@
             Err(error) => return EndpointResponse::without_head(error),
         };
         let head = HeadNotice::read(response.status(), response.headers(), &LEAVING_HEADER);
-        let result = answer_body(order, response)
+        let result = answer_body(engine_request, response)
             .await
             .map(|body| HttpTokenStream {
                 _connection: connection,
@@ -118,13 +118,13 @@
 
 /// Checks the head of a response and returns its body if the answer follows.
 async fn answer_body(
-    order: EngineRequest<'_>,
+    engine_request: EngineRequest<'_>,
     response: Response<Incoming>,
 ) -> Result<EndpointBody, StartError> {
     if response.headers().contains_key(NOT_STARTED_HEADER) {
         return RefusedSnafu.fail();
     }
-    if !echoes(&response, order) {
+    if !echoes(&response, engine_request) {
         let cause = BreakCause::Foreign;
         return LostSnafu { cause }.fail();
     }
@@ -151,10 +151,10 @@
 }
 
 /// Whether a response echoes the request ID and the dispatch number.
-fn echoes(response: &Response<Incoming>, order: EngineRequest<'_>) -> bool {
+fn echoes(response: &Response<Incoming>, engine_request: EngineRequest<'_>) -> bool {
     let text = |name: &str| response.headers().get(name).and_then(|v| v.to_str().ok());
-    let id = text(REQUEST_ID_HEADER.as_str()) == Some(order.id.to_string().as_str());
-    id && text(DISPATCH_HEADER) == Some(order.dispatch.to_string().as_str())
+    let id = text(REQUEST_ID_HEADER.as_str()) == Some(engine_request.id.to_string().as_str());
+    id && text(DISPATCH_HEADER) == Some(engine_request.dispatch.to_string().as_str())
 }
 
 /// Reads a body that firdock itself interprets, either completely or not at all.
@@ -193,14 +193,14 @@
 }
 
 /// Builds the request body for the engine: the caller's body with firdock's additions.
-fn request_body(order: EngineRequest<'_>) -> Bytes {
-    let mut body = order.call.body.clone();
+fn request_body(engine_request: EngineRequest<'_>) -> Bytes {
+    let mut body = engine_request.call.body.clone();
     body["stream"] = json!(true);
-    body["max_tokens"] = json!(order.call.max_tokens);
-    body["priority"] = json!(order.priority);
-    body["resume_from"] = json!(order.resume_from);
-    if order.resume_from > 0 {
-        body["resume_text"] = json!(order.resume_text);
+    body["max_tokens"] = json!(engine_request.call.max_tokens);
+    body["priority"] = json!(engine_request.priority);
+    body["resume_from"] = json!(engine_request.resume_from);
+    if engine_request.resume_from > 0 {
+        body["resume_text"] = json!(engine_request.resume_text);
     }
     Bytes::from(body.to_string())
 }
@@ -208,14 +208,14 @@
 fn request_builder(
     method: Method,
     path: &str,
-    order: EngineRequest<'_>,
+    engine_request: EngineRequest<'_>,
 ) -> hyper::http::request::Builder {
     Request::builder()
         .method(method)
         .uri(path)
-        .header(REQUEST_ID_HEADER, order.id.to_string())
-        .header(DISPATCH_HEADER, order.dispatch)
-        .header("traceparent", order.trace.header())
+        .header(REQUEST_ID_HEADER, engine_request.id.to_string())
+        .header(DISPATCH_HEADER, engine_request.dispatch)
+        .header("traceparent", engine_request.trace.header())
         .header("content-type", "application/json")
 }
 
@@ -225,32 +225,36 @@
     async fn start(
         &self,
         at: SocketAddr,
-        order: EngineRequest<'_>,
+        engine_request: EngineRequest<'_>,
     ) -> EndpointResponse<HttpTokenStream> {
-        let path = if order.call.chat {
+        let path = if engine_request.call.chat {
             "/v1/chat/completions"
         } else {
             "/v1/completions"
         };
-        let body = Full::new(request_body(order));
-        let Ok(request) = request_builder(Method::POST, path, order).body(body) else {
+        let body = Full::new(request_body(engine_request));
+        let Ok(request) = request_builder(Method::POST, path, engine_request).body(body) else {
             return EndpointResponse::without_head(StartError::Refused);
         };
-        self.open_stream(at, order, request, order.resume_from)
+        self.open_stream(at, engine_request, request, engine_request.resume_from)
             .await
     }
 
     async fn resume(
         &self,
         at: SocketAddr,
-        order: EngineRequest<'_>,
+        engine_request: EngineRequest<'_>,
         from: u32,
     ) -> EndpointResponse<HttpTokenStream> {
-        let path = format!("/requests/{}/{}?from={from}", order.id, order.dispatch);
-        let Ok(request) = request_builder(Method::GET, &path, order).body(Full::default()) else {
+        let path = format!(
+            "/requests/{}/{}?from={from}",
+            engine_request.id, engine_request.dispatch
+        );
+        let Ok(request) = request_builder(Method::GET, &path, engine_request).body(Full::default())
+        else {
             return EndpointResponse::without_head(StartError::Refused);
         };
-        self.open_stream(at, order, request, from).await
+        self.open_stream(at, engine_request, request, from).await
     }
 
     async fn cancel(&self, at: SocketAddr, id: RequestId, dispatch: u32) {
@@ -279,8 +283,12 @@
             .map(|_| ())
     }
 
-    async fn order(&self, at: SocketAddr, order: &FencedCommand) -> Result<(), StartError> {
-        let body = serde_json::to_vec(order).unwrap_or_default();
+    async fn send_command(
+        &self,
+        at: SocketAddr,
+        command: &FencedCommand,
+    ) -> Result<(), StartError> {
+        let body = serde_json::to_vec(command).unwrap_or_default();
         self.call_engine(at, Method::POST, "/orders", Bytes::from(body))
             .await
             .map(|_| ())
@@ -321,7 +329,7 @@
                 }
                 Ok(Some(SseEvent::Comment)) => {}
                 Ok(None) => self.read_more(silence).await?,
-                Err(_) => return Err(StreamError::Crossed),
+                Err(_) => return Err(StreamError::Inconsistent),
             }
         }
     }
@@ -366,15 +374,15 @@
                 self.answer_end.ending = Some(Ending::Framed);
                 Ok(Some(Step { event: None }))
             } else {
-                Err(StreamError::Crossed)
+                Err(StreamError::Inconsistent)
             };
         }
         let json = serde_json::from_str::<Value>(data)
             .ok()
-            .ok_or(StreamError::Crossed)?;
-        let event = read_event(json).ok_or(StreamError::Crossed)?;
+            .ok_or(StreamError::Inconsistent)?;
+        let event = read_event(json).ok_or(StreamError::Inconsistent)?;
         if event.offset > self.next {
-            return Err(StreamError::Crossed);
+            return Err(StreamError::Inconsistent);
         }
         if event.offset < self.next && event.finish.is_none() {
             return Ok(None);
--- a/crates/firdock-node/src/endpoint/events.rs
+++ b/crates/firdock-node/src/endpoint/events.rs
@@ -16,7 +16,7 @@
 
 /// An event exceeded the size limit.
 #[derive(Debug, Snafu)]
-#[snafu(display("an event of more than {MAX_EVENT_BYTES} bytes"))]
+#[snafu(display("event larger than {MAX_EVENT_BYTES} bytes"))]
 pub struct EventTooLong;
 
 /// Complete events, byte for byte as received.
--- a/crates/firdock-node/src/endpoint/plain.rs
+++ b/crates/firdock-node/src/endpoint/plain.rs
@@ -36,10 +36,10 @@
     async fn call(
         &self,
         at: SocketAddr,
-        order: PlainRequest<'_>,
+        plain_request: PlainRequest<'_>,
         silence: Duration,
     ) -> EndpointResponse<PlainAnswer> {
-        let Some(request) = request(at, order) else {
+        let Some(request) = request(at, plain_request) else {
             return EndpointResponse::without_head(StartError::Refused);
         };
         let Ok(mut connection) = connect(at, self.connect_time).await else {
@@ -56,8 +56,8 @@
             }
         };
         let head = HeadNotice::read(response.status(), response.headers(), &LEAVING_HEADER);
-        let framing = Framing::read(order.method, response.status(), response.headers());
-        let result = check_response(order, response).map(|response| {
+        let framing = Framing::read(plain_request.method, response.status(), response.headers());
+        let result = check_response(plain_request, response).map(|response| {
             let (parts, body) = response.into_parts();
             let head = AnswerHead {
                 status: parts.status,
@@ -76,7 +76,7 @@
 
 /// Checks from its head whether a response belongs to the call.
 fn check_response(
-    order: PlainRequest<'_>,
+    plain_request: PlainRequest<'_>,
     mut response: Response<Incoming>,
 ) -> Result<Response<Incoming>, StartError> {
     if response.headers().contains_key(NOT_STARTED_HEADER) {
@@ -86,7 +86,7 @@
         .headers()
         .get(REQUEST_ID_HEADER)
         .and_then(|v| v.to_str().ok());
-    if echoed.is_some_and(|id| id != order.id.to_string()) {
+    if echoed.is_some_and(|id| id != plain_request.id.to_string()) {
         let cause = BreakCause::Foreign;
         return LostSnafu { cause }.fail();
     }
@@ -94,19 +94,21 @@
     Ok(response)
 }
 
-fn request(at: SocketAddr, order: PlainRequest<'_>) -> Option<Request<Full<bytes::Bytes>>> {
-    let body = Full::new(order.body.clone());
-    let builder = Request::builder().method(order.method).uri(order.target);
+fn request(at: SocketAddr, plain_request: PlainRequest<'_>) -> Option<Request<Full<bytes::Bytes>>> {
+    let body = Full::new(plain_request.body.clone());
+    let builder = Request::builder()
+        .method(plain_request.method)
+        .uri(plain_request.target);
     let mut request = builder.body(body).ok()?;
     let headers = request.headers_mut();
-    headers.clone_from(order.headers);
+    headers.clone_from(plain_request.headers);
     headers.insert(header::HOST, HeaderValue::from_str(&at.to_string()).ok()?);
-    let id = HeaderValue::from_str(&order.id.to_string()).ok()?;
+    let id = HeaderValue::from_str(&plain_request.id.to_string()).ok()?;
     headers.insert(REQUEST_ID_HEADER, id);
-    headers.insert(DISPATCH_HEADER, HeaderValue::from(order.dispatch));
+    headers.insert(DISPATCH_HEADER, HeaderValue::from(plain_request.dispatch));
     headers.insert(
         "traceparent",
-        HeaderValue::from_str(&order.trace.header()).ok()?,
+        HeaderValue::from_str(&plain_request.trace.header()).ok()?,
     );
     Some(request)
 }
--- a/crates/firdock-node/src/endpoint/relay.rs
+++ b/crates/firdock-node/src/endpoint/relay.rs
@@ -60,7 +60,7 @@
 
 /// The load that an endpoint reports has an unknown format or is out of range.
 #[derive(Debug, Clone, Snafu, PartialEq, Eq)]
-#[snafu(display("no load: {text}"))]
+#[snafu(display("invalid load value: {text}"))]
 pub struct InvalidLoad {
     /// Start of the malformed value.
     pub text: String,
@@ -69,7 +69,7 @@
 /// Protocol of a platform's endpoints.
 pub trait Dialect: Clone + Send + Sync + 'static {
     /// Adds the headers that the endpoint needs.
-    fn add_headers(&self, headers: &mut HeaderMap, order: RelayRequest<'_>);
+    fn add_headers(&self, headers: &mut HeaderMap, relay_request: RelayRequest<'_>);
 
     /// Classifies the head of an answer.
     fn classify(&self, payload: &Payload, status: StatusCode, headers: &HeaderMap) -> ResponseKind;
@@ -112,14 +112,15 @@
         let mut request = builder.body(body).ok()?;
         let last_event = run.delivered().last_event.clone();
         let now = run.clock.now();
-        let order = RelayRequest {
+        let relay_request = RelayRequest {
             payload,
             endpoint: &run.dispatch.endpoint,
             left: run.dispatch.deadline.map(|by| by.saturating_sub(now)),
             last_event: last_event.as_deref(),
         };
         request.headers_mut().clone_from(&payload.headers);
-        self.dialect.add_headers(request.headers_mut(), order);
+        self.dialect
+            .add_headers(request.headers_mut(), relay_request);
         Some(request)
     }
 
--- a/crates/firdock-node/src/endpoint/run_engine.rs
+++ b/crates/firdock-node/src/endpoint/run_engine.rs
@@ -29,7 +29,7 @@
         return result;
     }
     let text = run.delivered().text.clone();
-    let order = EngineRequest {
+    let engine_request = EngineRequest {
         id: run.id(),
         dispatch: run.dispatch.dispatch,
         resume_from: run.dispatch.resume_from,
@@ -38,10 +38,10 @@
         call: &call,
         trace: run.trace,
     };
-    let started = engine.start(run.target.address, order).await;
+    let started = engine.start(run.target.address, engine_request).await;
     run.report_notice(&started.head).await;
     match started.result {
-        Ok(stream) => follow(&engine, &run, order, stream).await,
+        Ok(stream) => follow(&engine, &run, engine_request, stream).await,
         Err(e) => report_start_error(&run, e).await,
     }
 }
@@ -85,12 +85,12 @@
 async fn follow<E: EngineClient>(
     engine: &E,
     run: &DispatchRun,
-    order: EngineRequest<'_>,
+    engine_request: EngineRequest<'_>,
     mut stream: E::Stream,
 ) -> &'static str {
     let mut forwarder = AnswerForwarder {
         run,
-        call: order.call,
+        call: engine_request.call,
         usage: EngineUsage::default(),
         begun: false,
     };
@@ -112,7 +112,9 @@
                 attempts += 1;
                 tokio::time::sleep(RESUME_DELAY).await;
                 let from = run.delivered().tokens;
-                let resumed = engine.resume(run.target.address, order, from).await;
+                let resumed = engine
+                    .resume(run.target.address, engine_request, from)
+                    .await;
                 run.report_notice(&resumed.head).await;
                 match resumed.result {
                     Ok(again) => stream = again,
@@ -250,7 +252,7 @@
     match error {
         StreamError::Broken => BreakCause::Closed,
         StreamError::Silent => BreakCause::Silent,
-        StreamError::Crossed => BreakCause::Foreign,
+        StreamError::Inconsistent => BreakCause::Foreign,
     }
 }
 
--- a/crates/firdock-node/src/endpoint/run_plain.rs
+++ b/crates/firdock-node/src/endpoint/run_plain.rs
@@ -19,7 +19,7 @@
         return result;
     }
     let payload = &run.exchange.payload;
-    let order = PlainRequest {
+    let plain_request = PlainRequest {
         id: run.dispatch.id,
         dispatch: run.dispatch.dispatch,
         method: &payload.method,
@@ -28,11 +28,11 @@
         body: &payload.body,
         trace: run.trace,
     };
-    let heard = plain
-        .call(run.target.address, order, run.limits.silence)
+    let response = plain
+        .call(run.target.address, plain_request, run.limits.silence)
         .await;
-    run.report_notice(&heard.head).await;
-    match heard.result {
+    run.report_notice(&response.head).await;
+    match response.result {
         Ok(answer) => forward_answer(&run, answer, &answer_cache).await,
         Err(StartError::Unreachable) => run.report_not_run(true).await,
         Err(StartError::Refused) => run.report_not_run(false).await,
--- a/crates/firdock-node/src/endpoint/sse.rs
+++ b/crates/firdock-node/src/endpoint/sse.rs
@@ -17,7 +17,7 @@
 
 /// The bytes are not an event stream.
 #[derive(Debug, Snafu, Clone, Copy, PartialEq, Eq)]
-#[snafu(display("no event stream, or an event of more than {MAX_EVENT_BYTES} bytes"))]
+#[snafu(display("invalid event stream, or an event larger than {MAX_EVENT_BYTES} bytes"))]
 pub struct InvalidEventStream;
 
 /// Assembles events from the received bytes.
