--- a/crates/firdock-node/src/endpoint.rs
+++ b/crates/firdock-node/src/endpoint.rs
@@ -248,7 +248,7 @@
     /// Fails if the stream stops before its end.
     fn next(
         &mut self,
-        silence: Duration,
+        idle_timeout: Duration,
     ) -> impl Future<Output = Result<Option<TokenEvent>, StreamError>> + Send;
 
     /// Returns statistics on the answer, for the log lines about its end.
@@ -350,7 +350,7 @@
         &self,
         at: SocketAddr,
         plain_request: PlainRequest<'_>,
-        silence: Duration,
+        idle_timeout: Duration,
     ) -> impl Future<Output = EndpointResponse<PlainAnswer>> + Send;
 }
 
--- a/crates/firdock-node/src/endpoint/engine.rs
+++ b/crates/firdock-node/src/endpoint/engine.rs
@@ -35,17 +35,17 @@
 /// Adapter for engines.
 #[derive(Debug, Clone, Copy)]
 pub struct HttpEngine {
-    connect_time: Duration,
-    answer_time: Duration,
+    connect_timeout: Duration,
+    answer_timeout: Duration,
 }
 
 impl HttpEngine {
     /// Creates an adapter with its time limits.
     #[must_use]
-    pub fn new(connect_time: Duration, answer_time: Duration) -> Self {
+    pub fn new(connect_timeout: Duration, answer_timeout: Duration) -> Self {
         Self {
-            connect_time,
-            answer_time,
+            connect_timeout,
+            answer_timeout,
         }
     }
 
@@ -54,10 +54,10 @@
         at: SocketAddr,
         request: Request<Full<Bytes>>,
     ) -> Result<(Connection, Response<Incoming>), StartError> {
-        let mut connection = connect(at, self.connect_time)
+        let mut connection = connect(at, self.connect_timeout)
             .await
             .map_err(|e| start_error(&e))?;
-        let response = connection.call(request, self.answer_time).await;
+        let response = connection.call(request, self.answer_timeout).await;
         let response = response.map_err(|e| start_error(&e))?;
         Ok((connection, response))
     }
@@ -175,15 +175,15 @@
             return LostSnafu { cause }.fail();
         }
     };
-    let whole = read.freeze();
+    let bytes = read.freeze();
     let shape = match framing {
         Framing::Connection => BodyState::Delimited {
-            ended: serde_json::from_slice::<IgnoredAny>(&whole).is_ok(),
+            ended: serde_json::from_slice::<IgnoredAny>(&bytes).is_ok(),
         },
         _ => BodyState::Opaque,
     };
     match assess_completeness(framing, ending, shape) {
-        Completeness::Complete => Ok(whole),
+        Completeness::Complete => Ok(bytes),
         Completeness::Unproven => LostSnafu {
             cause: BreakCause::Closed,
         }
@@ -318,7 +318,7 @@
 }
 
 impl TokenStream for HttpTokenStream {
-    async fn next(&mut self, silence: Duration) -> Result<Option<TokenEvent>, StreamError> {
+    async fn next(&mut self, idle_timeout: Duration) -> Result<Option<TokenEvent>, StreamError> {
         loop {
             match self.decoder.next_event() {
                 Ok(Some(SseEvent::Data(data))) => {
@@ -328,7 +328,7 @@
                     }
                 }
                 Ok(Some(SseEvent::Comment)) => {}
-                Ok(None) => self.read_more(silence).await?,
+                Ok(None) => self.read_more(idle_timeout).await?,
                 Err(_) => return Err(StreamError::Inconsistent),
             }
         }
@@ -345,8 +345,8 @@
 }
 
 impl HttpTokenStream {
-    async fn read_more(&mut self, silence: Duration) -> Result<(), StreamError> {
-        match timeout(silence, self.body.next()).await {
+    async fn read_more(&mut self, idle_timeout: Duration) -> Result<(), StreamError> {
+        match timeout(idle_timeout, self.body.next()).await {
             Err(_) => {
                 self.answer_end.ending = Some(Ending::Silent);
                 Err(StreamError::Silent)
@@ -369,8 +369,8 @@
     /// error.
     fn handle_event(&mut self, data: &str) -> Result<Option<Step>, StreamError> {
         if data == DONE {
-            let whole = self.ended;
-            return if whole {
+            let is_complete = self.ended;
+            return if is_complete {
                 self.answer_end.ending = Some(Ending::Framed);
                 Ok(Some(Step { event: None }))
             } else {
--- a/crates/firdock-node/src/endpoint/events.rs
+++ b/crates/firdock-node/src/endpoint/events.rs
@@ -63,17 +63,17 @@
     /// Fails if an event exceeds the size limit.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Option<CompleteEvents>, EventTooLong> {
         self.buffer.extend_from_slice(bytes);
-        let mut whole = Scanned::default();
+        let mut scan = Scanned::default();
         while let Some(at) = self.next_line_end() {
-            self.handle_line_end(at, &mut whole);
+            self.handle_line_end(at, &mut scan);
         }
         if self.scanned < self.buffer.len() {
             self.scanned = self.buffer.len();
             self.after_cr = false;
         }
-        self.events = self.events.saturating_add(whole.count);
-        if whole.end > 0 && self.has_begun() {
-            return Ok(Some(self.cut(whole)));
+        self.events = self.events.saturating_add(scan.count);
+        if scan.end > 0 && self.has_begun() {
+            return Ok(Some(self.split_complete(scan)));
         }
         if self.buffer.len() > MAX_EVENT_BYTES {
             return Err(EventTooLong);
@@ -84,11 +84,11 @@
     /// Returns the bytes left at the end of the stream that were not forwarded, and what they are.
     #[must_use]
     pub fn finish(self) -> (Bytes, TrailingData) {
-        let left = self.left();
-        (self.buffer.freeze(), left)
+        let trailing = self.trailing_data();
+        (self.buffer.freeze(), trailing)
     }
 
-    fn left(&self) -> TrailingData {
+    fn trailing_data(&self) -> TrailingData {
         let line = self.strip_byte_order_mark(&self.buffer[self.line..]);
         if self.in_event {
             TrailingData::Event
@@ -114,7 +114,7 @@
         Some(self.scanned + at)
     }
 
-    fn handle_line_end(&mut self, at: usize, whole: &mut Scanned) {
+    fn handle_line_end(&mut self, at: usize, scan: &mut Scanned) {
         let follows_cr = self.after_cr && at == self.scanned;
         let byte = self.buffer[at];
         self.scanned = at + 1;
@@ -123,21 +123,21 @@
             // The LF of a CRLF.
             self.line = self.scanned;
             if !self.in_event {
-                whole.end = self.scanned;
+                scan.end = self.scanned;
             }
         } else {
-            self.end_line(whole);
+            self.end_line(scan);
         }
     }
 
     /// Handles the line that ends with the last scanned byte.
-    fn end_line(&mut self, whole: &mut Scanned) {
+    fn end_line(&mut self, scan: &mut Scanned) {
         let line = &self.buffer[self.line..self.scanned - 1];
         let line = self.strip_byte_order_mark(line);
         if line.is_empty() {
             if std::mem::replace(&mut self.in_event, false) {
-                whole.count += 1;
-                whole.last_id = self.id.take().filter(|id| !id.is_empty());
+                scan.count += 1;
+                scan.last_id = self.id.take().filter(|id| !id.is_empty());
             }
         } else if !line.starts_with(b":") {
             if let Some(id) = read_id(line) {
@@ -148,7 +148,7 @@
         self.past_first_line = true;
         self.line = self.scanned;
         if !self.in_event {
-            whole.end = self.scanned;
+            scan.end = self.scanned;
         }
     }
 
@@ -160,13 +160,13 @@
             .unwrap_or(line)
     }
 
-    fn cut(&mut self, whole: Scanned) -> CompleteEvents {
-        self.scanned -= whole.end;
-        self.line -= whole.end;
+    fn split_complete(&mut self, scan: Scanned) -> CompleteEvents {
+        self.scanned -= scan.end;
+        self.line -= scan.end;
         CompleteEvents {
-            bytes: self.buffer.split_to(whole.end).freeze(),
-            count: whole.count,
-            last_id: whole.last_id,
+            bytes: self.buffer.split_to(scan.end).freeze(),
+            count: scan.count,
+            last_id: scan.last_id,
         }
     }
 }
--- a/crates/firdock-node/src/endpoint/plain.rs
+++ b/crates/firdock-node/src/endpoint/plain.rs
@@ -21,14 +21,14 @@
 /// Adapter for plain servers.
 #[derive(Debug, Clone, Copy)]
 pub struct HttpPlain {
-    connect_time: Duration,
+    connect_timeout: Duration,
 }
 
 impl HttpPlain {
     /// Creates an adapter with a time limit for connecting.
     #[must_use]
-    pub fn new(connect_time: Duration) -> Self {
-        Self { connect_time }
+    pub fn new(connect_timeout: Duration) -> Self {
+        Self { connect_timeout }
     }
 }
 
@@ -37,15 +37,15 @@
         &self,
         at: SocketAddr,
         plain_request: PlainRequest<'_>,
-        silence: Duration,
+        idle_timeout: Duration,
     ) -> EndpointResponse<PlainAnswer> {
         let Some(request) = request(at, plain_request) else {
             return EndpointResponse::without_head(StartError::Refused);
         };
-        let Ok(mut connection) = connect(at, self.connect_time).await else {
+        let Ok(mut connection) = connect(at, self.connect_timeout).await else {
             return EndpointResponse::without_head(StartError::Unreachable);
         };
-        let response = match connection.call(request, silence).await {
+        let response = match connection.call(request, idle_timeout).await {
             Ok(response) => response,
             Err(CallError::Connect { .. } | CallError::ConnectTime { .. }) => {
                 return EndpointResponse::without_head(StartError::Unreachable);
--- a/crates/firdock-node/src/endpoint/relay.rs
+++ b/crates/firdock-node/src/endpoint/relay.rs
@@ -89,16 +89,16 @@
 #[derive(Debug, Clone)]
 pub struct Relay<D> {
     dialect: D,
-    connect_time: Duration,
+    connect_timeout: Duration,
 }
 
 impl<D: Dialect> Relay<D> {
     /// Creates a relay with a time limit for connecting.
     #[must_use]
-    pub fn new(dialect: D, connect_time: Duration) -> Self {
+    pub fn new(dialect: D, connect_timeout: Duration) -> Self {
         Self {
             dialect,
-            connect_time,
+            connect_timeout,
         }
     }
 
@@ -196,7 +196,7 @@
         let limit = run.dispatch.deadline.map_or(DEFAULT_TIMEOUT, |by| {
             by.saturating_sub(run.clock.now()) + DEADLINE_GRACE
         });
-        let Ok(mut connection) = connect(run.target.address, self.connect_time).await else {
+        let Ok(mut connection) = connect(run.target.address, self.connect_timeout).await else {
             return run.report_not_run(true).await;
         };
         // Checked after the connect, since the process may have been suspended during it.
--- a/crates/firdock-node/src/endpoint/relay/stream.rs
+++ b/crates/firdock-node/src/endpoint/relay/stream.rs
@@ -46,22 +46,22 @@
     }
 
     async fn forward_stream(&mut self, mut body: EndpointBody) -> Result<(), DispatchError> {
-        let mut cutter = EventSplitter::default();
+        let mut splitter = EventSplitter::default();
         let ending = loop {
             let bytes = match self.run.read(&mut body).await {
                 Ok(bytes) => bytes,
                 Err(ending) => break ending,
             };
-            let whole = cutter
+            let complete = splitter
                 .push(&bytes)
                 .map_err(|_too_long| DispatchError::EndpointFailed(BreakCause::Foreign))?;
-            if let Some(events) = whole {
+            if let Some(events) = complete {
                 self.forward_events(events).await?;
             }
         };
         // A stream that resumes after its last event has no more events.
-        let begun = cutter.has_begun() || self.run.delivered().last_event.is_some();
-        let (rest, left) = cutter.finish();
+        let begun = splitter.has_begun() || self.run.delivered().last_event.is_some();
+        let (rest, left) = splitter.finish();
         if let Some(end) = &mut self.run.delivered().end {
             end.leftover = rest.len();
         }
--- a/crates/firdock-node/src/endpoint/run.rs
+++ b/crates/firdock-node/src/endpoint/run.rs
@@ -31,7 +31,7 @@
     /// Time limit of a connection attempt.
     pub connect: Duration,
     /// Longest time without data from an endpoint.
-    pub silence: Duration,
+    pub idle_timeout: Duration,
     /// Longest time for which a caller may leave parts of the answer unread.
     pub caller_stall: Duration,
 }
@@ -42,7 +42,7 @@
     pub fn new(endpoints: &Endpoints) -> Self {
         Self {
             connect: Duration::from_millis(endpoints.connect_millis),
-            silence: Duration::from_millis(endpoints.silence_millis),
+            idle_timeout: Duration::from_millis(endpoints.silence_millis),
             caller_stall: CALLER_STALL,
         }
     }
--- a/crates/firdock-node/src/endpoint/run_engine.rs
+++ b/crates/firdock-node/src/endpoint/run_engine.rs
@@ -96,7 +96,10 @@
     };
     let mut attempts = 0;
     loop {
-        let Ok(next) = run.until_restart(stream.next(run.limits.silence)).await else {
+        let Ok(next) = run
+            .until_restart(stream.next(run.limits.idle_timeout))
+            .await
+        else {
             return run.report_broken(BreakCause::Restarted).await;
         };
         run.delivered().end = Some(stream.answer_end());
--- a/crates/firdock-node/src/endpoint/run_plain.rs
+++ b/crates/firdock-node/src/endpoint/run_plain.rs
@@ -29,7 +29,7 @@
         trace: run.trace,
     };
     let response = plain
-        .call(run.target.address, plain_request, run.limits.silence)
+        .call(run.target.address, plain_request, run.limits.idle_timeout)
         .await;
     run.report_notice(&response.head).await;
     match response.result {
@@ -95,7 +95,7 @@
     kept: &mut Option<CachedAnswer>,
 ) -> Result<(), DispatchError> {
     loop {
-        let next = timeout(run.limits.silence, body.next()).await;
+        let next = timeout(run.limits.idle_timeout, body.next()).await;
         match next.unwrap_or(Err(Ending::Silent)) {
             Ok(bytes) => {
                 run.record_bytes(&bytes);
--- a/crates/firdock-node/src/placement/coordinator.rs
+++ b/crates/firdock-node/src/placement/coordinator.rs
@@ -201,14 +201,14 @@
         }
         self.timers_ran_at = now;
         self.step(now, Event::Timer);
-        let silent = |m: &Member| m.last_seen + MEMBER_TIMEOUT <= now;
-        let gone: Vec<InstanceId> = self
+        let is_silent = |m: &Member| m.last_seen + MEMBER_TIMEOUT <= now;
+        let expired: Vec<InstanceId> = self
             .members
             .iter()
-            .filter(|(_, m)| silent(m))
+            .filter(|(_, m)| is_silent(m))
             .map(|(name, _)| name.clone())
             .collect();
-        for name in gone {
+        for name in expired {
             self.remove_member(now, &name);
         }
     }
