--- a/crates/firdock-node/src/driver.rs
+++ b/crates/firdock-node/src/driver.rs
@@ -87,7 +87,7 @@
     ticks: u32,
     decisions: DecisionLog,
     state_changes: StateChangeLog,
-    steps: RolloutLog,
+    rollout_log: RolloutLog,
     shares: ShareLog,
     suspects: SuspectLog,
     placement: Option<Placement>,
@@ -124,7 +124,7 @@
         let list = parts.metrics.endpoints();
         let state_changes =
             StateChangeLog::new(parts.log.clone(), Arc::clone(&parts.log_limiter), list);
-        let steps = RolloutLog::new(parts.log.clone());
+        let rollout_log = RolloutLog::new(parts.log.clone());
         let shares = ShareLog::new(parts.log.clone(), Arc::clone(&parts.metrics));
         let suspects = SuspectLog::new(
             parts.log.clone(),
@@ -139,7 +139,7 @@
             ticks: 0,
             decisions,
             state_changes,
-            steps,
+            rollout_log,
             shares,
             suspects,
             placement: None,
@@ -212,11 +212,11 @@
                 self.parts.site.set(catalog);
             }
             Event::ConfigConfirmed(at) => self.parts.site.set_fresh(*at),
-            Event::Endpoint(news) => self.log_dispatch_update(news),
+            Event::Endpoint(update) => self.log_dispatch_update(update),
             Event::CallerLeft(id) => self.log_caller_left(*id),
-            Event::LivenessChecked(look) => self
+            Event::LivenessChecked(result) => self
                 .decisions
-                .liveness_checked(self.parts.clock.now(), look),
+                .liveness_checked(self.parts.clock.now(), result),
             Event::NoticeReported(report) => {
                 self.decisions
                     .endpoint_notice(self.parts.clock.now(), report);
@@ -291,8 +291,8 @@
         self.tick_placement();
         self.ticks += 1;
         let now = self.parts.clock.now();
-        let stepped = self.steps.record(now, self.scheduler.tables());
-        if stepped | self.log_suspects(now) {
+        let changed = self.rollout_log.record(now, self.scheduler.tables());
+        if changed | self.log_suspects(now) {
             self.publish();
         }
         if self.ticks.is_multiple_of(TICKS_PER_PUBLICATION) {
--- a/crates/firdock-node/src/driver/liveness.rs
+++ b/crates/firdock-node/src/driver/liveness.rs
@@ -24,7 +24,7 @@
     /// Checks whether an endpoint's address accepts connections and reports the result to the
     /// scheduler.
     pub(super) fn check_liveness(&self, endpoint: &EndpointId, start: StartId) {
-        let Some(place) = self.parts.site.view().location(endpoint) else {
+        let Some(location) = self.parts.site.view().location(endpoint) else {
             // The endpoint is no longer listed, which is handled separately.
             let found = Liveness::Silent;
             self.send(Event::LivenessChecked(LivenessResult { start, found }));
@@ -32,7 +32,7 @@
         };
         let (inputs, limit) = (self.parts.inputs.clone(), self.parts.limits.connect);
         self.parts.runtime.spawn(async move {
-            let found = probe(place.address, limit).await;
+            let found = probe(location.address, limit).await;
             let event = Event::LivenessChecked(LivenessResult { start, found });
             let _ = inputs.send(Input::Event(event)).await;
         });
--- a/crates/firdock-node/src/driver/placement.rs
+++ b/crates/firdock-node/src/driver/placement.rs
@@ -27,7 +27,7 @@
         };
         let t = self.scheduler.tables();
         match event {
-            Event::Endpoint(news) => placement.record_progress(t, news),
+            Event::Endpoint(update) => placement.record_progress(t, update),
             Event::CallerLeft(id) => placement.record_caller_left(t, *id),
             Event::PaceReported(report) => placement.record_pace(t, report),
             Event::NoticeReported(report) => placement.record_notice(report),
--- a/crates/firdock-node/src/driver/send.rs
+++ b/crates/firdock-node/src/driver/send.rs
@@ -28,7 +28,7 @@
             self.send(Event::CallerLeft(id));
             return;
         }
-        let Some(place) = self.parts.site.view().location(&dispatch.endpoint) else {
+        let Some(location) = self.parts.site.view().location(&dispatch.endpoint) else {
             self.refuse(&dispatch);
             return;
         };
@@ -40,7 +40,7 @@
             request.sent = Some(LastDispatch::new(now, &dispatch));
             request.change = Some(change);
         }
-        let run = self.make_run(exchange, dispatch, place, change_receiver);
+        let run = self.make_run(exchange, dispatch, location, change_receiver);
         let dispatcher = self.parts.dispatcher.clone();
         let (log, clock) = (self.parts.log.clone(), self.parts.clock);
         let task = self.parts.runtime.spawn(async move {
@@ -49,7 +49,7 @@
                 trace: span.context,
                 ..run
             };
-            let result = dispatcher.run(place, run).await;
+            let result = dispatcher.run(location, run).await;
             span.end(&log, clock.now(), &id.to_string(), result);
         });
         self.set_task(id, task.abort_handle());
@@ -59,7 +59,7 @@
         &self,
         exchange: Arc<Exchange>,
         dispatch: Dispatch,
-        place: EndpointLocation,
+        location: EndpointLocation,
         change: watch::Receiver<EndpointChange>,
     ) -> DispatchRun {
         let trace = exchange.trace;
@@ -71,7 +71,7 @@
             start,
             target: Target {
                 name: dispatch.endpoint.clone(),
-                address: place.address,
+                address: location.address,
             },
             exchange,
             dispatch,
@@ -85,22 +85,22 @@
 
     /// Returns a dispatch whose endpoint no longer has an address. Nothing was sent.
     fn refuse(&self, dispatch: &Dispatch) {
-        let news = DispatchUpdate::Refused { unreachable: true };
+        let update = DispatchUpdate::Refused { unreachable: true };
         let event = EndpointEvent {
             id: dispatch.id,
             dispatch: dispatch.dispatch,
-            update: news,
+            update,
         };
         self.send(Event::Endpoint(event));
     }
 
     pub(super) fn cancel(&mut self, id: RequestId, endpoint: &str, dispatch: u32) {
         self.abort(id);
-        let Some(place) = self.parts.site.view().location(endpoint) else {
+        let Some(location) = self.parts.site.view().location(endpoint) else {
             return;
         };
         let dispatcher = self.parts.dispatcher.clone();
-        let cancelling = async move { dispatcher.cancel(place, id, dispatch).await };
+        let cancelling = async move { dispatcher.cancel(location, id, dispatch).await };
         self.parts.runtime.spawn(cancelling);
     }
 
--- a/crates/firdock-node/src/endpoint.rs
+++ b/crates/firdock-node/src/endpoint.rs
@@ -62,14 +62,14 @@
     /// Runs a dispatch to its end and returns the result for the trace.
     fn run(
         &self,
-        place: EndpointLocation,
+        location: EndpointLocation,
         run: DispatchRun,
     ) -> impl Future<Output = &'static str> + Send;
 
     /// Tells an endpoint to stop working on a request whose connection was closed.
     fn cancel(
         &self,
-        place: EndpointLocation,
+        location: EndpointLocation,
         id: RequestId,
         dispatch: u32,
     ) -> impl Future<Output = ()> + Send;
--- a/crates/firdock-node/src/endpoint/direct.rs
+++ b/crates/firdock-node/src/endpoint/direct.rs
@@ -29,8 +29,8 @@
 }
 
 impl<E: EngineClient, P: PlainClient> Dispatcher for DirectDispatcher<E, P> {
-    async fn run(&self, place: EndpointLocation, run: DispatchRun) -> &'static str {
-        match place.backend {
+    async fn run(&self, location: EndpointLocation, run: DispatchRun) -> &'static str {
+        match location.backend {
             EndpointKind::Engine => run_engine::run(self.engine.clone(), run).await,
             EndpointKind::Plain => {
                 run_plain::run(self.plain.clone(), run, self.answer_cache.clone()).await
@@ -38,9 +38,9 @@
         }
     }
 
-    async fn cancel(&self, place: EndpointLocation, id: RequestId, dispatch: u32) {
-        if place.backend == EndpointKind::Engine {
-            self.engine.cancel(place.address, id, dispatch).await;
+    async fn cancel(&self, location: EndpointLocation, id: RequestId, dispatch: u32) {
+        if location.backend == EndpointKind::Engine {
+            self.engine.cancel(location.address, id, dispatch).await;
         }
     }
 }
--- a/crates/firdock-node/src/endpoint/relay.rs
+++ b/crates/firdock-node/src/endpoint/relay.rs
@@ -139,7 +139,7 @@
     /// Handles the head of an answer: reports its meaning to the scheduler, or forwards the answer.
     async fn handle_response(
         &self,
-        place: EndpointLocation,
+        location: EndpointLocation,
         run: &DispatchRun,
         mut response: Response<Incoming>,
     ) -> &'static str {
@@ -182,7 +182,7 @@
             return run.report_broken(BreakCause::Failed).await;
         }
         if payload.terms.streamed && status.is_success() {
-            Stream::new(run, head, place.event_tokens)
+            Stream::new(run, head, location.event_tokens)
                 .forward(body)
                 .await
         } else {
@@ -192,7 +192,7 @@
 }
 
 impl<D: Dialect> Dispatcher for Relay<D> {
-    async fn run(&self, place: EndpointLocation, run: DispatchRun) -> &'static str {
+    async fn run(&self, location: EndpointLocation, run: DispatchRun) -> &'static str {
         let limit = run.dispatch.deadline.map_or(DEFAULT_TIMEOUT, |by| {
             by.saturating_sub(run.clock.now()) + DEADLINE_GRACE
         });
@@ -207,7 +207,7 @@
             return run.report_not_run(false).await;
         };
         let result = match run.until_restart(connection.call(request, limit)).await {
-            Ok(Ok(response)) => self.handle_response(place, &run, response).await,
+            Ok(Ok(response)) => self.handle_response(location, &run, response).await,
             Ok(Err(CallError::Connect { .. } | CallError::ConnectTime { .. })) => {
                 run.report_not_run(true).await
             }
@@ -227,12 +227,12 @@
     match result {
         Ok(()) => {
             run.exchange.reply.mark_complete();
-            let news = DispatchUpdate::Ended {
+            let update = DispatchUpdate::Ended {
                 prompt: run.exchange.payload.terms.prompt_tokens,
                 cached: 0,
                 output,
             };
-            run.report(news).await;
+            run.report(update).await;
             // The caller may be gone by now; the ingress reports that to the scheduler.
             let _ = run.forward(AnswerPart::End).await;
             "answered"
--- a/crates/firdock-node/src/endpoint/run.rs
+++ b/crates/firdock-node/src/endpoint/run.rs
@@ -95,12 +95,12 @@
 
 impl DispatchRun {
     /// Reports an update of this dispatch to the scheduler.
-    pub async fn report(&self, news: DispatchUpdate) {
+    pub async fn report(&self, update: DispatchUpdate) {
         let (id, dispatch) = (self.dispatch.id, self.dispatch.dispatch);
         let event = Event::Endpoint(EndpointEvent {
             id,
             dispatch,
-            update: news,
+            update,
         });
         let _ = self.inputs.send(Input::Event(event)).await;
     }
--- a/crates/firdock-node/src/placement/coordinator.rs
+++ b/crates/firdock-node/src/placement/coordinator.rs
@@ -252,13 +252,13 @@
     /// themselves.
     fn carry_out(&mut self, now: Time, action: Action) {
         match action {
-            Action::Dispatch(dispatch) => self.place(now, &dispatch),
+            Action::Dispatch(dispatch) => self.assign(now, &dispatch),
             Action::Answer { id, verdict } => self.refuse(id, verdict),
             _ => {}
         }
     }
 
-    fn place(&mut self, now: Time, dispatch: &Dispatch) {
+    fn assign(&mut self, now: Time, dispatch: &Dispatch) {
         let t = self.scheduler.tables();
         let Some(at) = t.endpoints.find(&dispatch.endpoint) else {
             return;
--- a/crates/firdock-node/src/placement/coordinator/apply_report.rs
+++ b/crates/firdock-node/src/placement/coordinator/apply_report.rs
@@ -44,14 +44,14 @@
             return;
         };
         let dispatch = row.dispatch;
-        let Some(news) = dispatch_news(update.progress) else {
+        let Some(change) = dispatch_update(update.progress) else {
             self.drop_request(now, update.id);
             return;
         };
         let event = EndpointEvent {
             id: update.id,
             dispatch,
-            update: news,
+            update: change,
         };
         self.step(now, Event::Endpoint(event));
         self.forget_if_ended(update.id);
@@ -181,7 +181,7 @@
 }
 
 /// Maps the progress of a request to an update of its dispatch, or `None` if it was dropped.
-fn dispatch_news(progress: Progress) -> Option<DispatchUpdate> {
+fn dispatch_update(progress: Progress) -> Option<DispatchUpdate> {
     Some(match progress {
         Progress::Dropped => return None,
         Progress::FirstToken => DispatchUpdate::Tokens {
--- a/crates/firdock-node/src/placement/snapshot.rs
+++ b/crates/firdock-node/src/placement/snapshot.rs
@@ -18,8 +18,8 @@
 }
 
 /// Maps a dispatch update to the progress of its request, or `None` if it need not be reported.
-pub fn progress(row: &RequestRow, news: DispatchUpdate) -> Option<Progress> {
-    Some(match news {
+pub fn progress(row: &RequestRow, update: DispatchUpdate) -> Option<Progress> {
+    Some(match update {
         DispatchUpdate::Started { .. }
         | DispatchUpdate::Failed
         | DispatchUpdate::FailureKept
