--- a/crates/firdock-node/src/driver.rs
+++ b/crates/firdock-node/src/driver.rs
@@ -306,7 +306,7 @@
             self.state_changes.record(now, self.scheduler.tables());
             self.publish();
         }
-        self.drop_ended();
+        self.drop_expired();
     }
 
     /// Logs changes of the suspects and returns whether there were any. Suspects that were released
@@ -319,7 +319,7 @@
         for content in released {
             self.parts
                 .records
-                .send_modify(|wanted| wanted.release(content));
+                .send_modify(|pending| pending.release(content));
         }
         true
     }
@@ -343,7 +343,7 @@
     }
 
     /// Drops requests that ended by a timer.
-    fn drop_ended(&mut self) {
+    fn drop_expired(&mut self) {
         let requests = &self.scheduler.tables().requests;
         if self.active.len() > requests.len() {
             self.active.retain(|id, _| requests.get(*id).is_some());
@@ -390,7 +390,7 @@
                 self.reply(id, AnswerPart::Refusal(verdict, tried));
             }
             Action::Cut { id, reason } => self.cut(id, reason),
-            Action::PassFailure { id } => self.pass_failure(id),
+            Action::PassFailure { id } => self.forward_failure(id),
             Action::Replay { id, earlier } => self.replay(id, earlier),
             Action::Forget { id } => self.parts.answer_cache.remove(id),
             Action::TransferKeys { peer, transfer } => {
@@ -402,10 +402,12 @@
                 self.suspects.quarantined(now, &suspect);
                 self.parts
                     .records
-                    .send_modify(|wanted| wanted.quarantine(now, suspect));
+                    .send_modify(|pending| pending.quarantine(now, suspect));
             }
             Action::Record(record) => {
-                self.parts.records.send_modify(|wanted| wanted.add(record));
+                self.parts
+                    .records
+                    .send_modify(|pending| pending.add(record));
             }
             Action::Drained => {
                 self.parts.drained.send_replace(true);
@@ -414,7 +416,7 @@
     }
 
     /// Queues an event for the scheduler behind the inputs that already wait.
-    fn send(&self, event: Event) {
+    fn queue_event(&self, event: Event) {
         let inputs = self.parts.inputs.clone();
         self.parts.runtime.spawn(async move {
             let _ = inputs.send(Input::Event(event)).await;
--- a/crates/firdock-node/src/driver/answer.rs
+++ b/crates/firdock-node/src/driver/answer.rs
@@ -28,7 +28,7 @@
     }
 
     /// Sends the caller the failed answer that was kept from the last endpoint.
-    pub(super) fn pass_failure(&self, id: RequestId) {
+    pub(super) fn forward_failure(&self, id: RequestId) {
         let Some(request) = self.active.get(&id) else {
             return;
         };
--- a/crates/firdock-node/src/driver/liveness.rs
+++ b/crates/firdock-node/src/driver/liveness.rs
@@ -27,7 +27,7 @@
         let Some(location) = self.parts.site.view().location(endpoint) else {
             // The endpoint is no longer listed, which is handled separately.
             let found = Liveness::Silent;
-            self.send(Event::LivenessChecked(LivenessResult { start, found }));
+            self.queue_event(Event::LivenessChecked(LivenessResult { start, found }));
             return;
         };
         let (inputs, limit) = (self.parts.inputs.clone(), self.parts.limits.connect);
--- a/crates/firdock-node/src/driver/send.rs
+++ b/crates/firdock-node/src/driver/send.rs
@@ -25,11 +25,11 @@
         let id = dispatch.id;
         if exchange.reply.is_closed() {
             // The event of the caller's departure is still queued, so the request is not sent.
-            self.send(Event::CallerLeft(id));
+            self.queue_event(Event::CallerLeft(id));
             return;
         }
         let Some(location) = self.parts.site.view().location(&dispatch.endpoint) else {
-            self.refuse(&dispatch);
+            self.return_dispatch(&dispatch);
             return;
         };
         let (now, t) = (self.parts.clock.now(), self.scheduler.tables());
@@ -84,14 +84,14 @@
     }
 
     /// Returns a dispatch whose endpoint no longer has an address. Nothing was sent.
-    fn refuse(&self, dispatch: &Dispatch) {
+    fn return_dispatch(&self, dispatch: &Dispatch) {
         let update = DispatchUpdate::Refused { unreachable: true };
         let event = EndpointEvent {
             id: dispatch.id,
             dispatch: dispatch.dispatch,
             update,
         };
-        self.send(Event::Endpoint(event));
+        self.queue_event(Event::Endpoint(event));
     }
 
     pub(super) fn cancel(&mut self, id: RequestId, endpoint: &str, dispatch: u32) {
@@ -117,8 +117,8 @@
         let Some(exchange) = self.exchange(id) else {
             return;
         };
-        let Some(order) = self.order(id, exchange, peer, cause) else {
-            self.refuse_hand_over(id);
+        let Some(order) = self.hand_over_order(id, exchange, peer, cause) else {
+            self.return_hand_over(id);
             return;
         };
         let (dialer, log, clock) = (
@@ -135,7 +135,7 @@
     }
 
     /// Builds a hand-over, or returns `None` if the peer has no address.
-    fn order(
+    fn hand_over_order(
         &self,
         id: RequestId,
         exchange: Arc<Exchange>,
@@ -157,12 +157,12 @@
     }
 
     /// Returns a hand-over whose peer has no address. Nothing was sent.
-    fn refuse_hand_over(&self, id: RequestId) {
+    fn return_hand_over(&self, id: RequestId) {
         let refusal = HandOverRefusal {
             id,
             verdict: None,
             tried: Vec::new(),
         };
-        self.send(Event::HandOver(HandOverEvent::Refused(refusal)));
+        self.queue_event(Event::HandOver(HandOverEvent::Refused(refusal)));
     }
 }
--- a/crates/firdock-node/src/edge.rs
+++ b/crates/firdock-node/src/edge.rs
@@ -38,6 +38,7 @@
 /// Capacity of the queue of store changes to forward to peers. Peers request further ones
 /// themselves.
 const CHANGE_QUEUE_CAPACITY: usize = 64;
+
 /// Configuration of an edge instance before its start.
 #[derive(Debug)]
 pub struct EdgeInstance<I, D, S> {
@@ -89,23 +90,23 @@
     /// Fails if an address is missing or cannot be bound.
     pub async fn start(self) -> Result<RunningEdge, StartError> {
         let parts = EdgeParts::new(&self.settings, self.log.clone());
-        let (inputs, waiting) = mpsc::channel(INPUT_QUEUE_CAPACITY);
-        let (stop_ingress, ingress_stops) = watch::channel(false);
-        let (stop_rest, rest_stops) = watch::channel(false);
+        let (inputs, input_receiver) = mpsc::channel(INPUT_QUEUE_CAPACITY);
+        let (stop_ingress, ingress_stop_receiver) = watch::channel(false);
+        let (stop_rest, rest_stop_receiver) = watch::channel(false);
         let (drained, drained_receiver) = watch::channel(false);
-        let (self_status, self_status_seen) = watch::channel(SelfStatus::default());
-        let (records, records_wanted) = watch::channel(PendingRecords::default());
+        let (self_status, self_status_receiver) = watch::channel(SelfStatus::default());
+        let (records, record_receiver) = watch::channel(PendingRecords::default());
         let (changes, change_receiver) = mpsc::channel(CHANGE_QUEUE_CAPACITY);
 
         let callers = open(self.settings.instance.callers, "instance.callers")?;
-        parts.serve_status(&rest_stops)?;
+        parts.serve_status(&rest_stop_receiver)?;
         let socket = parts.open_datagrams().await?;
         parts.start_beacons(
             &socket,
             &inputs,
-            self_status_seen,
+            self_status_receiver,
             change_receiver,
-            rest_stops.clone(),
+            rest_stop_receiver.clone(),
         );
         let outputs = DriverOutputs {
             self_status,
@@ -115,16 +116,16 @@
         let driver = parts
             .driver(self.dialect, &inputs, outputs)
             .with_placement(parts.placement(socket));
-        tokio::spawn(run_or_abort(driver, waiting, rest_stops));
+        tokio::spawn(run_or_abort(driver, input_receiver, rest_stop_receiver));
         tokio::spawn(
             self.source
-                .follow(parts.sink(&inputs, changes, records_wanted)),
+                .follow(parts.sink(&inputs, changes, record_receiver)),
         );
 
         let ingress = parts.ingress(self.interface, inputs.clone());
         let options = ServerOptions::new(&self.settings.limits);
         let handle = move |r| ingress.clone().handle(r);
-        let serving = tokio::spawn(serve(callers, options, ingress_stops, handle));
+        let serving = tokio::spawn(serve(callers, options, ingress_stop_receiver, handle));
         info!(self.log, "started"; "zone" => &self.settings.instance.zone,
             "incarnation" => parts.member.incarnation.to_string());
         Ok(RunningEdge {
--- a/crates/firdock-node/src/edge/parts.rs
+++ b/crates/firdock-node/src/edge/parts.rs
@@ -41,7 +41,7 @@
 /// servers also fail some requests (one in seven in deployments), so a single failure is weak
 /// evidence.
 const EJECT_AFTER: u32 = 3;
-/// Connection limit of the status endpoints, which the load balancer and metrics collectors use.
+/// Connection limit of the status listeners, which the load balancer and metrics collectors use.
 const STATUS_CONNECTIONS: usize = 64;
 /// Maximum size of the head of a status request.
 const STATUS_HEAD_BYTES: usize = 16 << 10;
--- a/crates/firdock-node/src/endpoint/engine.rs
+++ b/crates/firdock-node/src/endpoint/engine.rs
@@ -81,7 +81,7 @@
                 answer_end: AnswerEnd::new(body.framing()),
                 body,
                 decoder: SseDecoder::new(),
-                next: from,
+                next_offset: from,
                 ended: false,
             });
         EndpointResponse { head, result }
@@ -313,7 +313,7 @@
     body: EndpointBody,
     answer_end: AnswerEnd,
     decoder: SseDecoder,
-    next: u32,
+    next_offset: u32,
     ended: bool,
 }
 
@@ -381,13 +381,13 @@
             .ok()
             .ok_or(StreamError::Inconsistent)?;
         let event = read_event(json).ok_or(StreamError::Inconsistent)?;
-        if event.offset > self.next {
+        if event.offset > self.next_offset {
             return Err(StreamError::Inconsistent);
         }
-        if event.offset < self.next && event.finish.is_none() {
+        if event.offset < self.next_offset && event.finish.is_none() {
             return Ok(None);
         }
-        self.next = event.offset + event.tokens;
+        self.next_offset = event.offset + event.tokens;
         self.ended |= event.finish.is_some();
         Ok(Some(Step { event: Some(event) }))
     }
--- a/crates/firdock-node/src/endpoint/relay.rs
+++ b/crates/firdock-node/src/endpoint/relay.rs
@@ -145,15 +145,15 @@
     ) -> &'static str {
         let payload = &run.exchange.payload;
         let status = response.status();
-        let reply = self.dialect.classify(payload, status, response.headers());
+        let kind = self.dialect.classify(payload, status, response.headers());
         // Reported before anything else, whatever the answer means. A misdirected answer carries
         // another endpoint's notice, which is ignored.
-        let head = match reply {
+        let head = match kind {
             ResponseKind::Misdirected => HeadNotice::default(),
             _ => self.dialect.notice(status, response.headers()),
         };
         run.report_notice(&head).await;
-        match reply {
+        match kind {
             ResponseKind::NotRun => return run.report_not_run(false).await,
             ResponseKind::Misdirected => return run.report_not_run(true).await,
             ResponseKind::Foreign => return run.report_broken(BreakCause::Foreign).await,
