--- a/crates/firdock-node/src/endpoint/ending.rs
+++ b/crates/firdock-node/src/endpoint/ending.rs
@@ -160,19 +160,19 @@
 /// Without framing, an incomplete comment or a stream without any event also counts as cut off,
 /// since only the close suggests that it was meant to end there.
 #[must_use]
-pub fn assess_completeness(framing: Framing, ending: Ending, shape: BodyState) -> Completeness {
+pub fn assess_completeness(framing: Framing, ending: Ending, state: BodyState) -> Completeness {
     let closed = framing == Framing::Connection && ending == Ending::Closed;
     if ending != Ending::Framed && !closed {
         return Completeness::Broken(ending.into());
     }
-    let is_cut = match shape {
+    let is_cut = match state {
         BodyState::Opaque => false,
         BodyState::Delimited { ended } => !ended,
         BodyState::Events { begun, left } => {
             left == TrailingData::Event || (closed && (!begun || left == TrailingData::Comment))
         }
     };
-    let has_proof = !closed || matches!(shape, BodyState::Delimited { .. });
+    let has_proof = !closed || matches!(state, BodyState::Delimited { .. });
     match (is_cut, has_proof) {
         (true, _) if closed => Completeness::Broken(BreakCause::Closed),
         (true, _) => Completeness::Broken(BreakCause::Foreign),
--- a/crates/firdock-node/src/endpoint/engine.rs
+++ b/crates/firdock-node/src/endpoint/engine.rs
@@ -30,7 +30,7 @@
 /// Maximum size of a body that is not a stream.
 const MAX_BODY_BYTES: usize = 8 << 20;
 /// End marker of a stream in the `OpenAI` protocol.
-const DONE: &str = "[DONE]";
+const END_MARKER: &str = "[DONE]";
 
 /// Adapter for engines.
 #[derive(Debug, Clone, Copy)]
@@ -176,13 +176,13 @@
         }
     };
     let bytes = read.freeze();
-    let shape = match framing {
+    let state = match framing {
         Framing::Connection => BodyState::Delimited {
             ended: serde_json::from_slice::<IgnoredAny>(&bytes).is_ok(),
         },
         _ => BodyState::Opaque,
     };
-    match assess_completeness(framing, ending, shape) {
+    match assess_completeness(framing, ending, state) {
         Completeness::Complete => Ok(bytes),
         Completeness::Unproven => LostSnafu {
             cause: BreakCause::Closed,
@@ -368,7 +368,7 @@
     /// Handles the data of one event. Events received before are dropped; missing tokens are an
     /// error.
     fn handle_event(&mut self, data: &str) -> Result<Option<Step>, StreamError> {
-        if data == DONE {
+        if data == END_MARKER {
             let is_complete = self.ended;
             return if is_complete {
                 self.answer_end.ending = Some(Ending::Framed);
--- a/crates/firdock-node/src/endpoint/relay/stream.rs
+++ b/crates/firdock-node/src/endpoint/relay/stream.rs
@@ -65,9 +65,9 @@
         if let Some(end) = &mut self.run.delivered().end {
             end.leftover = rest.len();
         }
-        let shape = BodyState::Events { begun, left };
+        let state = BodyState::Events { begun, left };
         self.run
-            .finish_answer(body.framing(), ending, shape)
+            .finish_answer(body.framing(), ending, state)
             .await?;
         self.begin().await?;
         if rest.is_empty() {
--- a/crates/firdock-node/src/endpoint/run.rs
+++ b/crates/firdock-node/src/endpoint/run.rs
@@ -264,12 +264,12 @@
         &self,
         framing: Framing,
         ending: Ending,
-        shape: BodyState,
+        state: BodyState,
     ) -> Result<(), DispatchError> {
         if let Some(end) = &mut self.delivered().end {
             end.ending = Some(ending);
         }
-        match assess_completeness(framing, ending, shape) {
+        match assess_completeness(framing, ending, state) {
             // The head sent earlier declared a framing, and ending the answer by it would claim
             // that it is complete.
             Completeness::Unproven if self.delivered().framed => {
--- a/crates/firdock-node/src/placement/member.rs
+++ b/crates/firdock-node/src/placement/member.rs
@@ -245,15 +245,17 @@
     }
 
     fn choose_coordinator(&self, now: Time, draining: bool) -> Option<SelectedCoordinator> {
-        let open = |name: &str| !self.excluded.contains_key(name);
-        let other = self.directory.first_of_group(now, open);
-        let own = !draining;
+        let is_eligible = |name: &str| !self.excluded.contains_key(name);
+        let other = self.directory.first_of_group(now, is_eligible);
+        let can_coordinate = !draining;
         match other {
-            Some((peer, before)) if !own || before => Some(SelectedCoordinator {
-                name: peer.name,
-                address: Some(peer.address),
-            }),
-            _ if own => Some(SelectedCoordinator {
+            Some((peer, precedes_self)) if !can_coordinate || precedes_self => {
+                Some(SelectedCoordinator {
+                    name: peer.name,
+                    address: Some(peer.address),
+                })
+            }
+            _ if can_coordinate => Some(SelectedCoordinator {
                 name: self.me.name.clone(),
                 address: None,
             }),
