--- a/crates/firdock-node/src/driver.rs
+++ b/crates/firdock-node/src/driver.rs
@@ -1,7 +1,7 @@
-//! The thread that owns the scheduler's tables, and the carrying out of its actions.
+//! The driver owns the scheduler's tables and carries out its actions.
 //!
-//! All else sends inputs over one bounded channel; the scheduler runs on each input and on a
-//! short timer, so that an instant call never waits for a tick.
+//! All other tasks send inputs over one bounded channel. The scheduler runs on each input and on a
+//! short timer, so that latency-critical requests never wait for a tick.
 
 mod answer;
 mod liveness;
@@ -37,23 +37,23 @@
     DecisionLog, LogLimiter, Metrics, RolloutLog, ShareLog, StateChangeLog, SuspectLog,
 };
 
-/// Pause between two runs of the timed systems.
-const TICK: Duration = Duration::from_millis(25);
-/// Ticks between two publications of counters and two checks of invariants.
+/// Interval between two runs of the timer systems.
+const TICK_INTERVAL: Duration = Duration::from_millis(25);
+/// Number of ticks between two publications of counters, with a check of the invariants.
 const TICKS_PER_PUBLICATION: u32 = 8;
 
-/// What the driver needs besides the scheduler.
+/// What the driver needs in addition to the scheduler.
 #[derive(Debug)]
 pub struct DriverParts<B> {
-    /// Way to endpoints.
+    /// Runs dispatches at endpoints.
     pub dispatcher: B,
-    /// Way to peers.
+    /// Connects to peers.
     pub dialer: Dialer,
     /// Configuration in force.
     pub site: Arc<Site>,
-    /// Kept answers.
+    /// Answers kept for repeated requests.
     pub answer_cache: AnswerCache,
-    /// Where answers wait for their callers.
+    /// Byte budget of the answers that callers have not read yet.
     pub answer_budget: AnswerBudget,
     /// Metrics.
     pub metrics: Arc<Metrics>,
@@ -63,31 +63,31 @@
     pub clock: Clock,
     /// Logger.
     pub log: Logger,
-    /// Bound on the lines of the log.
+    /// Rate limit of log lines.
     pub log_limiter: Arc<LogLimiter>,
-    /// Runtime for the tasks that carry actions out.
+    /// Runtime for the tasks that carry out actions.
     pub runtime: Handle,
-    /// Way back to the scheduler, for those tasks.
+    /// Channel for their results, back to the driver.
     pub inputs: mpsc::Sender<Input>,
-    /// What peers are told of this instance.
+    /// What peers are told about this instance.
     pub self_status: watch::Sender<SelfStatus>,
-    /// States of roll-outs that are to be kept in the platform's store.
+    /// Roll-out states to write to the platform's store.
     pub records: watch::Sender<PendingRecords>,
-    /// Turns true once a stopping instance has nothing left to do.
+    /// Becomes true once a stopping instance has nothing left to do.
     pub drained: watch::Sender<bool>,
 }
 
-/// Owner of the tables.
+/// Owner of the scheduler's tables.
 #[derive(Debug)]
 pub struct Driver<B> {
     scheduler: Scheduler,
     parts: DriverParts<B>,
-    exchanges: HashMap<RequestId, Live>,
+    active: HashMap<RequestId, ActiveRequest>,
     actions: Vec<Action>,
     ticks: u32,
     decisions: DecisionLog,
     state_changes: StateChangeLog,
-    steps: RolloutLog,
+    rollout_log: RolloutLog,
     shares: ShareLog,
     suspects: SuspectLog,
     placement: Option<Placement>,
@@ -95,18 +95,18 @@
 
 /// A request that has not ended.
 #[derive(Debug)]
-struct Live {
+struct ActiveRequest {
     exchange: Arc<Exchange>,
     arrived: Time,
-    /// Where it was last sent, for the line on how it ended.
+    /// Last dispatch, for the log line about the request's end.
     sent: Option<LastDispatch>,
     task: Option<AbortHandle>,
-    /// Way to tell the present dispatch what has become of its endpoint.
-    since: Option<watch::Sender<EndpointChange>>,
+    /// Notifies the current dispatch of changes of its endpoint.
+    change: Option<watch::Sender<EndpointChange>>,
 }
 
-impl Live {
-    /// Gives what the lines on the request's end tell.
+impl ActiveRequest {
+    /// Returns the data for the log lines about the request's end.
     fn log_context(&self) -> RequestContext<'_> {
         RequestContext {
             exchange: &self.exchange,
@@ -117,14 +117,14 @@
 }
 
 impl<B: Dispatcher> Driver<B> {
-    /// Makes a driver.
+    /// Creates a driver.
     #[must_use]
     pub fn new(scheduler: Scheduler, parts: DriverParts<B>) -> Self {
         let decisions = DecisionLog::new(parts.log.clone(), Arc::clone(&parts.log_limiter));
         let list = parts.metrics.endpoints();
         let state_changes =
             StateChangeLog::new(parts.log.clone(), Arc::clone(&parts.log_limiter), list);
-        let steps = RolloutLog::new(parts.log.clone());
+        let rollout_log = RolloutLog::new(parts.log.clone());
         let shares = ShareLog::new(parts.log.clone(), Arc::clone(&parts.metrics));
         let suspects = SuspectLog::new(
             parts.log.clone(),
@@ -134,37 +134,37 @@
         Self {
             scheduler,
             parts,
-            exchanges: HashMap::new(),
+            active: HashMap::new(),
             actions: Vec::new(),
             ticks: 0,
             decisions,
             state_changes,
-            steps,
+            rollout_log,
             shares,
             suspects,
             placement: None,
         }
     }
 
-    /// Lets requests be placed on engines by the coordinator of the instance's group.
+    /// Enables placement of requests on engines by the coordinator of the instance's group.
     #[must_use]
     pub fn with_placement(mut self, placement: Placement) -> Self {
         self.placement = Some(placement);
         self
     }
 
-    /// Runs until every sender of inputs is gone or `stop` turns true.
+    /// Runs until all senders of inputs are gone or `stop` becomes true.
     pub async fn run(mut self, mut rx: mpsc::Receiver<Input>, mut stop: watch::Receiver<bool>) {
-        let mut ticks = interval(TICK);
+        let mut ticks = interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 input = rx.recv() => match input {
                     Some(input) => {
-                        self.take(input);
-                        // What follows from inputs that came together is told together.
+                        self.handle_input(input);
+                        // The effects of inputs that arrived together are sent together.
                         if rx.is_empty() {
-                            self.exchange_placements();
+                            self.send_placement_updates();
                         }
                     }
                     None => return,
@@ -175,34 +175,35 @@
         }
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         match input {
             Input::Arrived(new, exchange) => {
                 let id = new.id;
-                self.exchanges.insert(
+                self.active.insert(
                     id,
-                    Live {
+                    ActiveRequest {
                         exchange,
                         arrived: self.parts.clock.now(),
                         sent: None,
                         task: None,
-                        since: None,
+                        change: None,
                     },
                 );
                 self.step(Event::Arrived(new));
                 self.drop_if_ended(id);
             }
-            Input::Placement(input) => self.take_placement(input),
-            Input::Malformed(kind, endpoint, told) => {
+            Input::Placement(input) => self.handle_placement(input),
+            Input::Malformed(kind, endpoint, value) => {
                 let now = self.parts.clock.now();
-                self.decisions.malformed_report(now, kind, &endpoint, &told);
+                self.decisions
+                    .malformed_report(now, kind, &endpoint, &value);
             }
-            Input::Event(event) => self.take_event(event),
+            Input::Event(event) => self.handle_event(event),
         }
     }
 
-    fn take_event(&mut self, event: Event) {
-        self.note_placement(&event);
+    fn handle_event(&mut self, event: Event) {
+        self.notify_placement(&event);
         match &event {
             Event::Config(catalog) => {
                 let now = self.parts.clock.now();
@@ -211,38 +212,39 @@
                 self.parts.site.set(catalog);
             }
             Event::ConfigConfirmed(at) => self.parts.site.set_fresh(*at),
-            Event::Endpoint(news) => self.note_news(news),
-            Event::CallerLeft(id) => self.note_caller_left(*id),
-            Event::LivenessChecked(look) => self
+            Event::Endpoint(update) => self.log_dispatch_update(update),
+            Event::CallerLeft(id) => self.log_caller_left(*id),
+            Event::LivenessChecked(result) => self
                 .decisions
-                .liveness_checked(self.parts.clock.now(), look),
-            Event::NoticeReported(told) => {
-                self.decisions.endpoint_notice(self.parts.clock.now(), told);
+                .liveness_checked(self.parts.clock.now(), result),
+            Event::NoticeReported(report) => {
+                self.decisions
+                    .endpoint_notice(self.parts.clock.now(), report);
             }
             _ => {}
         }
         self.apply(event);
     }
 
-    /// Takes an event, and drops the request that it is about if that ended by it.
+    /// Handles an event and drops its request if the event ended it.
     fn apply(&mut self, event: Event) {
-        let id = subject(&event);
+        let id = request_of(&event);
         self.step(event);
         if let Some(id) = id {
             self.drop_if_ended(id);
         }
     }
 
-    /// Writes what an endpoint told of a dispatch, while the request's row is still there.
-    fn note_news(&self, event: &EndpointEvent) {
+    /// Logs an update of a dispatch. Must be called before the request's row is removed.
+    fn log_dispatch_update(&self, event: &EndpointEvent) {
         let row = self.scheduler.tables().requests.get(event.id);
         let row = row.filter(|r| r.dispatch == event.dispatch);
-        let (Some(row), Some(live)) = (row, self.exchanges.get(&event.id)) else {
+        let (Some(row), Some(request)) = (row, self.active.get(&event.id)) else {
             return;
         };
         let now = self.parts.clock.now();
         if let DispatchUpdate::Ended { .. } | DispatchUpdate::Broke { .. } = event.update {
-            let end = live.exchange.delivered().end;
+            let end = request.exchange.delivered().end;
             if let Some(end) = end {
                 self.parts.metrics.count_answer_end(end);
             }
@@ -251,7 +253,7 @@
             DispatchUpdate::Ended { .. } => {
                 self.parts.metrics.observe_answer(now, row);
                 self.decisions
-                    .answered(now, self.scheduler.tables(), row, &live.exchange);
+                    .answered(now, self.scheduler.tables(), row, &request.exchange);
                 return;
             }
             DispatchUpdate::Started { .. }
@@ -267,15 +269,20 @@
             DispatchUpdate::Withheld => "withheld",
             DispatchUpdate::Broke { .. } => "broke",
         };
-        self.decisions
-            .dispatch_failed(now, self.scheduler.tables(), row, failed, &live.exchange);
+        self.decisions.dispatch_failed(
+            now,
+            self.scheduler.tables(),
+            row,
+            failed,
+            &request.exchange,
+        );
     }
 
-    /// Writes that a caller left before its answer was whole.
-    fn note_caller_left(&self, id: RequestId) {
-        if let Some(live) = self.exchanges.get(&id) {
+    /// Logs that a caller left before its answer was complete.
+    fn log_caller_left(&self, id: RequestId) {
+        if let Some(request) = self.active.get(&id) {
             let now = self.parts.clock.now();
-            self.decisions.caller_left(now, live.log_context());
+            self.decisions.caller_left(now, request.log_context());
         }
     }
 
@@ -284,8 +291,8 @@
         self.tick_placement();
         self.ticks += 1;
         let now = self.parts.clock.now();
-        let stepped = self.steps.record(now, self.scheduler.tables());
-        if stepped | self.note_suspects(now) {
+        let changed = self.rollout_log.record(now, self.scheduler.tables());
+        if changed | self.log_suspects(now) {
             self.publish();
         }
         if self.ticks.is_multiple_of(TICKS_PER_PUBLICATION) {
@@ -299,12 +306,12 @@
             self.state_changes.record(now, self.scheduler.tables());
             self.publish();
         }
-        self.drop_ended();
+        self.drop_expired();
     }
 
-    /// Tells whether what is known of requests under which endpoints ended has changed; those that are out
-    /// of quarantine are not kept in the platform's store any more.
-    fn note_suspects(&mut self, now: Time) -> bool {
+    /// Logs changes of the suspects and returns whether there were any. Suspects that were released
+    /// from quarantine are removed from the platform's store.
+    fn log_suspects(&mut self, now: Time) -> bool {
         let released = self.suspects.record(now, self.scheduler.tables());
         let Some(released) = released else {
             return false;
@@ -312,7 +319,7 @@
         for content in released {
             self.parts
                 .records
-                .send_modify(|wanted| wanted.release(content));
+                .send_modify(|pending| pending.release(content));
         }
         true
     }
@@ -331,15 +338,15 @@
 
     fn drop_if_ended(&mut self, id: RequestId) {
         if self.scheduler.tables().requests.get(id).is_none() {
-            self.exchanges.remove(&id);
+            self.active.remove(&id);
         }
     }
 
-    /// Drops what ended by time alone.
-    fn drop_ended(&mut self) {
+    /// Drops requests that ended by a timer.
+    fn drop_expired(&mut self) {
         let requests = &self.scheduler.tables().requests;
-        if self.exchanges.len() > requests.len() {
-            self.exchanges.retain(|id, _| requests.get(*id).is_some());
+        if self.active.len() > requests.len() {
+            self.active.retain(|id, _| requests.get(*id).is_some());
         }
     }
 
@@ -353,7 +360,7 @@
         self.parts.metrics.publish(&t.stats, t.version, &held);
         let now = self.parts.clock.now();
         let placement = self.placement.as_ref();
-        let work = placement.map_or_else(Vec::new, |p| p.work(now));
+        let work = placement.map_or_else(Vec::new, |p| p.account_work(now));
         let self_status = SelfStatus::new(t, now).with_work(work);
         self.parts.self_status.send_replace(self_status);
         self.parts.answer_budget.maintain();
@@ -368,13 +375,13 @@
                 dispatch,
             } => self.cancel(id, &endpoint, dispatch),
             Action::GiveUpDispatch { id, dispatch } => {
-                self.tell_dispatch(id, dispatch, EndpointChange::Restarted);
+                self.notify_dispatch(id, dispatch, EndpointChange::Restarted);
             }
             Action::CheckLiveness { endpoint, start } => self.check_liveness(&endpoint, start),
             Action::Withhold { id, dispatch } => {
-                self.tell_dispatch(id, dispatch, EndpointChange::Closed);
+                self.notify_dispatch(id, dispatch, EndpointChange::Closed);
             }
-            Action::Ask { id } => self.ask_placement(id),
+            Action::Ask { id } => self.request_placement(id),
             Action::Decline(grant) => self.decline_placement(&grant),
             Action::HandOver { id, peer, cause } => self.hand_over(id, peer, cause),
             Action::CancelHandOver { id, .. } => self.abort(id),
@@ -383,22 +390,24 @@
                 self.reply(id, AnswerPart::Refusal(verdict, tried));
             }
             Action::Cut { id, reason } => self.cut(id, reason),
-            Action::PassFailure { id } => self.pass_failure(id),
+            Action::PassFailure { id } => self.forward_failure(id),
             Action::Replay { id, earlier } => self.replay(id, earlier),
             Action::Forget { id } => self.parts.answer_cache.remove(id),
             Action::TransferKeys { peer, transfer } => {
                 let sending = peer::transfer_keys(self.parts.dialer.clone(), peer, transfer);
                 self.parts.runtime.spawn(sending);
             }
-            Action::Quarantine(told) => {
+            Action::Quarantine(suspect) => {
                 let now = self.parts.clock.now();
-                self.suspects.quarantined(now, &told);
+                self.suspects.quarantined(now, &suspect);
                 self.parts
                     .records
-                    .send_modify(|wanted| wanted.quarantine(now, told));
+                    .send_modify(|pending| pending.quarantine(now, suspect));
             }
             Action::Record(record) => {
-                self.parts.records.send_modify(|wanted| wanted.add(record));
+                self.parts
+                    .records
+                    .send_modify(|pending| pending.add(record));
             }
             Action::Drained => {
                 self.parts.drained.send_replace(true);
@@ -406,8 +415,8 @@
         }
     }
 
-    /// Sends an event to the scheduler itself, after what is already waiting.
-    fn send(&self, event: Event) {
+    /// Queues an event for the scheduler behind the inputs that already wait.
+    fn queue_event(&self, event: Event) {
         let inputs = self.parts.inputs.clone();
         self.parts.runtime.spawn(async move {
             let _ = inputs.send(Input::Event(event)).await;
@@ -415,28 +424,28 @@
     }
 
     fn exchange(&self, id: RequestId) -> Option<Arc<Exchange>> {
-        let live = self.exchanges.get(&id);
-        if live.is_none() {
+        let request = self.active.get(&id);
+        if request.is_none() {
             warn!(self.parts.log, "action for an unknown request"; "request_id" => id.to_string());
         }
-        live.map(|l| Arc::clone(&l.exchange))
+        request.map(|r| Arc::clone(&r.exchange))
     }
 
     fn set_task(&mut self, id: RequestId, task: AbortHandle) {
-        if let Some(live) = self.exchanges.get_mut(&id) {
-            live.task = Some(task);
+        if let Some(request) = self.active.get_mut(&id) {
+            request.task = Some(task);
         }
     }
 
     fn abort(&mut self, id: RequestId) {
-        if let Some(task) = self.exchanges.get_mut(&id).and_then(|l| l.task.take()) {
+        if let Some(task) = self.active.get_mut(&id).and_then(|r| r.task.take()) {
             task.abort();
         }
     }
 }
 
-/// Gives the request that an event is about.
-fn subject(event: &Event) -> Option<RequestId> {
+/// Returns the request that an event concerns.
+fn request_of(event: &Event) -> Option<RequestId> {
     match event {
         Event::CallerLeft(id) | Event::NotGranted(id, _) => Some(*id),
         Event::Endpoint(e) => Some(e.id),
--- a/crates/firdock-node/src/driver/placement.rs
+++ b/crates/firdock-node/src/driver/placement.rs
@@ -1,6 +1,6 @@
-//! What the driver does for the placement of requests by coordinators.
+//! Connects the driver with placement by coordinators.
 //!
-//! Each is nothing where requests are placed by the instance's own scheduler alone.
+//! All methods do nothing if the instance's own scheduler places its requests alone.
 
 use firdock_core::RequestId;
 use firdock_policy::Event;
@@ -11,8 +11,8 @@
 use crate::placement::PlacementInput;
 
 impl<B: Dispatcher> Driver<B> {
-    /// Takes a report or a reply that came by datagram.
-    pub(super) fn take_placement(&mut self, input: PlacementInput) {
+    /// Handles a report or a reply that arrived by datagram.
+    pub(super) fn handle_placement(&mut self, input: PlacementInput) {
         let now = self.parts.clock.now();
         if let Some(placement) = &mut self.placement {
             let events = placement.handle_input(now, input);
@@ -20,50 +20,51 @@
         }
     }
 
-    /// Tells the placement of requests what an event means for it, before the event is taken.
-    pub(super) fn note_placement(&mut self, event: &Event) {
+    /// Passes an event on to placement. Must be called before the scheduler handles the event.
+    pub(super) fn notify_placement(&mut self, event: &Event) {
         let Some(placement) = &mut self.placement else {
             return;
         };
         let t = self.scheduler.tables();
         match event {
-            Event::Endpoint(news) => placement.note(t, news),
-            Event::CallerLeft(id) => placement.note_left(t, *id),
-            Event::PaceReported(told) => placement.note_pace(t, told),
-            Event::NoticeReported(told) => placement.note_notice(told),
+            Event::Endpoint(update) => placement.record_progress(t, update),
+            Event::CallerLeft(id) => placement.record_caller_left(t, *id),
+            Event::PaceReported(report) => placement.record_pace(t, report),
+            Event::NoticeReported(report) => placement.record_notice(report),
             _ => placement.observe(self.parts.clock.now(), event),
         }
     }
 
-    /// Asks for a place for a request with the next report.
-    pub(super) fn ask_placement(&mut self, id: RequestId) {
+    /// Queues a request for placement with the next report.
+    pub(super) fn request_placement(&mut self, id: RequestId) {
         if let Some(placement) = &mut self.placement {
             placement.request_placement(id);
         }
     }
 
-    /// Gives back a place that a request was given.
+    /// Declines the assignment of a request.
     pub(super) fn decline_placement(&mut self, grant: &Grant) {
         if let Some(placement) = &mut self.placement {
             placement.decline(self.scheduler.tables(), grant);
         }
     }
 
-    /// Runs what placement does by time.
+    /// Runs the timers of placement.
     pub(super) fn tick_placement(&mut self) {
         let Some(placement) = &mut self.placement else {
             return;
         };
         let events = placement.tick(self.parts.clock.now(), self.scheduler.tables());
         self.apply_all(events);
-        self.exchange_placements();
+        self.send_placement_updates();
     }
 
-    /// Tells the coordinator what is new, and takes what it answers at once where it runs here.
-    pub(super) fn exchange_placements(&mut self) {
+    /// Sends pending changes to the coordinator. If it runs on this instance, applies its reply
+    /// immediately.
+    pub(super) fn send_placement_updates(&mut self) {
         let now = self.parts.clock.now();
         while let Some(placement) = &mut self.placement {
-            let events = placement.exchange(now, self.scheduler.tables());
+            let events = placement.send_updates(now, self.scheduler.tables());
             if events.is_empty() {
                 break;
             }
--- a/crates/firdock-node/src/driver/send.rs
+++ b/crates/firdock-node/src/driver/send.rs
@@ -1,4 +1,4 @@
-//! What the driver sends out for requests: dispatches to endpoints and hand-overs to peers.
+//! Actions that send requests: dispatches to endpoints and hand-overs to peers.
 
 use std::sync::Arc;
 
@@ -24,23 +24,23 @@
         };
         let id = dispatch.id;
         if exchange.reply.is_closed() {
-            // The word that the caller left waits behind others; nothing is sent for nobody.
-            self.send(Event::CallerLeft(id));
+            // The event of the caller's departure is still queued, so the request is not sent.
+            self.queue_event(Event::CallerLeft(id));
             return;
         }
-        let Some(place) = self.parts.site.view().location(&dispatch.endpoint) else {
-            self.refuse(&dispatch);
+        let Some(location) = self.parts.site.view().location(&dispatch.endpoint) else {
+            self.return_dispatch(&dispatch);
             return;
         };
         let (now, t) = (self.parts.clock.now(), self.scheduler.tables());
         self.decisions.dispatched(now, t, &dispatch, &exchange);
         exchange.delivered().end = None;
-        let (since, run_since) = watch::channel(EndpointChange::Unchanged);
-        if let Some(live) = self.exchanges.get_mut(&id) {
-            live.sent = Some(LastDispatch::new(now, &dispatch));
-            live.since = Some(since);
+        let (change, change_receiver) = watch::channel(EndpointChange::Unchanged);
+        if let Some(request) = self.active.get_mut(&id) {
+            request.sent = Some(LastDispatch::new(now, &dispatch));
+            request.change = Some(change);
         }
-        let run = self.make_run(exchange, dispatch, place, run_since);
+        let run = self.make_run(exchange, dispatch, location, change_receiver);
         let dispatcher = self.parts.dispatcher.clone();
         let (log, clock) = (self.parts.log.clone(), self.parts.clock);
         let task = self.parts.runtime.spawn(async move {
@@ -49,7 +49,7 @@
                 trace: span.context,
                 ..run
             };
-            let result = dispatcher.run(place, run).await;
+            let result = dispatcher.run(location, run).await;
             span.end(&log, clock.now(), &id.to_string(), result);
         });
         self.set_task(id, task.abort_handle());
@@ -59,8 +59,8 @@
         &self,
         exchange: Arc<Exchange>,
         dispatch: Dispatch,
-        place: EndpointLocation,
-        since: watch::Receiver<EndpointChange>,
+        location: EndpointLocation,
+        change: watch::Receiver<EndpointChange>,
     ) -> DispatchRun {
         let trace = exchange.trace;
         let endpoints = &self.scheduler.tables().endpoints;
@@ -71,7 +71,7 @@
             start,
             target: Target {
                 name: dispatch.endpoint.clone(),
-                address: place.address,
+                address: location.address,
             },
             exchange,
             dispatch,
@@ -79,37 +79,37 @@
             inputs: self.parts.inputs.clone(),
             clock: self.parts.clock,
             trace,
-            since,
+            change,
         }
     }
 
-    /// Gives a dispatch back whose endpoint has no address any more; nothing was sent.
-    fn refuse(&self, dispatch: &Dispatch) {
-        let news = DispatchUpdate::Refused { unreachable: true };
+    /// Returns a dispatch whose endpoint no longer has an address. Nothing was sent.
+    fn return_dispatch(&self, dispatch: &Dispatch) {
+        let update = DispatchUpdate::Refused { unreachable: true };
         let event = EndpointEvent {
             id: dispatch.id,
             dispatch: dispatch.dispatch,
-            update: news,
+            update,
         };
-        self.send(Event::Endpoint(event));
+        self.queue_event(Event::Endpoint(event));
     }
 
     pub(super) fn cancel(&mut self, id: RequestId, endpoint: &str, dispatch: u32) {
         self.abort(id);
-        let Some(place) = self.parts.site.view().location(endpoint) else {
+        let Some(location) = self.parts.site.view().location(endpoint) else {
             return;
         };
         let dispatcher = self.parts.dispatcher.clone();
-        let cancelling = async move { dispatcher.cancel(place, id, dispatch).await };
+        let cancelling = async move { dispatcher.cancel(location, id, dispatch).await };
         self.parts.runtime.spawn(cancelling);
     }
 
-    /// Tells a dispatch what has become of its endpoint; it tells how far it came.
-    pub(super) fn tell_dispatch(&mut self, id: RequestId, dispatch: u32, since: EndpointChange) {
-        let live = self.exchanges.get(&id);
-        let live = live.filter(|l| l.sent.as_ref().is_some_and(|s| s.is(dispatch)));
-        if let Some(told) = live.and_then(|l| l.since.as_ref()) {
-            told.send_replace(since);
+    /// Notifies a dispatch of a change of its endpoint. The dispatch then reports how far it got.
+    pub(super) fn notify_dispatch(&mut self, id: RequestId, dispatch: u32, change: EndpointChange) {
+        let request = self.active.get(&id);
+        let request = request.filter(|l| l.sent.as_ref().is_some_and(|s| s.is(dispatch)));
+        if let Some(sender) = request.and_then(|l| l.change.as_ref()) {
+            sender.send_replace(change);
         }
     }
 
@@ -117,8 +117,8 @@
         let Some(exchange) = self.exchange(id) else {
             return;
         };
-        let Some(order) = self.order(id, exchange, peer, cause) else {
-            self.refuse_hand_over(id);
+        let Some(order) = self.hand_over_order(id, exchange, peer, cause) else {
+            self.return_hand_over(id);
             return;
         };
         let (dialer, log, clock) = (
@@ -134,8 +134,8 @@
         self.set_task(id, task.abort_handle());
     }
 
-    /// Makes the order of a hand-over; `None` where the peer has no address.
-    fn order(
+    /// Builds a hand-over, or returns `None` if the peer has no address.
+    fn hand_over_order(
         &self,
         id: RequestId,
         exchange: Arc<Exchange>,
@@ -156,13 +156,13 @@
         })
     }
 
-    /// Gives a hand-over back whose peer has no address; nothing was sent.
-    fn refuse_hand_over(&self, id: RequestId) {
+    /// Returns a hand-over whose peer has no address. Nothing was sent.
+    fn return_hand_over(&self, id: RequestId) {
         let refusal = HandOverRefusal {
             id,
             verdict: None,
             tried: Vec::new(),
         };
-        self.send(Event::HandOver(HandOverEvent::Refused(refusal)));
+        self.queue_event(Event::HandOver(HandOverEvent::Refused(refusal)));
     }
 }
--- a/crates/firdock-node/src/edge.rs
+++ b/crates/firdock-node/src/edge.rs
@@ -1,8 +1,8 @@
-//! An entry instance at the edge of a platform: the scheduler between a platform's interface, its
-//! endpoints and its source of resources, each behind a trait.
+//! An entry instance at the edge of a platform. It connects the scheduler with the platform's
+//! interface, its endpoints and its source of resources, each of them behind a trait.
 //!
-//! All of it runs on one thread: an edge instance has a part of one core, on which threads only
-//! cost switches (figures in `docs/design/platform.md`).
+//! Everything runs on one thread. An edge instance gets a fraction of a core, where more threads
+//! would only add context switches (measurements in `docs/design/platform.md`).
 
 mod parts;
 
@@ -16,7 +16,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-use self::parts::{DriverOutlets, Parts};
+use self::parts::{DriverOutputs, EdgeParts};
 use crate::clock::millis;
 use crate::driver::Driver;
 use crate::endpoint::Dispatcher;
@@ -29,15 +29,17 @@
 use crate::source::{PendingRecords, ResourceSource};
 use crate::telemetry::{LogLimiter, discard_logger};
 
-/// Time after the order to stop in which calls are still served: the balancer asks once a second,
-/// takes an instance out after two refusals, and connections it passed on just before bring one
-/// more call each.
-const SERVE_ON: Duration = Duration::from_millis(2_800);
-/// Time kept free before the platform ends the process, for the last answers to be written.
-const RESERVE: Duration = Duration::from_millis(700);
-/// Changes of the platform's store that may wait to be told; more are asked for by each peer.
-const CHANGES_WAITING: usize = 64;
-/// An edge instance that is to be started.
+/// Time after the stop request during which calls are still accepted. The load balancer checks
+/// readiness once a second and removes an instance after two failures, and connections passed on
+/// just before that bring one more call each.
+const SERVE_AFTER_STOP: Duration = Duration::from_millis(2_800);
+/// Time reserved for writing the last answers before the platform kills the process.
+const SHUTDOWN_RESERVE: Duration = Duration::from_millis(700);
+/// Capacity of the queue of store changes to forward to peers. Peers request further ones
+/// themselves.
+const CHANGE_QUEUE_CAPACITY: usize = 64;
+
+/// Configuration of an edge instance before its start.
 #[derive(Debug)]
 pub struct EdgeInstance<I, D, S> {
     settings: Settings,
@@ -62,7 +64,7 @@
 }
 
 impl<I: Interface, D: Dialect, S: ResourceSource> EdgeInstance<I, D, S> {
-    /// Makes an instance from checked settings and the platform's adapters.
+    /// Creates an instance from checked settings and the platform's adapters.
     #[must_use]
     pub fn new(settings: Settings, interface: I, dialect: D, source: S) -> Self {
         Self {
@@ -81,55 +83,55 @@
         self
     }
 
-    /// Starts the instance on the present runtime.
+    /// Starts the instance on the current runtime.
     ///
     /// # Errors
     ///
-    /// Fails if an address is missing or cannot be listened on.
+    /// Fails if an address is missing or cannot be bound.
     pub async fn start(self) -> Result<RunningEdge, StartError> {
-        let parts = Parts::new(&self.settings, self.log.clone());
-        let (inputs, waiting) = mpsc::channel(INPUT_QUEUE_CAPACITY);
-        let (stop_ingress, ingress_stops) = watch::channel(false);
-        let (stop_rest, rest_stops) = watch::channel(false);
-        let (drained, drain_seen) = watch::channel(false);
-        let (self_status, self_status_seen) = watch::channel(SelfStatus::default());
-        let (records, records_wanted) = watch::channel(PendingRecords::default());
-        let (changes, changes_told) = mpsc::channel(CHANGES_WAITING);
+        let parts = EdgeParts::new(&self.settings, self.log.clone());
+        let (inputs, input_receiver) = mpsc::channel(INPUT_QUEUE_CAPACITY);
+        let (stop_ingress, ingress_stop_receiver) = watch::channel(false);
+        let (stop_rest, rest_stop_receiver) = watch::channel(false);
+        let (drained, drained_receiver) = watch::channel(false);
+        let (self_status, self_status_receiver) = watch::channel(SelfStatus::default());
+        let (records, record_receiver) = watch::channel(PendingRecords::default());
+        let (changes, change_receiver) = mpsc::channel(CHANGE_QUEUE_CAPACITY);
 
         let callers = open(self.settings.instance.callers, "instance.callers")?;
-        parts.serve_status(&rest_stops)?;
+        parts.serve_status(&rest_stop_receiver)?;
         let socket = parts.open_datagrams().await?;
         parts.start_beacons(
             &socket,
             &inputs,
-            self_status_seen,
-            changes_told,
-            rest_stops.clone(),
+            self_status_receiver,
+            change_receiver,
+            rest_stop_receiver.clone(),
         );
-        let outlets = DriverOutlets {
+        let outputs = DriverOutputs {
             self_status,
             records,
             drained,
         };
         let driver = parts
-            .driver(self.dialect, &inputs, outlets)
+            .driver(self.dialect, &inputs, outputs)
             .with_placement(parts.placement(socket));
-        tokio::spawn(run_or_abort(driver, waiting, rest_stops));
+        tokio::spawn(run_or_abort(driver, input_receiver, rest_stop_receiver));
         tokio::spawn(
             self.source
-                .follow(parts.sink(&inputs, changes, records_wanted)),
+                .follow(parts.sink(&inputs, changes, record_receiver)),
         );
 
         let ingress = parts.ingress(self.interface, inputs.clone());
         let options = ServerOptions::new(&self.settings.limits);
         let handle = move |r| ingress.clone().handle(r);
-        let serving = tokio::spawn(serve(callers, options, ingress_stops, handle));
+        let serving = tokio::spawn(serve(callers, options, ingress_stop_receiver, handle));
         info!(self.log, "started"; "zone" => &self.settings.instance.zone,
             "incarnation" => parts.member.incarnation.to_string());
         Ok(RunningEdge {
             ingress: parts.ingress,
             inputs,
-            drained: drain_seen,
+            drained: drained_receiver,
             serving,
             stop_ingress,
             stop_rest,
@@ -140,7 +142,7 @@
     }
 }
 
-/// Runs the driver; a panic there is a broken promise, so the process ends instead of going on.
+/// Runs the driver. A panic there is a violated invariant and aborts the process.
 async fn run_or_abort<B: Dispatcher>(
     driver: Driver<B>,
     inputs: mpsc::Receiver<Input>,
@@ -150,15 +152,16 @@
 }
 
 impl RunningEdge {
-    /// Stops in order: not ready at once, calls served on until the balancer knows, what runs
-    /// ended in place, and all of it before the platform ends the process.
+    /// Stops gracefully: reports not ready at once, accepts calls until the load balancer has
+    /// noticed, and lets running requests finish here, all within the time that the platform
+    /// allows.
     pub async fn stop(self) {
         let now = Instant::now();
-        let end = now + self.stop_time.saturating_sub(RESERVE);
+        let end = now + self.stop_time.saturating_sub(SHUTDOWN_RESERVE);
         info!(self.log, "stopping"; "millis" => millis(self.stop_time));
         self.ingress.set(IngressPhase::Closing);
         let _ = self.inputs.send(Input::Event(Event::Drain)).await;
-        sleep_until((now + SERVE_ON).min(end)).await;
+        sleep_until((now + SERVE_AFTER_STOP).min(end)).await;
         self.ingress.set(IngressPhase::Closed);
         self.stop_ingress.send_replace(true);
         let finished = timeout_at(end, self.serving).await.is_ok();
--- a/crates/firdock-node/src/endpoint/direct.rs
+++ b/crates/firdock-node/src/endpoint/direct.rs
@@ -1,4 +1,4 @@
-//! Dispatches over firdock's own protocol for engines, and plain HTTP for servers.
+//! Dispatches by firdock's own protocol for engines, and by plain HTTP for servers.
 
 use firdock_core::RequestId;
 use firdock_core::resource::EndpointKind;
@@ -8,7 +8,7 @@
 use crate::answer_cache::AnswerCache;
 use crate::site::EndpointLocation;
 
-/// Adapters to the far ends, and the store of answers that resends get.
+/// The adapters for engines and servers, with the answers kept for repeated requests.
 #[derive(Debug, Clone)]
 pub struct DirectDispatcher<E, P> {
     engine: E,
@@ -17,7 +17,7 @@
 }
 
 impl<E, P> DirectDispatcher<E, P> {
-    /// Puts the adapters together.
+    /// Creates a dispatcher from its adapters.
     #[must_use]
     pub fn new(engine: E, plain: P, answer_cache: AnswerCache) -> Self {
         Self {
@@ -29,8 +29,8 @@
 }
 
 impl<E: EngineClient, P: PlainClient> Dispatcher for DirectDispatcher<E, P> {
-    async fn run(&self, place: EndpointLocation, run: DispatchRun) -> &'static str {
-        match place.backend {
+    async fn run(&self, location: EndpointLocation, run: DispatchRun) -> &'static str {
+        match location.backend {
             EndpointKind::Engine => run_engine::run(self.engine.clone(), run).await,
             EndpointKind::Plain => {
                 run_plain::run(self.plain.clone(), run, self.answer_cache.clone()).await
@@ -38,9 +38,9 @@
         }
     }
 
-    async fn cancel(&self, place: EndpointLocation, id: RequestId, dispatch: u32) {
-        if place.backend == EndpointKind::Engine {
-            self.engine.cancel(place.address, id, dispatch).await;
+    async fn cancel(&self, location: EndpointLocation, id: RequestId, dispatch: u32) {
+        if location.backend == EndpointKind::Engine {
+            self.engine.cancel(location.address, id, dispatch).await;
         }
     }
 }
--- a/crates/firdock-node/src/endpoint/engine.rs
+++ b/crates/firdock-node/src/endpoint/engine.rs
@@ -1,7 +1,7 @@
 //! HTTP adapter for model engines that speak the OpenAI-compatible protocol.
 //!
-//! Beyond that protocol, an engine echoes request id and dispatch number, numbers its tokens and
-//! keeps a running request for a while when its connection breaks.
+//! In addition to that protocol, an engine echoes the request ID and the dispatch number, numbers
+//! its tokens, and keeps a running request for a while after its connection breaks.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -27,25 +27,25 @@
 use crate::http::{CallError, Connection, connect};
 use crate::ingress::REQUEST_ID_HEADER;
 
-/// Largest body of an answer that is not a stream.
+/// Maximum size of a body that is not a stream.
 const MAX_BODY_BYTES: usize = 8 << 20;
-/// End of a stream, by the `OpenAI` protocol.
-const DONE: &str = "[DONE]";
+/// End marker of a stream in the `OpenAI` protocol.
+const END_MARKER: &str = "[DONE]";
 
 /// Adapter for engines.
 #[derive(Debug, Clone, Copy)]
 pub struct HttpEngine {
-    connect_time: Duration,
-    answer_time: Duration,
+    connect_timeout: Duration,
+    answer_timeout: Duration,
 }
 
 impl HttpEngine {
-    /// Makes an adapter with its time limits.
+    /// Creates an adapter with its time limits.
     #[must_use]
-    pub fn new(connect_time: Duration, answer_time: Duration) -> Self {
+    pub fn new(connect_timeout: Duration, answer_timeout: Duration) -> Self {
         Self {
-            connect_time,
-            answer_time,
+            connect_timeout,
+            answer_timeout,
         }
     }
 
@@ -54,10 +54,10 @@
         at: SocketAddr,
         request: Request<Full<Bytes>>,
     ) -> Result<(Connection, Response<Incoming>), StartError> {
-        let mut connection = connect(at, self.connect_time)
+        let mut connection = connect(at, self.connect_timeout)
             .await
             .map_err(|e| start_error(&e))?;
-        let response = connection.call(request, self.answer_time).await;
+        let response = connection.call(request, self.answer_timeout).await;
         let response = response.map_err(|e| start_error(&e))?;
         Ok((connection, response))
     }
@@ -65,7 +65,7 @@
     async fn open_stream(
         &self,
         at: SocketAddr,
-        order: EngineRequest<'_>,
+        engine_request: EngineRequest<'_>,
         request: Request<Full<Bytes>>,
         from: u32,
     ) -> EndpointResponse<HttpTokenStream> {
@@ -74,19 +74,21 @@
             Err(error) => return EndpointResponse::without_head(error),
         };
         let head = HeadNotice::read(response.status(), response.headers(), &LEAVING_HEADER);
-        let result = take(order, response).await.map(|body| HttpTokenStream {
-            _connection: connection,
-            answer_end: AnswerEnd::new(body.framing()),
-            body,
-            decoder: SseDecoder::new(),
-            next: from,
-            ended: false,
-        });
+        let result = answer_body(engine_request, response)
+            .await
+            .map(|body| HttpTokenStream {
+                _connection: connection,
+                answer_end: AnswerEnd::new(body.framing()),
+                body,
+                decoder: SseDecoder::new(),
+                next_offset: from,
+                ended: false,
+            });
         EndpointResponse { head, result }
     }
 
-    /// Makes a small call of which only success counts.
-    async fn order_call(
+    /// Makes a call outside the token streams and returns its body if it succeeds.
+    async fn call_engine(
         &self,
         at: SocketAddr,
         method: Method,
@@ -114,15 +116,15 @@
     }
 }
 
-/// Takes an answer's head; gives the stream that follows.
-async fn take(
-    order: EngineRequest<'_>,
+/// Checks the head of a response and returns its body if the answer follows.
+async fn answer_body(
+    engine_request: EngineRequest<'_>,
     response: Response<Incoming>,
 ) -> Result<EndpointBody, StartError> {
     if response.headers().contains_key(NOT_STARTED_HEADER) {
         return RefusedSnafu.fail();
     }
-    if !echoes(&response, order) {
+    if !echoes(&response, engine_request) {
         let cause = BreakCause::Foreign;
         return LostSnafu { cause }.fail();
     }
@@ -148,16 +150,17 @@
     }
 }
 
-/// Tells whether an answer carries the id and the dispatch number that were sent.
-fn echoes(response: &Response<Incoming>, order: EngineRequest<'_>) -> bool {
+/// Whether a response echoes the request ID and the dispatch number.
+fn echoes(response: &Response<Incoming>, engine_request: EngineRequest<'_>) -> bool {
     let text = |name: &str| response.headers().get(name).and_then(|v| v.to_str().ok());
-    let id = text(REQUEST_ID_HEADER.as_str()) == Some(order.id.to_string().as_str());
-    id && text(DISPATCH_HEADER) == Some(order.dispatch.to_string().as_str())
+    let id = text(REQUEST_ID_HEADER.as_str()) == Some(engine_request.id.to_string().as_str());
+    id && text(DISPATCH_HEADER) == Some(engine_request.dispatch.to_string().as_str())
 }
 
-/// Reads a body that firdock itself takes for something: all of it, or nothing.
+/// Reads a body that firdock itself interprets, either completely or not at all.
 ///
-/// One without framing proves that it is whole by its form, which JSON has and a KV cache has not.
+/// Without framing, only a format that marks its own end proves that the body is complete. JSON
+/// does, a KV cache does not.
 async fn read_all(method: &Method, response: Response<Incoming>) -> Result<Bytes, StartError> {
     let framing = Framing::read(method, response.status(), response.headers());
     let mut body = EndpointBody::new(response.into_body(), framing);
@@ -172,15 +175,15 @@
             return LostSnafu { cause }.fail();
         }
     };
-    let whole = read.freeze();
-    let shape = match framing {
+    let bytes = read.freeze();
+    let state = match framing {
         Framing::Connection => BodyState::Delimited {
-            ended: serde_json::from_slice::<IgnoredAny>(&whole).is_ok(),
+            ended: serde_json::from_slice::<IgnoredAny>(&bytes).is_ok(),
         },
         _ => BodyState::Opaque,
     };
-    match assess_completeness(framing, ending, shape) {
-        Completeness::Complete => Ok(whole),
+    match assess_completeness(framing, ending, state) {
+        Completeness::Complete => Ok(bytes),
         Completeness::Unproven => LostSnafu {
             cause: BreakCause::Closed,
         }
@@ -189,26 +192,30 @@
     }
 }
 
-/// Makes the body that goes to the engine: the caller's, with what firdock adds.
-fn engine_body(order: EngineRequest<'_>) -> Bytes {
-    let mut body = order.call.body.clone();
+/// Builds the request body for the engine: the caller's body with firdock's additions.
+fn request_body(engine_request: EngineRequest<'_>) -> Bytes {
+    let mut body = engine_request.call.body.clone();
     body["stream"] = json!(true);
-    body["max_tokens"] = json!(order.call.max_tokens);
-    body["priority"] = json!(order.priority);
-    body["resume_from"] = json!(order.resume_from);
-    if order.resume_from > 0 {
-        body["resume_text"] = json!(order.resume_text);
+    body["max_tokens"] = json!(engine_request.call.max_tokens);
+    body["priority"] = json!(engine_request.priority);
+    body["resume_from"] = json!(engine_request.resume_from);
+    if engine_request.resume_from > 0 {
+        body["resume_text"] = json!(engine_request.resume_text);
     }
     Bytes::from(body.to_string())
 }
 
-fn marked(method: Method, path: &str, order: EngineRequest<'_>) -> hyper::http::request::Builder {
+fn request_builder(
+    method: Method,
+    path: &str,
+    engine_request: EngineRequest<'_>,
+) -> hyper::http::request::Builder {
     Request::builder()
         .method(method)
         .uri(path)
-        .header(REQUEST_ID_HEADER, order.id.to_string())
-        .header(DISPATCH_HEADER, order.dispatch)
-        .header("traceparent", order.trace.header())
+        .header(REQUEST_ID_HEADER, engine_request.id.to_string())
+        .header(DISPATCH_HEADER, engine_request.dispatch)
+        .header("traceparent", engine_request.trace.header())
         .header("content-type", "application/json")
 }
 
@@ -218,44 +225,48 @@
     async fn start(
         &self,
         at: SocketAddr,
-        order: EngineRequest<'_>,
+        engine_request: EngineRequest<'_>,
     ) -> EndpointResponse<HttpTokenStream> {
-        let path = if order.call.chat {
+        let path = if engine_request.call.chat {
             "/v1/chat/completions"
         } else {
             "/v1/completions"
         };
-        let body = Full::new(engine_body(order));
-        let Ok(request) = marked(Method::POST, path, order).body(body) else {
+        let body = Full::new(request_body(engine_request));
+        let Ok(request) = request_builder(Method::POST, path, engine_request).body(body) else {
             return EndpointResponse::without_head(StartError::Refused);
         };
-        self.open_stream(at, order, request, order.resume_from)
+        self.open_stream(at, engine_request, request, engine_request.resume_from)
             .await
     }
 
     async fn resume(
         &self,
         at: SocketAddr,
-        order: EngineRequest<'_>,
+        engine_request: EngineRequest<'_>,
         from: u32,
     ) -> EndpointResponse<HttpTokenStream> {
-        let path = format!("/requests/{}/{}?from={from}", order.id, order.dispatch);
-        let Ok(request) = marked(Method::GET, &path, order).body(Full::default()) else {
+        let path = format!(
+            "/requests/{}/{}?from={from}",
+            engine_request.id, engine_request.dispatch
+        );
+        let Ok(request) = request_builder(Method::GET, &path, engine_request).body(Full::default())
+        else {
             return EndpointResponse::without_head(StartError::Refused);
         };
-        self.open_stream(at, order, request, from).await
+        self.open_stream(at, engine_request, request, from).await
     }
 
     async fn cancel(&self, at: SocketAddr, id: RequestId, dispatch: u32) {
         let path = format!("/requests/{id}/{dispatch}");
         let _ = self
-            .order_call(at, Method::DELETE, &path, Bytes::new())
+            .call_engine(at, Method::DELETE, &path, Bytes::new())
             .await;
     }
 
     async fn export_kv(&self, at: SocketAddr, id: RequestId) -> Result<KvCache, StartError> {
         let path = format!("/kv/{id}");
-        self.order_call(at, Method::GET, &path, Bytes::new())
+        self.call_engine(at, Method::GET, &path, Bytes::new())
             .await
             .map(KvCache)
     }
@@ -267,14 +278,18 @@
         cache: KvCache,
     ) -> Result<(), StartError> {
         let path = format!("/kv/{id}");
-        self.order_call(at, Method::PUT, &path, cache.0)
+        self.call_engine(at, Method::PUT, &path, cache.0)
             .await
             .map(|_| ())
     }
 
-    async fn order(&self, at: SocketAddr, order: &FencedCommand) -> Result<(), StartError> {
-        let body = serde_json::to_vec(order).unwrap_or_default();
-        self.order_call(at, Method::POST, "/orders", Bytes::from(body))
+    async fn send_command(
+        &self,
+        at: SocketAddr,
+        command: &FencedCommand,
+    ) -> Result<(), StartError> {
+        let body = serde_json::to_vec(command).unwrap_or_default();
+        self.call_engine(at, Method::POST, "/orders", Bytes::from(body))
             .await
             .map(|_| ())
     }
@@ -284,37 +299,37 @@
     async fn report(&self, at: SocketAddr, after: u64) -> Result<EndpointReport, StartError> {
         let path = format!("{REPORT_PATH}?after={after}");
         let body = self
-            .order_call(at, Method::GET, &path, Bytes::new())
+            .call_engine(at, Method::GET, &path, Bytes::new())
             .await?;
         let cause = BreakCause::Foreign;
         serde_json::from_slice(&body).map_or_else(|_| LostSnafu { cause }.fail(), Ok)
     }
 }
 
-/// Stream of an engine's tokens, checked for holes and doubles.
+/// Stream of an engine's tokens, checked for missing and repeated ones.
 #[derive(Debug)]
 pub struct HttpTokenStream {
     _connection: Connection,
     body: EndpointBody,
     answer_end: AnswerEnd,
     decoder: SseDecoder,
-    next: u32,
+    next_offset: u32,
     ended: bool,
 }
 
 impl TokenStream for HttpTokenStream {
-    async fn next(&mut self, silence: Duration) -> Result<Option<TokenEvent>, StreamError> {
+    async fn next(&mut self, idle_timeout: Duration) -> Result<Option<TokenEvent>, StreamError> {
         loop {
             match self.decoder.next_event() {
                 Ok(Some(SseEvent::Data(data))) => {
                     self.answer_end.events += 1;
-                    if let Some(step) = self.take(&data)? {
+                    if let Some(step) = self.handle_event(&data)? {
                         return Ok(step.event);
                     }
                 }
                 Ok(Some(SseEvent::Comment)) => {}
-                Ok(None) => self.read_more(silence).await?,
-                Err(_) => return Err(StreamError::Crossed),
+                Ok(None) => self.read_more(idle_timeout).await?,
+                Err(_) => return Err(StreamError::Inconsistent),
             }
         }
     }
@@ -324,14 +339,14 @@
     }
 }
 
-/// One step of a stream: an event, or its end.
+/// One step of a stream: an event, or the end.
 struct Step {
     event: Option<TokenEvent>,
 }
 
 impl HttpTokenStream {
-    async fn read_more(&mut self, silence: Duration) -> Result<(), StreamError> {
-        match timeout(silence, self.body.next()).await {
+    async fn read_more(&mut self, idle_timeout: Duration) -> Result<(), StreamError> {
+        match timeout(idle_timeout, self.body.next()).await {
             Err(_) => {
                 self.answer_end.ending = Some(Ending::Silent);
                 Err(StreamError::Silent)
@@ -341,7 +356,8 @@
                 self.decoder.push(&bytes);
                 Ok(())
             }
-            // Its end mark has not come, so that no end of the body makes the answer whole.
+            // The end marker has not arrived, so that the answer is incomplete however the body
+            // ended.
             Ok(Err(ending)) => {
                 self.answer_end.ending = Some(ending);
                 Err(StreamError::Broken)
@@ -349,28 +365,29 @@
         }
     }
 
-    /// Takes one event's data; events that came before are dropped, holes are an error.
-    fn take(&mut self, data: &str) -> Result<Option<Step>, StreamError> {
-        if data == DONE {
-            let whole = self.ended;
-            return if whole {
+    /// Handles the data of one event. Events received before are dropped; missing tokens are an
+    /// error.
+    fn handle_event(&mut self, data: &str) -> Result<Option<Step>, StreamError> {
+        if data == END_MARKER {
+            let is_complete = self.ended;
+            return if is_complete {
                 self.answer_end.ending = Some(Ending::Framed);
                 Ok(Some(Step { event: None }))
             } else {
-                Err(StreamError::Crossed)
+                Err(StreamError::Inconsistent)
             };
         }
         let json = serde_json::from_str::<Value>(data)
             .ok()
-            .ok_or(StreamError::Crossed)?;
-        let event = read_event(json).ok_or(StreamError::Crossed)?;
-        if event.offset > self.next {
-            return Err(StreamError::Crossed);
+            .ok_or(StreamError::Inconsistent)?;
+        let event = read_event(json).ok_or(StreamError::Inconsistent)?;
+        if event.offset > self.next_offset {
+            return Err(StreamError::Inconsistent);
         }
-        if event.offset < self.next && event.finish.is_none() {
+        if event.offset < self.next_offset && event.finish.is_none() {
             return Ok(None);
         }
-        self.next = event.offset + event.tokens;
+        self.next_offset = event.offset + event.tokens;
         self.ended |= event.finish.is_some();
         Ok(Some(Step { event: Some(event) }))
     }
