--- a/crates/firdock-node/tests/node/starts.rs
+++ b/crates/firdock-node/tests/node/bootstrap.rs
@@ -16,7 +16,7 @@
 use tokio::net::UdpSocket;
 use tokio::sync::watch;
 
-use crate::party::Party;
+use crate::test_instance::TestInstance;
 
 const START: Duration = Duration::from_secs(10);
 /// Bytes of what is told.
@@ -124,7 +124,7 @@
     }
 }
 
-fn knows(party: &Party, endpoints: u32, clock: Clock) {
+fn knows(party: &TestInstance, endpoints: u32, clock: Clock) {
     let read_at = clock.now();
     for (topic, count) in [(Topic::Config, 1), (Topic::Endpoints, endpoints)] {
         let _ = party.reads.apply_records(&TopicRecords {
@@ -160,9 +160,9 @@
     let (seed_socket, seed_at) = socket().await;
     let (parent_socket, parent_at) = socket().await;
     let (starter_socket, _) = socket().await;
-    let seed = Party::new("seed", seed_socket, clock, Vec::new());
-    let parent = Party::new("parent", parent_socket, clock, Vec::new());
-    let starter = Party::new("starter", starter_socket, clock, vec![seed_at]);
+    let seed = TestInstance::new("seed", seed_socket, clock, Vec::new());
+    let parent = TestInstance::new("parent", parent_socket, clock, Vec::new());
+    let starter = TestInstance::new("starter", starter_socket, clock, vec![seed_at]);
     knows(&seed, endpoints, clock);
     for n in 0..20 {
         // Others, so that the site is no small one; they are in other zones.
--- a/crates/firdock-node/tests/node/fleet.rs
+++ b/crates/firdock-node/tests/node/large_site.rs
@@ -7,7 +7,7 @@
     ReadTurn, SharedReads,
 };
 
-use crate::starts::address;
+use crate::bootstrap::address;
 
 const START: Duration = Duration::from_secs(100);
 const ZONES: usize = 6;
--- a/crates/firdock-node/tests/node/main.rs
+++ b/crates/firdock-node/tests/node/main.rs
@@ -1,18 +1,18 @@
 //! Decoders and stores of the entry instance: whatever comes is an error, and never a panic.
 
-mod endings;
-mod fleet;
-mod lines;
-mod notice;
-mod parts;
-mod party;
+mod bootstrap;
+mod change_tracker;
+mod completeness;
+mod dead_peer;
+mod head_notice;
+mod large_site;
+mod log_limiter;
+mod partial_replies;
 mod peers;
 mod placement;
-mod seen;
-mod sharing;
-mod silence;
-mod starts;
+mod shared_reads;
 mod suspects;
+mod test_instance;
 
 use bytes::Bytes;
 use firdock_core::resource::{Resource, Tier};
--- a/crates/firdock-node/tests/node/peers.rs
+++ b/crates/firdock-node/tests/node/peers.rs
@@ -17,7 +17,7 @@
 use tokio::sync::watch;
 use uuid::Uuid;
 
-use crate::party::Party;
+use crate::test_instance::TestInstance;
 
 const INCARNATION: Uuid = Uuid::from_u128(7);
 
@@ -184,8 +184,8 @@
 }
 
 /// An instance that tells what version 4 is in force, and knows of another.
-fn party(name: &str, socket: UdpSocket, clock: Clock, other: (&str, &UdpSocket)) -> Party {
-    let party = Party::new(name, socket, clock, Vec::new());
+fn party(name: &str, socket: UdpSocket, clock: Clock, other: (&str, &UdpSocket)) -> TestInstance {
+    let party = TestInstance::new(name, socket, clock, Vec::new());
     party.self_status.send_replace(news(4));
     let known = PeerRecord {
         millicores: 0,
--- a/crates/firdock-node/tests/node/sharing.rs
+++ b/crates/firdock-node/tests/node/shared_reads.rs
@@ -10,7 +10,7 @@
 use tokio::sync::watch;
 use uuid::Uuid;
 
-use crate::party::Party;
+use crate::test_instance::TestInstance;
 
 /// Pause between two reads, as the deployments set it.
 const PAUSE: Duration = Duration::from_millis(600);
@@ -176,9 +176,9 @@
     let socket = bind_beacon_socket(any).await.expect("a socket");
     let to = socket.local_addr().expect("an address");
     let clock = Clock::new();
-    let seed = Party::new("seed", socket, clock, Vec::new());
+    let seed = TestInstance::new("seed", socket, clock, Vec::new());
     let socket = bind_beacon_socket(any).await.expect("a socket");
-    let starter = Party::new("starter", socket, clock, vec![to]);
+    let starter = TestInstance::new("starter", socket, clock, vec![to]);
     let (stop, stops) = watch::channel(false);
     let running = [
         tokio::spawn(seed.beacons.run(stops.clone())),
--- a/crates/firdock-node/tests/node/party.rs
+++ b/crates/firdock-node/tests/node/test_instance.rs
@@ -15,7 +15,7 @@
 /// Inputs that may wait for a test to look at them.
 const WAITING: usize = 256;
 
-pub struct Party {
+pub struct TestInstance {
     pub beacons: BeaconService,
     pub directory: Arc<PeerDirectory>,
     pub reads: Arc<SharedReads>,
@@ -23,7 +23,7 @@
     pub self_status: watch::Sender<SelfStatus>,
 }
 
-impl Party {
+impl TestInstance {
     /// Makes an instance that asks `seeds` at its start, if there are any.
     pub fn new(name: &str, socket: UdpSocket, clock: Clock, seeds: Vec<SocketAddr>) -> Self {
         let directory = Arc::new(PeerDirectory::new(name.to_owned(), "zone".to_owned()));
