--- a/crates/firdock-node/tests/node/main.rs
+++ b/crates/firdock-node/tests/node/main.rs
@@ -1,4 +1,4 @@
-//! Decoders and stores of the entry instance: whatever comes is an error, and never a panic.
+//! Tests of the entry instance's decoders and stores: invalid input is an error, never a panic.
 
 mod bootstrap;
 mod change_tracker;
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn kept_answers_are_bounded_and_the_oldest_goes_first() {
+fn the_answer_cache_is_bounded_and_evicts_the_oldest_answer_first() {
     let answers = AnswerCache::new(4_000);
     let ids: Vec<Uuid> = (0..4).map(|n| Uuid::from_u64_pair(0, n)).collect();
     for id in &ids {
@@ -48,22 +48,22 @@
         assert!(answer.push(&[7; 1_000]));
         answers.insert(*id, answer);
     }
-    let kept: Vec<bool> = ids.iter().map(|id| answers.get(*id).is_some()).collect();
-    assert_eq!(kept, [false, false, true, true]);
+    let cached: Vec<bool> = ids.iter().map(|id| answers.get(*id).is_some()).collect();
+    assert_eq!(cached, [false, false, true, true]);
     answers.remove(ids[3]);
     assert!(answers.get(ids[3]).is_none());
 }
 
 #[test]
-fn an_answer_that_is_too_large_is_not_kept() {
+fn an_answer_that_is_too_large_is_not_cached() {
     let mut answer = CachedAnswer::new(head());
     assert!(!answer.push(&vec![0; 1 << 20]));
 }
 
 #[test]
-fn pauses_grow_with_jitter_up_to_the_longest() {
-    let (base, most) = (Duration::from_millis(100), Duration::from_secs(1));
-    let mut backoff = Backoff::new(base, most);
+fn backoff_pauses_grow_with_jitter_up_to_the_maximum() {
+    let (base, max) = (Duration::from_millis(100), Duration::from_secs(1));
+    let mut backoff = Backoff::new(base, max);
     for full in [100, 200, 400, 800, 1_000, 1_000] {
         let pause = backoff.next_pause().as_millis();
         assert!((full / 2..=full).contains(&pause), "{pause} of {full}");
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn headers_of_one_connection_are_not_passed_on() {
+fn hop_by_hop_headers_are_not_forwarded() {
     let mut headers = HeaderMap::new();
     for (name, value) in [
         ("connection", "close, x-private"),
@@ -85,15 +85,15 @@
         headers.insert(name, value.parse().expect("a header value"));
     }
     strip_hop_by_hop(&mut headers);
-    let left: Vec<&str> = headers
+    let remaining: Vec<&str> = headers
         .keys()
         .map(hyper::header::HeaderName::as_str)
         .collect();
-    assert_eq!(left, ["accept"]);
+    assert_eq!(remaining, ["accept"]);
 }
 
 #[test]
-fn a_trace_goes_on_in_its_children() {
+fn a_child_span_keeps_the_trace_id() {
     let text = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
     let context = TraceContext::parse(text).expect("a valid header");
     assert_eq!(context.header(), text);
@@ -107,13 +107,13 @@
 }
 
 #[test]
-fn events_are_put_together_from_any_pieces() {
+fn events_are_decoded_from_chunks_of_any_size() {
     let text = "data: one\n\n: comment\n\ndata: two\r\ndata: three\r\n\r\nid: 7\n\n";
     for size in 1..text.len() {
         let mut decoder = SseDecoder::new();
         let mut events = Vec::new();
-        for piece in text.as_bytes().chunks(size) {
-            decoder.push(piece);
+        for chunk in text.as_bytes().chunks(size) {
+            decoder.push(chunk);
             while let Some(event) = decoder.next_event().expect("a good stream") {
                 events.push(event);
             }
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn an_endless_event_is_an_error() {
+fn an_event_over_the_size_limit_is_an_error() {
     let mut decoder = SseDecoder::new();
     decoder.push(&vec![b'x'; 1 << 20]);
     assert!(matches!(
@@ -151,8 +151,8 @@
     fn any_body_is_a_call_or_an_error(bytes in proptest::collection::vec(any::<u8>(), 0..200), field in "[a-z_]{1,12}", n in any::<i64>()) {
         for path in ["/v1/completions", "/v1/chat/completions"] {
             let _ = ModelCall::parse(path, &Bytes::from(bytes.clone()));
-            let near = format!("{{\"model\":\"m\",\"prompt\":\"p\",\"messages\":[{{}},{n}],\"{field}\":{n}}}");
-            let _ = ModelCall::parse(path, &Bytes::from(near));
+            let nearly_valid = format!("{{\"model\":\"m\",\"prompt\":\"p\",\"messages\":[{{}},{n}],\"{field}\":{n}}}");
+            let _ = ModelCall::parse(path, &Bytes::from(nearly_valid));
         }
     }
 
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn a_watcher_is_not_told_a_history_that_was_never_seen() {
+fn a_watcher_gets_no_changes_from_before_the_snapshot() {
     let state = |next: u64, resources: &[(&str, u64)]| {
         let entry = |&(name, version): &(&str, u64)| {
             let tier = Tier {
@@ -184,15 +184,15 @@
         }
     };
     let mut changes = Changes::default();
-    // The instance starts from a snapshot; what was deleted before, it cannot know.
+    // The instance starts from a snapshot, so it cannot know of earlier deletions.
     changes.record(&State::new(), &state(9, &[("draft", 4)]));
     assert_eq!(changes.after(3), None, "a deletion after 3 would be missed");
     assert_eq!(
         changes.after(0).map(|c| c.len()),
         Some(1),
-        "a new watcher gets all there is"
+        "a new watcher gets every resource in force"
     );
     changes.record(&state(9, &[("draft", 4)]), &state(10, &[]));
-    let seen = changes.after(9).expect("this instance saw it");
-    assert_eq!((seen.len(), seen[0].version), (1, 10));
+    let recent = changes.after(9).expect("this instance recorded the change");
+    assert_eq!((recent.len(), recent[0].version), (1, 10));
 }
--- a/crates/firdock-node/tests/node/peers.rs
+++ b/crates/firdock-node/tests/node/peers.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other by datagram: reads that they share, and clocks.
+//! Datagrams between instances: shared reads of the store, clocks, heartbeats and leads of groups.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,20 +25,20 @@
     Duration::from_millis(n)
 }
 
-fn teller(name: &str, incarnation: Uuid) -> PeerProcess {
+fn peer_process(name: &str, incarnation: Uuid) -> PeerProcess {
     let name = name.to_owned();
     PeerProcess { name, incarnation }
 }
 
-/// The peer whose clock is known.
-fn p() -> PeerProcess {
-    teller("p", INCARNATION)
+/// Peer `p`, whose clock is known.
+fn peer_p() -> PeerProcess {
+    peer_process("p", INCARNATION)
 }
 
-/// The present time where it does not matter.
+/// Current time for calls whose result does not depend on it.
 const NOW: Duration = Duration::from_mins(1);
 
-fn reads(version: u64, endpoints_next: u64, at: Duration) -> ReadState {
+fn read_state(version: u64, endpoints_next: u64, at: Duration) -> ReadState {
     ReadState {
         version,
         endpoints_next,
@@ -48,134 +48,138 @@
     }
 }
 
-/// Reads of version 5 at 10 s, with the clock of peer `p` known to be no earlier than ours + 1 s.
-fn shared() -> SharedReads {
+/// Creates the reads of an instance that read version 5 at 10 s. A time `t` of the clock of peer `p` is known
+/// to be no earlier than `t + 1 s` by the local clock.
+fn shared_reads() -> SharedReads {
     let shared = SharedReads::default();
-    shared.record_read(millis(10_000), reads(5, 1, millis(10_000)));
+    shared.record_read(millis(10_000), read_state(5, 1, millis(10_000)));
     shared.take_clock("p", INCARNATION, millis(10_000), millis(9_000));
     shared
 }
 
 #[test]
-fn a_peers_word_counts_from_the_earliest_time_that_it_can_mean() {
-    let shared = shared();
-    let heard = shared.merge_report(NOW, &p(), reads(5, 1, millis(9_400)));
-    assert_eq!(heard.fresh, Some(millis(10_400)));
+fn a_peers_read_counts_from_the_earliest_time_that_its_clock_allows() {
+    let shared = shared_reads();
+    let outcome = shared.merge_report(NOW, &peer_p(), read_state(5, 1, millis(9_400)));
+    assert_eq!(outcome.fresh, Some(millis(10_400)));
     assert_eq!(shared.own().config_at, millis(10_400));
 }
 
 #[test]
-fn a_peer_with_another_version_makes_nothing_fresh() {
-    let shared = shared();
+fn a_peer_with_another_version_confirms_nothing() {
+    let shared = shared_reads();
     for version in [4, 6] {
-        let heard = shared.merge_report(NOW, &p(), reads(version, 1, millis(9_400)));
-        assert_eq!(heard.fresh, None);
+        let outcome = shared.merge_report(NOW, &peer_p(), read_state(version, 1, millis(9_400)));
+        assert_eq!(outcome.fresh, None);
     }
     assert_eq!(shared.own().config_at, millis(10_000));
 }
 
 #[test]
-fn a_restarted_peers_clock_is_asked_for_anew() {
-    let shared = shared();
-    let heard = shared.merge_report(
+fn the_clock_of_a_restarted_peer_is_requested_again() {
+    let shared = shared_reads();
+    let outcome = shared.merge_report(
         NOW,
-        &teller("p", Uuid::from_u128(8)),
-        reads(5, 1, millis(9_400)),
+        &peer_process("p", Uuid::from_u128(8)),
+        read_state(5, 1, millis(9_400)),
     );
-    assert!(heard.ask_clock && heard.fresh.is_none());
+    assert!(outcome.ask_clock && outcome.fresh.is_none());
 }
 
 #[test]
-fn a_late_answer_to_a_question_about_the_clock_loosens_nothing() {
-    let shared = shared();
-    // Asked long ago and answered late: stands for an earlier time than what is known.
+fn a_late_clock_answer_does_not_loosen_the_bound() {
+    let shared = shared_reads();
+    // Requested long ago and answered late: its bound is weaker than the known one.
     shared.take_clock("p", INCARNATION, millis(10_500), millis(12_000));
-    let heard = shared.merge_report(NOW, &p(), reads(5, 1, millis(9_400)));
-    assert_eq!(heard.fresh, Some(millis(10_400)));
+    let outcome = shared.merge_report(NOW, &peer_p(), read_state(5, 1, millis(9_400)));
+    assert_eq!(outcome.fresh, Some(millis(10_400)));
 }
 
 #[test]
-fn instances_that_come_and_go_for_days_leave_room_for_the_clocks_of_new_ones() {
-    let shared = shared();
+fn clocks_of_departed_instances_are_evicted_for_new_ones() {
+    let shared = shared_reads();
     for n in 0..2_000 {
         let name = format!("front-{n}");
         shared.take_clock(&name, INCARNATION, millis(10_000), millis(9_000));
-        let heard =
-            shared.merge_report(NOW, &teller(&name, INCARNATION), reads(5, 1, millis(9_000)));
-        assert!(!heard.ask_clock, "the clock of {name} is known");
+        let outcome = shared.merge_report(
+            NOW,
+            &peer_process(&name, INCARNATION),
+            read_state(5, 1, millis(9_000)),
+        );
+        assert!(!outcome.ask_clock, "the clock of {name} is known");
     }
 }
 
-/// Finding 1: an instance that did not read took its own silence for an outage of the list, and kept
-/// an endpoint that had been dropped.
+/// Finding 1: an instance that relied on its peers' reads took the time without own reads for an outage
+/// of the list, and kept an endpoint that was no longer listed.
 #[test]
-fn an_instance_whose_peers_read_for_it_takes_no_outage_for_granted() {
-    let shared = shared();
+fn reads_by_peers_count_against_an_outage() {
+    let shared = shared_reads();
     for second in 10..60 {
-        let told = reads(5, 1, millis(second * 1_000 - 1_000));
-        let _ = shared.merge_report(NOW, &p(), told);
+        let reported = read_state(5, 1, millis(second * 1_000 - 1_000));
+        let _ = shared.merge_report(NOW, &peer_p(), reported);
     }
     assert_eq!(shared.steady_since(millis(60_000)), millis(10_000));
 }
 
-/// Finding 3: after an outage whose end a peer saw first, the grace began anew with the instance's
-/// own next read, seconds later; an endpoint dropped meanwhile got requests for too long.
+/// Finding 3: when a peer was the first to read after an outage, the grace period began again with the
+/// instance's own next read, seconds later, and an endpoint removed meanwhile got requests for too long.
 #[test]
 fn an_outage_ends_with_the_first_read_of_any_instance() {
-    let shared = shared();
+    let shared = shared_reads();
     // Nobody reads from 10 s to 15 s; the peer does then, and this instance not before 18 s.
     for second in [15, 16, 17] {
-        let told = reads(5, 1, millis(second * 1_000 - 1_000));
-        let _ = shared.merge_report(NOW, &p(), told);
+        let reported = read_state(5, 1, millis(second * 1_000 - 1_000));
+        let _ = shared.merge_report(NOW, &peer_p(), reported);
     }
     assert_eq!(shared.steady_since(millis(18_000)), millis(15_000));
 }
 
 #[test]
-fn an_outage_that_only_this_instance_sees_the_end_of_ends_with_its_own_read() {
-    let shared = shared();
+fn an_outage_ends_with_the_own_read_if_no_peer_has_read() {
+    let shared = shared_reads();
     assert_eq!(shared.steady_since(millis(15_000)), millis(15_000));
-    shared.record_read(millis(15_000), reads(5, 1, millis(15_000)));
+    shared.record_read(millis(15_000), read_state(5, 1, millis(15_000)));
     assert_eq!(shared.steady_since(millis(16_000)), millis(15_000));
 }
 
-/// Finding 21: an instance that was cut off alone took its silence for an outage of the list, and kept
-/// endpoints that had been dropped meanwhile.
+/// Finding 21: an instance that alone had lost its network took the time without reads for an outage of
+/// the list, and kept endpoints that had been removed meanwhile.
 #[test]
-fn an_instance_that_was_cut_off_alone_takes_its_silence_for_no_outage() {
-    let shared = shared();
-    shared.record_read(millis(20_000), reads(5, 1, millis(20_000)));
+fn an_instance_that_alone_lost_its_network_assumes_no_outage() {
+    let shared = shared_reads();
+    shared.record_read(millis(20_000), read_state(5, 1, millis(20_000)));
     assert_eq!(shared.steady_since(millis(20_000)), millis(20_000));
-    // The peer has read all the while, since 2 s by our clock.
-    let told = ReadState {
+    // The peer has read without a gap since 2 s by the local clock.
+    let reported = ReadState {
         steady_since: millis(1_000),
-        ..reads(5, 1, millis(18_900))
+        ..read_state(5, 1, millis(18_900))
     };
-    let _ = shared.merge_report(NOW, &p(), told);
+    let _ = shared.merge_report(NOW, &peer_p(), reported);
     assert_eq!(shared.steady_since(millis(20_200)), millis(2_000));
-    // Its clock is known a little better at the next word, which is no news.
+    // At the next report its clock is known slightly better, which is no change.
     let nearly = ReadState {
         steady_since: millis(990),
-        ..told
+        ..reported
     };
-    let _ = shared.merge_report(NOW, &p(), nearly);
+    let _ = shared.merge_report(NOW, &peer_p(), nearly);
     assert_eq!(shared.steady_since(millis(20_200)), millis(2_000));
 }
 
 #[test]
-fn a_peer_that_has_not_read_since_an_outage_does_not_tell_it_away() {
-    let shared = shared();
-    shared.record_read(millis(20_000), reads(5, 1, millis(20_000)));
-    let told = ReadState {
+fn a_peer_that_has_not_read_since_an_outage_does_not_hide_it() {
+    let shared = shared_reads();
+    shared.record_read(millis(20_000), read_state(5, 1, millis(20_000)));
+    let reported = ReadState {
         steady_since: millis(1_000),
-        ..reads(5, 1, millis(15_000))
+        ..read_state(5, 1, millis(15_000))
     };
-    let _ = shared.merge_report(NOW, &p(), told);
+    let _ = shared.merge_report(NOW, &peer_p(), reported);
     assert_eq!(shared.steady_since(millis(20_200)), millis(20_000));
 }
 
-/// News of a scheduler that has taken `version`.
-fn news(version: u64) -> SelfStatus {
+/// Status of an instance whose scheduler has applied `version`.
+fn self_status(version: u64) -> SelfStatus {
     let settings = PolicySettings::new(&Settings::default(), INCARNATION);
     let mut scheduler = Scheduler::new(settings);
     let catalog = Event::Config(Arc::new(Catalog::new(version)));
@@ -183,49 +187,54 @@
     SelfStatus::new(scheduler.tables(), millis(1))
 }
 
-/// An instance that tells what version 4 is in force, and knows of another.
-fn party(name: &str, socket: UdpSocket, clock: Clock, other: (&str, &UdpSocket)) -> TestInstance {
-    let party = TestInstance::new(name, socket, clock, Vec::new());
-    party.self_status.send_replace(news(4));
+/// Creates an instance that reports version 4 as in force and knows one other instance.
+fn instance(
+    name: &str,
+    socket: UdpSocket,
+    clock: Clock,
+    other: (&str, &UdpSocket),
+) -> TestInstance {
+    let instance = TestInstance::new(name, socket, clock, Vec::new());
+    instance.self_status.send_replace(self_status(4));
     let known = PeerRecord {
         millicores: 0,
         name: other.0.to_owned(),
         address: other.1.local_addr().expect("an address"),
         zone: "zone".to_owned(),
     };
-    party.directory.add_reported(known, clock.now());
-    party
+    instance.directory.add_reported(known, clock.now());
+    instance
 }
 
-/// Finding 16: an instance that stops is sent nothing any more, so that it hears hardly anyone; its
-/// word on how many are heard cut every limit to a small part, all through a rolling restart.
+/// Finding 16: nobody sends to an instance that stops, so it counts hardly any live peers. When its count
+/// was used, every limit fell to a small part throughout a rolling restart.
 #[tokio::test]
-async fn a_lead_that_stops_or_is_of_another_group_does_not_tell_how_many_are_heard() {
+async fn live_counts_of_stopping_leads_and_of_other_groups_are_ignored() {
     let any = "127.0.0.1:0".parse().expect("an address");
     let socket = bind_beacon_socket(any).await.expect("a socket");
     let to = socket.local_addr().expect("an address");
     let other = UdpSocket::bind(any).await.expect("a socket");
-    let mut party = party("z", socket, Clock::new(), ("b", &other));
-    party.beacons.interval = Duration::from_mins(1);
-    // So many of its group are heard before it that it does not lead.
+    let mut instance = instance("z", socket, Clock::new(), ("b", &other));
+    instance.beacons.interval = Duration::from_mins(1);
+    // Twenty live peers precede it in its group, so that it is no lead.
     for n in 0..20 {
         let address = ([127, 0, 0, 1], 1).into();
-        let (directory, now) = (&party.beacons.directory, party.beacons.clock.now());
+        let (directory, now) = (&instance.beacons.directory, instance.beacons.clock.now());
         let name = format!("m-{n}");
-        directory.record_heartbeat(word(&name, "zone", 0), address, now);
+        directory.record_heartbeat(peer_info(&name, "zone", 0), address, now);
         let name = format!("m-{n}");
-        directory.record_heartbeat(word(&name, "zone", 0), address, now);
+        directory.record_heartbeat(peer_info(&name, "zone", 0), address, now);
     }
-    let key = Arc::clone(&party.beacons.key);
+    let key = Arc::clone(&instance.beacons.key);
     let (stop, stops) = watch::channel(false);
-    let running = tokio::spawn(party.beacons.run(stops));
+    let running = tokio::spawn(instance.beacons.run(stops));
     for (name, zone, draining, site_heard) in [
         ("far-lead", "elsewhere", false, 1),
         ("far-lead-that-stops", "elsewhere", true, 2),
         ("lead-that-stops", "zone", true, 3),
         ("lead", "zone", false, 40),
     ] {
-        let told = Beacon {
+        let beacon = Beacon {
             protocol: PROTOCOL,
             instance: name.to_owned(),
             heartbeat: Some(Heartbeat {
@@ -237,35 +246,35 @@
             site_heard,
             ..Beacon::default()
         };
-        let sealed = seal(&key, datagram::Body::Beacon(told));
+        let sealed = seal(&key, datagram::Body::Beacon(beacon));
         other.send_to(&sealed, to).await.expect("it is sent");
     }
     tokio::time::sleep(millis(300)).await;
     stop.send_replace(true);
     running.await.expect("the task ends");
     let mut reach = Vec::new();
-    while let Ok(input) = party.events.try_recv() {
+    while let Ok(input) = instance.events.try_recv() {
         if let firdock_node::Input::Event(Event::Reach(count)) = input {
             reach.push(count);
         }
     }
     assert_eq!(reach, [40]);
-    drop(party.self_status);
+    drop(instance.self_status);
 }
 
-/// What accounts had of other groups' places is heard from those groups' leads alone, and figures that
-/// are none are left out: one of them would put an account behind all others for ever.
+/// Work of accounts in other groups is taken from the leads of those groups alone. Values that are NaN or
+/// negative are dropped: one of them would rank an account behind all others for good.
 #[tokio::test]
-async fn work_of_accounts_is_heard_from_leads_of_other_groups() {
+async fn account_work_is_taken_from_leads_of_other_groups_alone() {
     let any = "127.0.0.1:0".parse().expect("an address");
     let socket = bind_beacon_socket(any).await.expect("a socket");
     let to = socket.local_addr().expect("an address");
     let other = UdpSocket::bind(any).await.expect("a socket");
-    let mut party = party("z", socket, Clock::new(), ("b", &other));
-    party.beacons.interval = Duration::from_mins(1);
-    let key = Arc::clone(&party.beacons.key);
+    let mut instance = instance("z", socket, Clock::new(), ("b", &other));
+    instance.beacons.interval = Duration::from_mins(1);
+    let key = Arc::clone(&instance.beacons.key);
     let (stop, stops) = watch::channel(false);
-    let running = tokio::spawn(party.beacons.run(stops));
+    let running = tokio::spawn(instance.beacons.run(stops));
     let work = |account: &str, secs: f64| message::AccountWork {
         account: account.to_owned(),
         pool: "pool".to_owned(),
@@ -278,7 +287,7 @@
         ("lead", "elsewhere", 20),
         ("near", "zone", 20),
     ] {
-        let told = Beacon {
+        let beacon = Beacon {
             protocol: PROTOCOL,
             instance: name.to_owned(),
             heartbeat: Some(Heartbeat {
@@ -289,38 +298,41 @@
             group_work: vec![work(name, 0.5), work("none", f64::NAN), work("less", -1.0)],
             ..Beacon::default()
         };
-        let sealed = seal(&key, datagram::Body::Beacon(told));
+        let sealed = seal(&key, datagram::Body::Beacon(beacon));
         other.send_to(&sealed, to).await.expect("it is sent");
     }
     tokio::time::sleep(millis(300)).await;
     stop.send_replace(true);
     running.await.expect("the task ends");
-    let mut heard = Vec::new();
-    while let Ok(input) = party.events.try_recv() {
+    let mut received = Vec::new();
+    while let Ok(input) = instance.events.try_recv() {
         if let firdock_node::Input::Event(Event::GroupWork(group)) = input {
             let accounts = group.work.into_iter().map(|w| w.account);
-            heard.push((group.zone, accounts.collect::<Vec<_>>()));
+            received.push((group.zone, accounts.collect::<Vec<_>>()));
         }
     }
-    assert_eq!(heard, [("elsewhere".to_owned(), vec!["lead".to_owned()])]);
-    drop(party.self_status);
+    assert_eq!(
+        received,
+        [("elsewhere".to_owned(), vec!["lead".to_owned()])]
+    );
+    drop(instance.self_status);
 }
 
-/// Leads that had all restarted at one moment did not hear each other for seconds, where the one's
-/// first word came before the other knew of it.
+/// Leads that had all restarted at once received no heartbeat from each other for seconds if the first one
+/// of a lead arrived before the receiver knew the sender.
 #[tokio::test]
 async fn a_first_heartbeat_is_answered() {
     let any = "127.0.0.1:0".parse().expect("an address");
     let socket = bind_beacon_socket(any).await.expect("a socket");
     let to = socket.local_addr().expect("an address");
     let stranger = UdpSocket::bind(any).await.expect("a socket");
-    // It knows of another instance, and not of the one that will send.
+    // It knows another instance, but not the one that will send.
     let known = UdpSocket::bind(any).await.expect("a socket");
-    let mut party = party("a", socket, Clock::new(), ("b", &known));
-    party.beacons.interval = Duration::from_mins(1);
-    let key = Arc::clone(&party.beacons.key);
+    let mut instance = instance("a", socket, Clock::new(), ("b", &known));
+    instance.beacons.interval = Duration::from_mins(1);
+    let key = Arc::clone(&instance.beacons.key);
     let (stop, stops) = watch::channel(false);
-    let running = tokio::spawn(party.beacons.run(stops));
+    let running = tokio::spawn(instance.beacons.run(stops));
     let first = Beacon {
         protocol: PROTOCOL,
         instance: "c".to_owned(),
@@ -334,13 +346,13 @@
     assert!(matches!(answer, Ok(Ok(_))), "no answer: {answer:?}");
     stop.send_replace(true);
     running.await.expect("the task ends");
-    drop((party.events, party.self_status));
+    drop((instance.events, instance.self_status));
 }
 
-/// Finding 2: an instance that had just read version 19 told it with the version of its last
-/// published heartbeat, 4; a peer that still had 4 took it for fresh and let a revoked key in.
+/// Finding 2: an instance that had just read version 19 reported the read with the version of its last
+/// published heartbeat, 4. A peer that still had 4 took it as confirmed and accepted a revoked key.
 #[tokio::test]
-async fn a_read_is_told_with_its_own_version_and_not_the_published_one() {
+async fn a_read_is_reported_with_its_own_version_and_not_the_published_one() {
     let any = "127.0.0.1:0".parse().expect("an address");
     let (a, b) = (bind_beacon_socket(any).await, bind_beacon_socket(any).await);
     let (a, b) = (a.expect("a socket"), b.expect("a socket"));
@@ -348,14 +360,14 @@
     let probe = UdpSocket::bind(any).await.expect("a socket");
     drop(probe);
     let (to_a, to_b) = (a.local_addr(), b.local_addr());
-    let first = party("a", a, clock, ("b", &b));
-    let mut second = party("b", b, clock, ("a", &first.beacons.socket));
+    let first = instance("a", a, clock, ("b", &b));
+    let mut second = instance("b", b, clock, ("a", &first.beacons.socket));
     assert!(to_a.is_ok() && to_b.is_ok());
     let old = clock.now();
-    second.reads.record_read(old, reads(4, 1, old));
-    // Far enough ahead that the bound on the clock does not hide it.
+    second.reads.record_read(old, read_state(4, 1, old));
+    // Far enough ahead to be visible despite the uncertainty of the peer's clock.
     let newer = clock.now() + millis(2_000);
-    first.reads.record_read(newer, reads(19, 1, newer));
+    first.reads.record_read(newer, read_state(19, 1, newer));
     let (stop, stops) = watch::channel(false);
     let running = [
         tokio::spawn(first.beacons.run(stops.clone())),
@@ -366,18 +378,18 @@
     for task in running {
         task.await.expect("the task ends");
     }
-    let mut heard = 0;
+    let mut heartbeats = 0;
     while let Ok(input) = second.events.try_recv() {
         let firdock_node::Input::Event(event) = input else {
             continue;
         };
         assert!(
             !matches!(event, Event::ConfigConfirmed(_)),
-            "an old version is fresh"
+            "an old version is confirmed"
         );
-        heard += u32::from(matches!(event, Event::Peer(_)));
+        heartbeats += u32::from(matches!(event, Event::Peer(_)));
     }
-    assert!(heard > 0, "no heartbeat came");
+    assert!(heartbeats > 0, "no heartbeat was received");
     assert_eq!(second.reads.own().config_at, old);
     drop((first.self_status, second.self_status));
 }
@@ -393,18 +405,18 @@
 }
 
 #[tokio::test]
-async fn changes_that_a_peer_read_are_taken_without_a_read() {
-    let shared = shared();
-    shared.merge_changes(&teller("stranger", INCARNATION), changes(1, 2));
-    shared.merge_changes(&teller("p", Uuid::from_u128(8)), changes(1, 2));
+async fn changes_from_a_peer_are_applied_without_a_read() {
+    let shared = shared_reads();
+    shared.merge_changes(&peer_process("stranger", INCARNATION), changes(1, 2));
+    shared.merge_changes(&peer_process("p", Uuid::from_u128(8)), changes(1, 2));
     assert!(
         shared.take_peer_records().is_empty(),
-        "a clock that is not known dates nothing"
+        "the time of a read by an unknown clock cannot be converted"
     );
-    shared.merge_changes(&p(), changes(1, 2));
-    // Its heartbeat with the new offset asks for no read, since the changes are here.
-    let heard = shared.merge_report(NOW, &p(), reads(5, 2, millis(9_500)));
-    assert!(!heard.ask_state);
+    shared.merge_changes(&peer_p(), changes(1, 2));
+    // Its heartbeat with the new offset causes no read, as the changes have already arrived.
+    let outcome = shared.merge_report(NOW, &peer_p(), read_state(5, 2, millis(9_500)));
+    assert!(!outcome.ask_state);
     let due = shared
         .due(Clock::new(), millis(60_000), ReadTurn::alone)
         .await;
@@ -412,18 +424,18 @@
         due.from_peers && due.endpoints.is_none() && due.config.is_none(),
         "{due:?}"
     );
-    let told = shared.take_peer_records();
-    assert_eq!(told.len(), 1);
-    assert_eq!(told[0].read_at, millis(10_500));
+    let records = shared.take_peer_records();
+    assert_eq!(records.len(), 1);
+    assert_eq!(records[0].read_at, millis(10_500));
     shared.record_from_peers(ReadState {
         config_at: Duration::ZERO,
-        ..reads(5, 2, told[0].read_at)
+        ..read_state(5, 2, records[0].read_at)
     });
     assert_eq!(shared.own().endpoints_at, millis(10_500));
     assert_eq!(shared.own().endpoints_next, 2);
 }
 
-fn word<'a>(name: &'a str, zone: &'a str, millicores: Millicores) -> PeerInfo<'a> {
+fn peer_info<'a>(name: &'a str, zone: &'a str, millicores: Millicores) -> PeerInfo<'a> {
     PeerInfo {
         name,
         zone,
@@ -435,7 +447,7 @@
     let directory = PeerDirectory::new(me.to_owned(), zone.to_owned());
     let address = "127.0.0.1:1".parse().expect("an address");
     for (name, zone) in others {
-        directory.record_heartbeat(word(name, zone, 0), address, now);
+        directory.record_heartbeat(peer_info(name, zone, 0), address, now);
     }
     directory
 }
@@ -450,16 +462,16 @@
         others.map(|(name, zone)| (name.as_str(), *zone)).collect()
     };
     let now = millis(1_000);
-    let part = |me: &str, zone: &str| directory(me, zone, &others(me), now).read_turn(now).role;
-    assert_eq!(part("00", "east"), ReadRole::SiteLead);
-    assert_eq!(part("01", "west"), ReadRole::GroupLead);
-    assert_eq!(part("02", "east"), ReadRole::Member);
-    assert_eq!(part("19", "west"), ReadRole::Member);
+    let role = |me: &str, zone: &str| directory(me, zone, &others(me), now).read_turn(now).role;
+    assert_eq!(role("00", "east"), ReadRole::SiteLead);
+    assert_eq!(role("01", "west"), ReadRole::GroupLead);
+    assert_eq!(role("02", "east"), ReadRole::Member);
+    assert_eq!(role("19", "west"), ReadRole::Member);
     let leads = directory("19", "west", &others("19"), now).group_leads(now);
     let expected = ["00", "01", "02", "03"].map(str::to_owned);
     assert_eq!(leads, expected.into());
     let few = directory("b", "west", &[("a", "east"), ("c", "west")], now);
     assert_eq!(few.read_turn(now).role, ReadRole::SingleGroupMember);
-    // The first one fell silent.
+    // No heartbeat of the first one for longer than the timeout.
     assert_eq!(few.read_turn(now + millis(1_300)).role, ReadRole::SiteLead);
 }
--- a/crates/firdock-node/tests/node/test_instance.rs
+++ b/crates/firdock-node/tests/node/test_instance.rs
@@ -1,4 +1,4 @@
-//! An instance's side of the datagrams, with a socket of its own.
+//! The datagram service of one instance, on its own socket, without the rest of the instance.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -12,8 +12,8 @@
 use tokio::sync::{mpsc, watch};
 use uuid::Uuid;
 
-/// Inputs that may wait for a test to look at them.
-const WAITING: usize = 256;
+/// Inputs that are queued until the test reads them.
+const INPUT_QUEUE_CAPACITY: usize = 256;
 
 pub struct TestInstance {
     pub beacons: BeaconService,
@@ -24,13 +24,13 @@
 }
 
 impl TestInstance {
-    /// Makes an instance that asks `seeds` at its start, if there are any.
+    /// Creates an instance that asks `seeds` for the state when it starts; with no seeds it asks nobody.
     pub fn new(name: &str, socket: UdpSocket, clock: Clock, seeds: Vec<SocketAddr>) -> Self {
         let directory = Arc::new(PeerDirectory::new(name.to_owned(), "zone".to_owned()));
         let reads = SharedReads::default().with_asks_peers_first(!seeds.is_empty());
         let reads = Arc::new(reads);
-        let (inputs, events) = mpsc::channel(WAITING);
-        let (self_status, told) = watch::channel(SelfStatus::default());
+        let (inputs, events) = mpsc::channel(INPUT_QUEUE_CAPACITY);
+        let (self_status, status_updates) = watch::channel(SelfStatus::default());
         let beacons = BeaconService {
             socket: Arc::new(socket),
             member: Member {
@@ -40,7 +40,7 @@
             key: Arc::from(b"a key that all share".as_slice()),
             directory: Arc::clone(&directory),
             reads: Arc::clone(&reads),
-            self_status: told,
+            self_status: status_updates,
             changes: mpsc::channel(1).1,
             seeds,
             sums: Mutex::default(),
