--- a/crates/firdock-node/tests/node/large_site.rs
+++ b/crates/firdock-node/tests/node/large_site.rs
@@ -1,4 +1,5 @@
-//! Hundreds and thousands of instances: what each of them keeps, and how many it knows that there are.
+//! Sites of hundreds and thousands of instances: the peers that each instance keeps, and its count of all
+//! instances.
 
 use std::time::Duration;
 
@@ -12,7 +13,7 @@
 const START: Duration = Duration::from_secs(100);
 const ZONES: usize = 6;
 
-/// Gives instance `n`; ten of each zone have eight times the processor of the others.
+/// Creates instance `n`; ten of each availability zone have eight times the processor of the others.
 fn instance(n: usize) -> PeerRecord {
     PeerRecord {
         name: format!("front-{n:04}"),
@@ -31,12 +32,12 @@
     PeerDirectory::new(me.name, me.zone).with_millicores(me.millicores)
 }
 
-fn hear(directory: &PeerDirectory, n: usize, now: Duration) -> HeartbeatOutcome {
+fn receive_heartbeat(directory: &PeerDirectory, n: usize, now: Duration) -> HeartbeatOutcome {
     let peer = instance(n);
-    directory.record_heartbeat(word(&peer), peer.address, now)
+    directory.record_heartbeat(peer_info(&peer), peer.address, now)
 }
 
-fn word(peer: &PeerRecord) -> PeerInfo<'_> {
+fn peer_info(peer: &PeerRecord) -> PeerInfo<'_> {
     PeerInfo {
         name: &peer.name,
         zone: &peer.zone,
@@ -44,20 +45,20 @@
     }
 }
 
-/// A table of all others in each instance grew with the fleet, and ended at 512: each of more knew half of
-/// the others, each another half, and limits went by that.
+/// Each instance had a table of all others, which grew with the site up to 512 rows. At larger sites each
+/// instance knew a different half of the others, and computed its limits from that count.
 #[test]
-fn a_member_of_a_fleet_keeps_its_group_and_the_strongest_of_the_others() {
+fn an_instance_of_a_large_site_keeps_its_group_and_the_strongest_of_the_others() {
     for size in [985, 2_000] {
         let me = size - 1;
         let directory = directory_of(me);
         directory.set_site_size(size, START);
         for n in (0..size).filter(|n| *n != me) {
             directory.add_reported(instance(n), START);
-            hear(&directory, n, START);
+            receive_heartbeat(&directory, n, START);
         }
         let others = directory.sweep(START + Duration::from_secs(1));
-        assert_eq!(others, size - 1, "it knows how many there are");
+        assert_eq!(others, size - 1, "the count covers all instances");
         let group = size.div_ceil(ZONES);
         let kept = directory.known_peers().len();
         assert!(kept <= group + 4 * (ZONES - 1), "{kept} of {size}");
@@ -70,29 +71,35 @@
 }
 
 #[test]
-fn up_to_some_hundreds_all_are_known() {
+fn a_site_of_some_hundreds_is_known_in_full() {
     let directory = directory_of(300);
     for n in 0..300 {
         directory.add_reported(instance(n), START);
-        assert_eq!(hear(&directory, n, START), HeartbeatOutcome::First);
+        assert_eq!(
+            receive_heartbeat(&directory, n, START),
+            HeartbeatOutcome::First
+        );
     }
     assert_eq!(directory.sweep(START), 300);
     assert_eq!(directory.known_peers().len(), 300);
 }
 
 #[test]
-fn those_that_lead_another_group_in_place_of_the_fallen_are_heard() {
+fn heartbeats_of_new_leads_of_another_group_are_recorded() {
     let directory = directory_of(984);
     directory.set_site_size(985, START);
     for n in 0..24 {
-        hear(&directory, n, START);
+        receive_heartbeat(&directory, n, START);
     }
-    assert_eq!(hear(&directory, 100, START), HeartbeatOutcome::Untracked);
-    // The first four of each group fall; the next ones tell all leads that they know of.
+    assert_eq!(
+        receive_heartbeat(&directory, 100, START),
+        HeartbeatOutcome::Untracked
+    );
+    // The first four of each group fail; the next ones send heartbeats to all leads that they know.
     let later = START + Duration::from_secs(7);
     for n in 24..36 {
         let peer = instance(n);
-        let outcome = directory.record_lead_heartbeat(word(&peer), peer.address, later);
+        let outcome = directory.record_lead_heartbeat(peer_info(&peer), peer.address, later);
         assert_eq!(outcome, HeartbeatOutcome::First);
     }
     directory.sweep(later);
@@ -103,12 +110,12 @@
 }
 
 #[test]
-fn how_many_there_are_is_known_by_the_groups_counts_once_the_list_is_old() {
-    // A lead of its group, which nobody but the list told of all.
+fn the_site_size_comes_from_the_counts_of_groups_once_the_list_is_old() {
+    // A lead of its group, which knows the size of the site from the list alone.
     let directory = directory_of(0);
     directory.set_site_size(985, START);
     for n in (ZONES..600).step_by(ZONES) {
-        hear(&directory, n, START);
+        receive_heartbeat(&directory, n, START);
     }
     for zone in 1..ZONES {
         directory.record_group(&format!("zone-{zone}"), 95, 100, START);
@@ -116,12 +123,12 @@
     assert_eq!(directory.sweep(START), 984);
     let later = START + Duration::from_secs(59);
     for n in (ZONES..600).step_by(ZONES) {
-        hear(&directory, n, later);
+        receive_heartbeat(&directory, n, later);
     }
     for zone in 1..ZONES {
         directory.record_group(&format!("zone-{zone}"), 90, 100, later);
     }
-    // 385 were taken away: 100 are known in each group, of which other leads hear 90.
+    // 385 instances were removed: each group has 100, of which the leads of other groups count 90 as live.
     let now = START + Duration::from_mins(1);
     directory.sweep(now);
     assert_eq!(directory.site_size(now), 600);
@@ -129,27 +136,27 @@
 }
 
 #[test]
-fn who_read_the_list_tells_one_that_starts_of_its_group_and_of_the_strongest() {
+fn a_starting_instance_gets_its_group_and_the_strongest_peers_from_the_reader_of_the_list() {
     let directory = directory_of(0);
     directory.set_site_size(985, START);
     for n in 0..985 {
         directory.add_listed(instance(n), START);
     }
     directory.sweep(START + Duration::from_secs(1));
-    let told = directory.peers_for_zone("zone-3");
-    let (near, far): (Vec<_>, Vec<_>) = told.into_iter().partition(|p| p.zone == "zone-3");
+    let sent = directory.peers_for_zone("zone-3");
+    let (near, far): (Vec<_>, Vec<_>) = sent.into_iter().partition(|p| p.zone == "zone-3");
     assert_eq!(near.len(), 164);
     assert_eq!(far.len(), 4 * (ZONES - 1));
-    // Those that asked have their answers by now.
+    // By now all starting instances have their answers, so the other peers are dropped.
     directory.sweep(START + Duration::from_secs(11));
     assert_eq!(directory.known_peers().len(), 164 + 4 * (ZONES - 1));
 }
 
 #[test]
-fn a_group_of_few_in_a_fleet_is_no_small_site() {
+fn a_small_group_of_a_large_site_is_no_single_group() {
     let directory = directory_of(1);
     for n in [0, 2, 3, 7, 13] {
-        hear(&directory, n, START);
+        receive_heartbeat(&directory, n, START);
     }
     assert!(directory.is_single_group());
     directory.set_site_size(985, START);
@@ -158,7 +165,7 @@
 }
 
 #[test]
-fn one_that_waits_behind_many_reads_the_store_later() {
+fn an_instance_whose_question_is_queued_reads_the_store_later() {
     let reads = SharedReads::default().with_asks_peers_first(true);
     let pause = Duration::from_millis(600);
     let (due, _) = reads.due_at(START, pause, ReadTurn::alone());
--- a/crates/firdock-node/tests/node/placement.rs
+++ b/crates/firdock-node/tests/node/placement.rs
@@ -1,4 +1,4 @@
-//! Members and their coordinator: words that are lost, members that fall silent, a new coordinator.
+//! Placement by a coordinator: lost messages, silent members, and a change of the coordinator.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -33,7 +33,7 @@
     PolicySettings::new(&Settings::default(), Uuid::from_u128(1)).with_mechanisms(Mechanisms::EDGE)
 }
 
-/// One engine of two places.
+/// Creates a catalog with one engine of two slots.
 fn catalog() -> Event {
     let service = Service {
         name: "service".to_owned(),
@@ -71,7 +71,7 @@
     coordinator
 }
 
-fn new(n: u64) -> NewRequest {
+fn new_request(n: u64) -> NewRequest {
     NewRequest {
         id: id(n),
         service: "service".to_owned(),
@@ -82,9 +82,9 @@
     }
 }
 
-fn wanted(n: u64) -> PlacementRequest {
+fn request(n: u64) -> PlacementRequest {
     PlacementRequest {
-        new_request: new(n),
+        new_request: new_request(n),
         attempt: 1,
         remaining: None,
     }
@@ -106,7 +106,7 @@
     }
 }
 
-fn paced(hundredths: u32, age: u64) -> EndpointPace {
+fn endpoint_pace(hundredths: u32, age: u64) -> EndpointPace {
     EndpointPace {
         endpoint: "engine".to_owned(),
         pace: Pace::from_hundredths(hundredths).expect("a pace within its bounds"),
@@ -114,15 +114,15 @@
     }
 }
 
-fn asking(name: &str, ids: &[u64]) -> Report {
+fn report_waiting(name: &str, ids: &[u64]) -> Report {
     Report {
-        waiting: ids.iter().map(|n| wanted(*n)).collect(),
+        waiting: ids.iter().map(|n| request(*n)).collect(),
         ..report(name)
     }
 }
 
-/// Ids of the requests that were given places.
-fn placed(coordinator: &mut Coordinator) -> Vec<RequestId> {
+/// Takes the coordinator's replies and returns the ids of the requests that they assign.
+fn take_assigned(coordinator: &mut Coordinator) -> Vec<RequestId> {
     let replies = coordinator.replies();
     replies
         .into_iter()
@@ -132,28 +132,28 @@
 }
 
 #[test]
-fn a_coordinator_knows_the_pace_that_a_member_was_told_with_its_time() {
+fn a_coordinator_keeps_the_newest_pace_that_members_report() {
     let now = millis(1_000);
     let mut c = coordinator(now);
-    let told = |name: &str, paces: Vec<EndpointPace>| Report {
+    let with_paces = |name: &str, paces: Vec<EndpointPace>| Report {
         paces,
         ..report(name)
     };
-    c.handle_report(now, told("a", vec![paced(300, 20)]), None);
-    // A word that took longer is older than what another member told before.
-    c.handle_report(now, told("b", vec![paced(750, 90)]), None);
+    c.handle_report(now, with_paces("a", vec![endpoint_pace(300, 20)]), None);
+    // A pace that arrives later but was read earlier does not replace the one of another member.
+    c.handle_report(now, with_paces("b", vec![endpoint_pace(750, 90)]), None);
     let row = c.endpoint("engine").expect("the engine is declared");
     assert_eq!(row.reported_pace.latest(), Some((3.0, millis(980))));
     c.check_invariants(now);
 }
 
 #[test]
-fn a_pace_that_no_server_can_have_is_left_out_of_a_report() {
-    let told = Report {
-        paces: vec![paced(68, 0)],
+fn a_pace_out_of_bounds_is_dropped_from_a_report() {
+    let sent = Report {
+        paces: vec![endpoint_pace(68, 0)],
         ..report("a")
     };
-    let mut wire = write_report(&told);
+    let mut wire = write_report(&sent);
     for hundredths in [0, 9, 5_001, u32::MAX] {
         wire.paces[0].hundredths = hundredths;
         assert!(read_report(wire.clone()).paces.is_empty());
@@ -161,117 +161,120 @@
 }
 
 #[test]
-fn a_place_comes_with_the_time_that_is_expected_there() {
+fn an_assignment_carries_the_expected_time_to_the_first_token() {
     let now = millis(1_000);
     let mut c = coordinator(now);
-    c.handle_report(now, asking("a", &[1]), None);
+    c.handle_report(now, report_waiting("a", &[1]), None);
     let replies = c.replies();
     let (_, reply) = &replies[0];
     assert!(reply.assignments[0].predicted > Duration::ZERO);
 }
 
 #[test]
-fn a_place_whose_word_was_lost_is_told_again() {
+fn a_lost_assignment_is_sent_again() {
     let now = millis(1_000);
     let mut c = coordinator(now);
-    c.handle_report(now, asking("a", &[1]), None);
-    assert_eq!(placed(&mut c), vec![id(1)]);
-    let whole = Report {
+    c.handle_report(now, report_waiting("a", &[1]), None);
+    assert_eq!(take_assigned(&mut c), vec![id(1)]);
+    let full = Report {
         full: true,
-        ..asking("a", &[1])
+        ..report_waiting("a", &[1])
     };
-    c.handle_report(now + millis(100), whole, None);
-    assert_eq!(placed(&mut c), vec![id(1)]);
-    // It took one place all the same.
-    c.handle_report(now + millis(110), asking("b", &[2, 3]), None);
-    assert_eq!(placed(&mut c), vec![id(2)]);
+    c.handle_report(now + millis(100), full, None);
+    assert_eq!(take_assigned(&mut c), vec![id(1)]);
+    // It occupies one slot only.
+    c.handle_report(now + millis(110), report_waiting("b", &[2, 3]), None);
+    assert_eq!(take_assigned(&mut c), vec![id(2)]);
 }
 
 #[test]
-fn a_silent_members_places_are_free_again() {
+fn the_slots_of_a_silent_member_are_released() {
     let now = millis(1_000);
     let mut c = coordinator(now);
-    c.handle_report(now, asking("a", &[1, 2]), None);
-    c.handle_report(now, asking("b", &[3]), None);
-    placed(&mut c);
+    c.handle_report(now, report_waiting("a", &[1, 2]), None);
+    c.handle_report(now, report_waiting("b", &[3]), None);
+    take_assigned(&mut c);
     for n in 1..=12 {
         let later = now + millis(100 * n);
-        let whole = Report {
+        let full = Report {
             full: true,
-            ..asking("b", &[3])
+            ..report_waiting("b", &[3])
         };
-        c.handle_report(later, whole, None);
+        c.handle_report(later, full, None);
         c.tick(later);
     }
-    assert!(placed(&mut c).contains(&id(3)));
+    assert!(take_assigned(&mut c).contains(&id(3)));
 }
 
 #[test]
-fn a_restarted_member_runs_nothing_of_before() {
+fn a_restarted_member_runs_no_earlier_requests() {
     let now = millis(1_000);
     let mut c = coordinator(now);
-    c.handle_report(now, asking("a", &[1, 2]), None);
-    placed(&mut c);
+    c.handle_report(now, report_waiting("a", &[1, 2]), None);
+    take_assigned(&mut c);
     let restarted = Report {
         incarnation: Uuid::from_u128(6),
-        ..asking("a", &[3])
+        ..report_waiting("a", &[3])
     };
     c.handle_report(now + millis(10), restarted, None);
-    assert_eq!(placed(&mut c), vec![id(3)]);
+    assert_eq!(take_assigned(&mut c), vec![id(3)]);
 }
 
 #[test]
-fn what_a_whole_report_does_not_tell_of_is_over() {
+fn requests_missing_from_a_full_report_are_over() {
     let now = millis(1_000);
     let mut c = coordinator(now);
-    c.handle_report(now, asking("a", &[1, 2]), None);
-    c.handle_report(now, asking("b", &[3]), None);
-    placed(&mut c);
-    let whole = Report {
+    c.handle_report(now, report_waiting("a", &[1, 2]), None);
+    c.handle_report(now, report_waiting("b", &[3]), None);
+    take_assigned(&mut c);
+    let full = Report {
         full: true,
-        running: vec![(wanted(2), "engine".to_owned())],
+        running: vec![(request(2), "engine".to_owned())],
         ..report("a")
     };
-    // Too soon: the words may be on their way.
-    c.handle_report(now + millis(100), whole.clone(), None);
-    assert!(placed(&mut c).is_empty());
-    c.handle_report(now + millis(500), whole, None);
-    assert_eq!(placed(&mut c), vec![id(3)]);
+    // Too early: the assignments may still be in flight.
+    c.handle_report(now + millis(100), full.clone(), None);
+    assert!(take_assigned(&mut c).is_empty());
+    c.handle_report(now + millis(500), full, None);
+    assert_eq!(take_assigned(&mut c), vec![id(3)]);
 }
 
 #[test]
-fn nothing_is_over_because_a_report_has_no_room_for_it() {
+fn requests_left_out_of_a_truncated_report_are_not_over() {
     let ids: Vec<u64> = (0..400).collect();
-    let whole = Report {
+    let full = Report {
         full: true,
-        ..asking("a", &ids)
+        ..report_waiting("a", &ids)
     };
-    let told = read_report(write_report(&whole));
-    assert!(told.truncated && told.waiting.len() < 400);
+    let received = read_report(write_report(&full));
+    assert!(received.truncated && received.waiting.len() < 400);
     let now = millis(1_000);
     let mut c = coordinator(now);
-    c.handle_report(now, asking("a", &[399]), None);
-    c.handle_report(now, asking("b", &[1_001, 1_002]), None);
-    assert_eq!(placed(&mut c).len(), 2);
-    c.handle_report(now + millis(500), told, None);
-    assert!(placed(&mut c).is_empty(), "request 399 still has its place");
+    c.handle_report(now, report_waiting("a", &[399]), None);
+    c.handle_report(now, report_waiting("b", &[1_001, 1_002]), None);
+    assert_eq!(take_assigned(&mut c).len(), 2);
+    c.handle_report(now + millis(500), received, None);
+    assert!(
+        take_assigned(&mut c).is_empty(),
+        "request 399 still has its slot"
+    );
 }
 
 #[test]
-fn a_new_coordinator_learns_from_one_report_what_runs() {
+fn a_new_coordinator_learns_the_running_requests_from_one_full_report() {
     let now = millis(1_000);
     let mut c = coordinator(now);
-    let whole = Report {
+    let full = Report {
         full: true,
         running: vec![
-            (wanted(1), "engine".to_owned()),
-            (wanted(2), "engine".to_owned()),
+            (request(1), "engine".to_owned()),
+            (request(2), "engine".to_owned()),
         ],
         ..report("a")
     };
-    c.handle_report(now, whole, None);
-    c.handle_report(now, asking("b", &[3]), None);
-    assert!(placed(&mut c).is_empty(), "both places are taken");
+    c.handle_report(now, full, None);
+    c.handle_report(now, report_waiting("b", &[3]), None);
+    assert!(take_assigned(&mut c).is_empty(), "both slots are in use");
     let ended = Report {
         updates: vec![ProgressUpdate {
             id: id(1),
@@ -284,19 +287,19 @@
         ..report("a")
     };
     c.handle_report(now + millis(10), ended, None);
-    assert_eq!(placed(&mut c), vec![id(3)]);
+    assert_eq!(take_assigned(&mut c), vec![id(3)]);
     c.check_invariants(now + millis(10));
 }
 
-/// An instance `b` whose peers `a` and `c` were heard; `a` is the first of the group.
-struct Asking {
+/// Member `b` with the live peers `a` and `c`; `a` is the first of the group.
+struct TestMember {
     member: Membership,
     scheduler: Scheduler,
     directory: Arc<PeerDirectory>,
     now: Time,
 }
 
-impl Asking {
+impl TestMember {
     fn new() -> Self {
         let directory = Arc::new(PeerDirectory::new("b".to_owned(), "zone".to_owned()));
         let me = Member {
@@ -305,18 +308,18 @@
         };
         let zone = "zone".to_owned();
         let member = Membership::new(me, zone, Arc::clone(&directory), discard_logger());
-        let mut asking = Self {
+        let mut test_member = Self {
             member,
             scheduler: Scheduler::new(policy()),
             directory,
             now: millis(1_000),
         };
-        asking.step(catalog());
-        asking.hear();
-        asking
+        test_member.step(catalog());
+        test_member.record_heartbeats();
+        test_member
     }
 
-    fn hear(&self) {
+    fn record_heartbeats(&self) {
         for (name, port) in [("a", 1), ("c", 3)] {
             let address = ([127, 0, 0, 1], port).into();
             let zone = "zone";
@@ -344,13 +347,13 @@
         actions
     }
 
-    /// Lets time pass by ticks; gives the whole reports and whether a coordinator is believed in.
+    /// Advances the time in ticks for as long as `pause`; returns the full reports that were due.
     fn wait(&mut self, pause: Duration) -> Vec<Report> {
         let end = self.now + pause;
         let mut reports = Vec::new();
         while self.now < end {
             self.now += millis(25);
-            self.hear();
+            self.record_heartbeats();
             for event in self.member.select_coordinator(self.now, false) {
                 self.step(event);
             }
@@ -367,7 +370,7 @@
         self.member.address().map(|a| a.port())
     }
 
-    fn answer(&mut self, name: &str) {
+    fn reply_from(&mut self, name: &str) {
         let reply = firdock_node::placement::Reply {
             instance: name.to_owned(),
             ..firdock_node::placement::Reply::default()
@@ -379,26 +382,29 @@
 }
 
 #[test]
-fn a_coordinator_counts_only_once_it_answers() {
-    let mut b = Asking::new();
+fn a_coordinator_is_in_force_only_once_it_replies() {
+    let mut b = TestMember::new();
     let reports = b.wait(millis(25));
     assert!(reports.len() == 1 && reports[0].full);
     assert_eq!(b.port(), Some(1));
     assert!(!b.coordinated());
-    b.answer("c");
-    assert!(!b.coordinated(), "a word of one that was not asked");
-    b.answer("a");
+    b.reply_from("c");
+    assert!(
+        !b.coordinated(),
+        "a reply of an instance that was not asked"
+    );
+    b.reply_from("a");
     assert!(b.coordinated());
 }
 
 #[test]
-fn a_coordinator_that_falls_silent_is_given_up_for_the_next_one() {
-    let mut b = Asking::new();
+fn a_silent_coordinator_is_replaced_by_the_next_instance() {
+    let mut b = TestMember::new();
     b.wait(millis(25));
-    b.answer("a");
-    b.step(Event::Arrived(new(1)));
+    b.reply_from("a");
+    b.step(Event::Arrived(new_request(1)));
     b.wait(millis(275));
-    assert!(b.coordinated(), "two words may have been lost");
+    assert!(b.coordinated(), "two replies may have been lost");
     b.wait(millis(200));
     assert!(!b.coordinated());
     // The next by name is this instance itself, which has no address to send to.
@@ -408,16 +414,16 @@
 }
 
 #[test]
-fn requests_that_wait_are_told_of_again_and_again() {
-    let mut b = Asking::new();
+fn waiting_requests_are_reported_repeatedly() {
+    let mut b = TestMember::new();
     b.wait(millis(25));
-    b.answer("a");
-    b.step(Event::Arrived(new(1)));
+    b.reply_from("a");
+    b.step(Event::Arrived(new_request(1)));
     let first = b.member.report_updates(b.now, b.scheduler.tables());
     assert_eq!(first.expect("an ask").waiting.len(), 1);
-    let whole = b.wait(millis(250));
-    assert!(whole.len() >= 2, "{}", whole.len());
-    assert!(whole.iter().all(|r| r.waiting.len() == 1));
+    let full = b.wait(millis(250));
+    assert!(full.len() >= 2, "{}", full.len());
+    assert!(full.iter().all(|r| r.waiting.len() == 1));
 }
 
 fn progress() -> impl Strategy<Value = Progress> {
@@ -434,46 +440,46 @@
 
 proptest! {
     #[test]
-    fn reports_arrive_as_they_were_sent(ids in prop::collection::vec(any::<u64>(), 0..20), progress in progress(), whole: bool) {
-        let told = Report {
-            full: whole,
-            waiting: ids.iter().map(|n| wanted(*n)).collect(),
-            running: ids.iter().map(|n| (wanted(*n), "engine".to_owned())).collect(),
+    fn reports_arrive_as_they_were_sent(ids in prop::collection::vec(any::<u64>(), 0..20), progress in progress(), full: bool) {
+        let sent = Report {
+            full,
+            waiting: ids.iter().map(|n| request(*n)).collect(),
+            running: ids.iter().map(|n| (request(*n), "engine".to_owned())).collect(),
             updates: ids.iter().map(|n| ProgressUpdate { id: id(*n), attempt: 3, progress }).collect(),
-            paces: ids.iter().map(|n| paced(68 + (n % 900) as u32, 40)).collect(),
+            paces: ids.iter().map(|n| endpoint_pace(68 + (n % 900) as u32, 40)).collect(),
             ..report("a")
         };
-        prop_assert_eq!(read_report(write_report(&told)), told);
+        prop_assert_eq!(read_report(write_report(&sent)), sent);
     }
 
     #[test]
-    fn a_coordinator_stands_whatever_is_reported(steps in prop::collection::vec((0..4_u64, 0..3_u32, 0..6_u8, any::<bool>()), 0..60)) {
+    fn a_coordinator_keeps_its_invariants_whatever_is_reported(steps in prop::collection::vec((0..4_u64, 0..3_u32, 0..6_u8, any::<bool>()), 0..60)) {
         let mut now = millis(1_000);
         let mut c = coordinator(now);
-        for (n, attempt, what, whole) in steps {
+        for (n, attempt, kind, full) in steps {
             now += millis(37);
-            let wanted = PlacementRequest { attempt, ..wanted(n) };
+            let request = PlacementRequest { attempt, ..request(n) };
             let name = if n % 2 == 0 { "a" } else { "b" };
-            let mut told = Report { full: whole, ..report(name) };
-            match what {
-                0 | 1 => told.waiting.push(wanted),
-                2 => told.running.push((wanted, "engine".to_owned())),
-                3 => told.updates.push(ProgressUpdate { id: id(n), attempt, progress: Progress::FirstToken }),
-                4 => told.updates.push(ProgressUpdate { id: id(n), attempt, progress: Progress::Broke }),
-                _ => told.updates.push(ProgressUpdate { id: id(n), attempt, progress: Progress::Dropped }),
+            let mut sent = Report { full, ..report(name) };
+            match kind {
+                0 | 1 => sent.waiting.push(request),
+                2 => sent.running.push((request, "engine".to_owned())),
+                3 => sent.updates.push(ProgressUpdate { id: id(n), attempt, progress: Progress::FirstToken }),
+                4 => sent.updates.push(ProgressUpdate { id: id(n), attempt, progress: Progress::Broke }),
+                _ => sent.updates.push(ProgressUpdate { id: id(n), attempt, progress: Progress::Dropped }),
             }
-            c.handle_report(now, told, None);
+            c.handle_report(now, sent, None);
             c.tick(now);
             c.check_invariants(now);
             for (_, reply) in c.replies() {
-                let back = read_reply(write_reply(&reply, "x"));
-                prop_assert_eq!(back.assignments, reply.assignments);
+                let decoded = read_reply(write_reply(&reply, "x"));
+                prop_assert_eq!(decoded.assignments, reply.assignments);
             }
         }
     }
 }
 
-fn noticed(endpoint: &str, leaving: bool, backoff: Option<u64>) -> EndpointNotice {
+fn endpoint_notice(endpoint: &str, leaving: bool, backoff: Option<u64>) -> EndpointNotice {
     EndpointNotice {
         endpoint: endpoint.to_owned(),
         notice: Notice {
@@ -483,24 +489,24 @@
     }
 }
 
-/// An engine that wants nothing from one member takes the requests of the others, also those that wait
-/// behind that member's; at the end of its time that member's go there as well.
+/// An engine that asked one member to back off takes the requests of the others, also those that are queued
+/// behind that member's. After the backoff, that member's requests go there as well.
 #[test]
-fn no_place_stays_empty_for_a_member_that_an_engine_wants_nothing_from() {
+fn no_slot_stays_empty_because_an_engine_asked_one_member_to_back_off() {
     let now = millis(1_000);
     let mut c = coordinator(now);
-    let shunned = Report {
-        notices: vec![noticed("engine", false, Some(300))],
-        ..asking("a", &[1, 2, 3])
+    let backing_off = Report {
+        notices: vec![endpoint_notice("engine", false, Some(300))],
+        ..report_waiting("a", &[1, 2, 3])
     };
-    c.handle_report(now, shunned, None);
-    assert!(placed(&mut c).is_empty());
-    c.handle_report(now, asking("b", &[4]), None);
-    assert_eq!(placed(&mut c), [id(4)]);
-    c.handle_report(now, asking("c", &[5, 6]), None);
-    assert_eq!(placed(&mut c), [id(5)], "the other place of two");
+    c.handle_report(now, backing_off, None);
+    assert!(take_assigned(&mut c).is_empty());
+    c.handle_report(now, report_waiting("b", &[4]), None);
+    assert_eq!(take_assigned(&mut c), [id(4)]);
+    c.handle_report(now, report_waiting("c", &[5, 6]), None);
+    assert_eq!(take_assigned(&mut c), [id(5)], "the other slot of two");
     c.tick(now + millis(200));
-    assert!(placed(&mut c).is_empty());
+    assert!(take_assigned(&mut c).is_empty());
     let ended = |n: u64| ProgressUpdate {
         id: id(n),
         attempt: 1,
@@ -514,22 +520,22 @@
         ..report(name)
     };
     c.handle_report(now + millis(310), free("b", 4), None);
-    assert_eq!(placed(&mut c), [id(1)], "the first that waits");
+    assert_eq!(take_assigned(&mut c), [id(1)], "the first in the queue");
 }
 
-/// A member whose engines all want nothing for longer than a request can wait has it back at once.
+/// A request is refused at once if all engines back off from its member for longer than it can wait.
 #[test]
-fn a_member_hears_at_once_that_its_request_cannot_wait_for_the_end() {
+fn a_request_that_cannot_wait_for_the_end_of_the_backoff_is_refused_at_once() {
     let now = millis(1_000);
     let mut c = coordinator(now);
-    let mut hasty = wanted(1);
-    hasty.remaining = Some(millis(500));
-    let asks = Report {
-        waiting: vec![hasty, wanted(2)],
-        notices: vec![noticed("engine", false, Some(1_000))],
+    let mut urgent = request(1);
+    urgent.remaining = Some(millis(500));
+    let waiting = Report {
+        waiting: vec![urgent, request(2)],
+        notices: vec![endpoint_notice("engine", false, Some(1_000))],
         ..report("a")
     };
-    c.handle_report(now, asks, None);
+    c.handle_report(now, waiting, None);
     let replies = c.replies();
     let refused: Vec<_> = replies.iter().flat_map(|(_, r)| &r.refusals).collect();
     assert_eq!(refused.len(), 1);
@@ -540,32 +546,32 @@
     assert!(refused[0].retry_after >= millis(1_000));
 }
 
-/// What a member was told that an engine leaves counts for all, as a peer's word does.
+/// The notice of a leaving engine to one member counts for all members, as the report of a peer does.
 #[test]
-fn an_engine_that_told_a_member_that_it_leaves_is_given_to_nobody() {
+fn an_engine_that_notified_one_member_that_it_leaves_is_assigned_to_nobody() {
     let now = millis(1_000);
     let mut c = coordinator(now);
-    let told = Report {
-        notices: vec![noticed("engine", true, None)],
+    let sent = Report {
+        notices: vec![endpoint_notice("engine", true, None)],
         ..report("a")
     };
-    c.handle_report(now, told, None);
-    c.handle_report(now, asking("b", &[1]), None);
-    assert!(placed(&mut c).is_empty());
+    c.handle_report(now, sent, None);
+    c.handle_report(now, report_waiting("b", &[1]), None);
+    assert!(take_assigned(&mut c).is_empty());
 }
 
 #[test]
-fn notices_come_through_the_wire_as_they_were_told() {
-    let told = Report {
+fn notices_are_decoded_as_they_were_encoded() {
+    let sent = Report {
         notices: vec![
-            noticed("engine@1", true, None),
-            noticed("engine@2", false, Some(1_250)),
-            noticed("engine@3", true, Some(3)),
+            endpoint_notice("engine@1", true, None),
+            endpoint_notice("engine@2", false, Some(1_250)),
+            endpoint_notice("engine@3", true, Some(3)),
         ],
         ..report("a")
     };
-    assert_eq!(read_report(write_report(&told)), told);
-    let mut written = write_report(&told);
+    assert_eq!(read_report(write_report(&sent)), sent);
+    let mut written = write_report(&sent);
     written.notices[1].backoff_millis = u64::MAX;
     let read = read_report(written);
     assert_eq!(read.notices[1].notice.backoff, Some(Notice::MAX_BACKOFF));
--- a/crates/firdock-node/tests/node/shared_reads.rs
+++ b/crates/firdock-node/tests/node/shared_reads.rs
@@ -1,4 +1,5 @@
-//! Hundreds of instances before one store: who reads it, who is told, and who leads.
+//! Hundreds of instances that share one store: which of them read it, who gets the records from a peer, and
+//! which lead.
 
 use std::time::Duration;
 
@@ -12,16 +13,16 @@
 
 use crate::test_instance::TestInstance;
 
-/// Pause between two reads, as the deployments set it.
-const PAUSE: Duration = Duration::from_millis(600);
-/// A time at which instances have run for long.
+/// Time between two reads, as the deployments set it.
+const READ_INTERVAL: Duration = Duration::from_millis(600);
+/// Present time at which instances have been running for long.
 const START: Duration = Duration::from_secs(5_000);
 
 fn millis(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
-fn known(version: u64, next: u64, at: Duration) -> ReadState {
+fn read_state(version: u64, next: u64, at: Duration) -> ReadState {
     ReadState {
         version,
         endpoints_next: next,
@@ -31,8 +32,8 @@
     }
 }
 
-/// The lead of the instance's group, whose clock is known to be the same.
-fn lead_of(shared: &SharedReads) -> PeerProcess {
+/// Records that the clock of the group's lead equals the local one, and returns the lead.
+fn add_lead(shared: &SharedReads) -> PeerProcess {
     let lead = PeerProcess {
         name: "lead".to_owned(),
         incarnation: Uuid::from_u128(7),
@@ -41,7 +42,7 @@
     lead
 }
 
-fn member(index: usize, group_size: usize) -> ReadTurn {
+fn member_turn(index: usize, group_size: usize) -> ReadTurn {
     let role = ReadRole::Member;
     ReadTurn {
         role,
@@ -50,84 +51,108 @@
     }
 }
 
-/// Goes through an outage of the store of so many seconds that a group of instances sees; gives the
-/// tries of all of them, and how old the state was at the first one.
+/// Simulates an outage of the store of `secs` seconds for a group of `size` instances. Returns the number of
+/// read attempts of all of them, and the age of the state at the first attempt.
 fn outage(size: usize, secs: u64) -> (usize, Duration) {
     let group: Vec<SharedReads> = (0..size).map(|_| SharedReads::default()).collect();
-    for one in &group {
-        one.record_read(START, known(5, 1, START));
+    for member in &group {
+        member.record_read(START, read_state(5, 1, START));
     }
-    let (mut tries, mut first) = (0, Duration::MAX);
+    let (mut attempts, mut first) = (0, Duration::MAX);
     for tick in 0..secs * 100 {
         let now = START + millis(tick * 10);
-        for (place, one) in group.iter().enumerate().skip(1) {
-            let (due, _) = one.due_at(now, PAUSE, member(place, size));
+        for (index, member) in group.iter().enumerate().skip(1) {
+            let (due, _) = member.due_at(now, READ_INTERVAL, member_turn(index, size));
             if due.config.is_some() {
-                tries += 1;
+                attempts += 1;
                 first = first.min(millis(tick * 10));
-                one.record_failure(now, millis(1_000));
+                member.record_failure(now, millis(1_000));
             }
         }
     }
-    (tries, first)
+    (attempts, first)
 }
 
 #[test]
-fn an_outage_costs_a_group_tries_by_time_and_not_by_instances() {
-    let (tries, first) = outage(50, 8);
-    assert!(first < millis(2_200), "the first one waits {first:?}");
-    assert!((30..=80).contains(&tries), "{tries} tries in eight seconds");
+fn read_attempts_in_an_outage_grow_with_its_duration_and_not_with_the_group() {
+    let (attempts, first) = outage(50, 8);
+    assert!(
+        first < millis(2_200),
+        "the first attempt is made after {first:?}"
+    );
+    assert!(
+        (30..=80).contains(&attempts),
+        "{attempts} attempts in eight seconds"
+    );
     let (twice, _) = outage(100, 8);
-    assert!(twice <= tries + 10, "{twice} tries of twice as many");
+    assert!(
+        twice <= attempts + 10,
+        "{twice} attempts by twice as many instances"
+    );
 }
 
 #[test]
-fn a_member_that_hears_its_lead_never_reads() {
+fn a_member_with_a_live_lead_never_reads() {
     let shared = SharedReads::default();
-    shared.record_read(START, known(5, 1, START));
-    let lead = lead_of(&shared);
+    shared.record_read(START, read_state(5, 1, START));
+    let lead = add_lead(&shared);
     for tick in 0..600 {
         let now = START + millis(tick * 100);
-        // Every 600 ms the lead reads, and tells of it with each heartbeat.
+        // The lead reads every 600 ms and reports its newest read in each heartbeat.
         let read_at = START + millis(tick / 6 * 600);
-        let heard = shared.merge_report(now, &lead, known(5, 1, read_at));
-        assert!(!heard.ask_state && !heard.ask_clock);
-        let (due, _) = shared.due_at(now, PAUSE, member(1, 50));
+        let outcome = shared.merge_report(now, &lead, read_state(5, 1, read_at));
+        assert!(!outcome.ask_state && !outcome.ask_clock);
+        let (due, _) = shared.due_at(now, READ_INTERVAL, member_turn(1, 50));
         assert_eq!(due.config.or(due.endpoints), None, "at {now:?}");
     }
 }
 
 #[test]
-fn what_a_peer_has_newer_is_asked_of_it_before_the_store_is_read() {
+fn a_newer_state_is_requested_from_the_peer_before_the_store_is_read() {
     let shared = SharedReads::default();
-    shared.record_read(START, known(5, 1, START));
-    let lead = lead_of(&shared);
+    shared.record_read(START, read_state(5, 1, START));
+    let lead = add_lead(&shared);
     let now = START + millis(600);
-    let heard = shared.merge_report(now, &lead, known(6, 1, now));
-    assert!(heard.ask_state);
+    let outcome = shared.merge_report(now, &lead, read_state(6, 1, now));
+    assert!(outcome.ask_state);
     assert!(
-        !shared.merge_report(now, &lead, known(6, 1, now)).ask_state,
-        "asked"
+        !shared
+            .merge_report(now, &lead, read_state(6, 1, now))
+            .ask_state,
+        "already requested"
     );
-    assert_eq!(shared.due_at(now, PAUSE, member(1, 50)).0.config, None);
-    // No answer comes: the store is read in time for a change to be in force.
+    assert_eq!(
+        shared
+            .due_at(now, READ_INTERVAL, member_turn(1, 50))
+            .0
+            .config,
+        None
+    );
+    // Without a reply, the store is read early enough for a change to be in force in time.
     let later = now + millis(400);
-    let (due, _) = shared.due_at(later, PAUSE, member(1, 50));
+    let (due, _) = shared.due_at(later, READ_INTERVAL, member_turn(1, 50));
     assert_eq!(due.config, Some(ReadReason::PeerAhead));
-    assert_eq!(due.endpoints, None, "of these nothing newer was told");
+    assert_eq!(due.endpoints, None, "no peer reported newer endpoints");
 }
 
 #[test]
-fn a_start_reads_the_store_only_after_its_peers_were_asked() {
+fn a_starting_instance_asks_its_peers_before_it_reads_the_store() {
     let alone = SharedReads::default();
-    let (due, _) = alone.due_at(START, PAUSE, ReadTurn::alone());
-    assert_eq!(due.config, Some(ReadReason::Start), "nobody can be asked");
+    let (due, _) = alone.due_at(START, READ_INTERVAL, ReadTurn::alone());
+    assert_eq!(
+        due.config,
+        Some(ReadReason::Start),
+        "there is no peer to ask"
+    );
     let asking = SharedReads::default().with_asks_peers_first(true);
     assert_eq!(
-        asking.due_at(START, PAUSE, ReadTurn::alone()).0.config,
+        asking
+            .due_at(START, READ_INTERVAL, ReadTurn::alone())
+            .0
+            .config,
         None
     );
-    let (due, _) = asking.due_at(START + millis(800), PAUSE, ReadTurn::alone());
+    let (due, _) = asking.due_at(START + millis(800), READ_INTERVAL, ReadTurn::alone());
     assert_eq!(due.endpoints, Some(ReadReason::Start));
 }
 
@@ -149,29 +174,29 @@
     }
 }
 
-/// The store forgets its history, and all that were reading it have to list it anew: one lists it, and
-/// the others are told of the difference.
+/// When the store discards its history, its readers have to list it again. One instance lists it and sends the
+/// others the difference alone.
 #[test]
-fn a_listing_is_passed_on_as_what_changed_by_it() {
-    let mut image = TopicSnapshot::default();
+fn a_listing_is_forwarded_as_the_difference_to_the_state_before() {
+    let mut snapshot = TopicSnapshot::default();
     let first = [record("a", Some("1")), record("b", Some("2"))];
-    assert_eq!(image.take(&records(None, 7, &first), false), None);
+    assert_eq!(snapshot.take(&records(None, 7, &first), false), None);
     let listed = [record("b", Some("3")), record("c", Some("4"))];
-    let told = image
+    let changes = snapshot
         .take(&records(None, 9, &listed), true)
         .expect("changes");
-    assert_eq!((told.from, told.next), (Some(7), 9));
+    assert_eq!((changes.from, changes.next), (Some(7), 9));
     let mut expected = listed.to_vec();
     expected.push(record("a", None));
-    assert_eq!(told.records, expected);
-    assert_eq!(image.records().count(), 2);
-    assert!(told.follows(Some(7)) && told.follows(Some(8)) && !told.follows(Some(6)));
+    assert_eq!(changes.records, expected);
+    assert_eq!(snapshot.records().count(), 2);
+    assert!(changes.follows(Some(7)) && changes.follows(Some(8)) && !changes.follows(Some(6)));
 }
 
-/// All instances start at one moment: the one that the others ask reads the store, and answers them
-/// once it knows all.
+/// All instances start at once: the one that the others ask reads the store, and answers them once it has the
+/// whole state.
 #[tokio::test]
-async fn instances_that_start_are_told_all_by_the_one_that_they_ask() {
+async fn starting_instances_get_the_whole_state_from_the_one_that_they_ask() {
     let any = "127.0.0.1:0".parse().expect("an address");
     let socket = bind_beacon_socket(any).await.expect("a socket");
     let to = socket.local_addr().expect("an address");
@@ -196,19 +221,19 @@
         };
         let _ = seed.reads.apply_records(&new);
     }
-    seed.reads.record_read(read_at, known(5, 9, read_at));
+    seed.reads.record_read(read_at, read_state(5, 9, read_at));
     seed.directory.mark_listed();
     tokio::time::sleep(millis(600)).await;
-    let told = starter.reads.take_peer_records();
-    // Nobody takes them here, so that it asked again.
+    let received = starter.reads.take_peer_records();
+    // Nothing applies the records here, so the starter asked again and may hold them twice.
     assert!(
         Topic::ALL
             .iter()
-            .all(|topic| told.iter().any(|t| t.topic == *topic))
+            .all(|topic| received.iter().any(|t| t.topic == *topic))
     );
-    assert!(told.iter().all(|t| t.from.is_none() && t.next == 9));
-    let early = told[0].read_at <= read_at && read_at < told[0].read_at + millis(700);
-    assert!(early, "{:?} of {read_at:?}", told[0].read_at);
+    assert!(received.iter().all(|t| t.from.is_none() && t.next == 9));
+    let early = received[0].read_at <= read_at && read_at < received[0].read_at + millis(700);
+    assert!(early, "{:?} of {read_at:?}", received[0].read_at);
     assert!(starter.directory.is_listed());
     stop.send_replace(true);
     for task in running {
@@ -241,9 +266,9 @@
     directory
 }
 
-/// One instance in sixteen has four times the processor of the others, and its name says nothing.
+/// One instance in sixteen has four times the processor of the others; it leads wherever its name sorts.
 #[test]
-fn the_strongest_leads_whatever_its_name() {
+fn the_instance_with_the_most_processor_leads_whatever_its_name() {
     for (size, at) in [(300, 299), (300, 150), (500, 3)] {
         let names: Vec<String> = (0..size).map(|n| format!("front-{n:04}")).collect();
         let millicores = |n: usize| if n == at { 500 } else { 120 };
@@ -261,7 +286,7 @@
         assert_eq!(weak_directory.read_turn(START).role, ReadRole::Member);
         let (first, before) = weak_directory
             .first_of_group(START, |_| true)
-            .expect("heard");
+            .expect("a live peer");
         assert!(first.name == names[at] && before);
         assert!(weak_directory.group_leads(START).contains(&names[at]));
     }
@@ -273,7 +298,7 @@
     assert_eq!(first.read_turn(START).role, ReadRole::SiteLead);
     let second = directory("b", 120, &[("a", 120), ("c", 120)], START);
     assert_eq!(second.read_turn(START).index, 1);
-    // It falls silent: the next one leads, and nobody goes back and forth while it is heard.
+    // Once its heartbeats have stopped, the next one leads. The lead does not change while they arrive.
     assert_eq!(
         second.read_turn(START + millis(1_300)).role,
         ReadRole::SiteLead
