--- a/crates/firdock-node/tests/node/change_tracker.rs
+++ b/crates/firdock-node/tests/node/change_tracker.rs
@@ -1,4 +1,4 @@
-//! Looks at tables of thousands of rows, of which few change.
+//! Tracking of changes in tables of thousands of rows, of which few change at a time.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,8 +13,11 @@
 
 type Changes = BTreeMap<String, Change<&'static str>>;
 
-fn look(seen: &mut ChangeTracker<&'static str>, rows: &[(usize, &str, &'static str)]) -> Changes {
-    seen.update(rows.iter().copied())
+fn update(
+    tracker: &mut ChangeTracker<&'static str>,
+    rows: &[(usize, &str, &'static str)],
+) -> Changes {
+    tracker.update(rows.iter().copied())
 }
 
 fn change(before: Option<&'static str>, is: Option<&'static str>) -> Change<&'static str> {
@@ -22,12 +25,12 @@
 }
 
 #[test]
-fn a_look_gives_what_is_new_what_changed_and_what_is_gone() {
-    let mut seen = ChangeTracker::default();
-    let first = look(&mut seen, &[(0, "a", "usable"), (1, "b", "usable")]);
+fn an_update_returns_added_changed_and_removed_rows() {
+    let mut tracker = ChangeTracker::default();
+    let first = update(&mut tracker, &[(0, "a", "usable"), (1, "b", "usable")]);
     assert_eq!(first["a"], change(None, Some("usable")));
-    assert!(look(&mut seen, &[(0, "a", "usable"), (1, "b", "usable")]).is_empty());
-    let next = look(&mut seen, &[(0, "a", "leaving"), (2, "c", "usable")]);
+    assert!(update(&mut tracker, &[(0, "a", "usable"), (1, "b", "usable")]).is_empty());
+    let next = update(&mut tracker, &[(0, "a", "leaving"), (2, "c", "usable")]);
     let expected = [
         ("a".to_owned(), change(Some("usable"), Some("leaving"))),
         ("b".to_owned(), change(Some("usable"), None)),
@@ -37,24 +40,24 @@
 }
 
 #[test]
-fn a_name_that_moves_to_another_row_and_a_row_that_gets_another_name_are_told_by_name() {
-    let mut seen = ChangeTracker::default();
-    look(&mut seen, &[(0, "a", "usable"), (1, "b", "usable")]);
-    // A restarted endpoint has a new row, and the old one's number goes to another endpoint.
-    let moved = look(
-        &mut seen,
+fn changes_follow_the_name_if_a_name_moves_to_another_row() {
+    let mut tracker = ChangeTracker::default();
+    update(&mut tracker, &[(0, "a", "usable"), (1, "b", "usable")]);
+    // A restarted endpoint gets a new row, and the number of its old row goes to another endpoint.
+    let moved = update(
+        &mut tracker,
         &[(0, "c", "usable"), (1, "b", "usable"), (2, "a", "usable")],
     );
     assert_eq!(
         moved,
         BTreeMap::from([("c".to_owned(), change(None, Some("usable")))])
     );
-    let moved = look(&mut seen, &[(0, "a", "ejected"), (1, "b", "usable")]);
+    let moved = update(&mut tracker, &[(0, "a", "ejected"), (1, "b", "usable")]);
     assert_eq!(moved["a"], change(Some("usable"), Some("ejected")));
     assert_eq!(moved["c"], change(Some("usable"), None));
 }
 
-/// The operators' list went on showing the earlier pool of an endpoint whose entry named another one.
+/// The operators' list kept the earlier pool of an endpoint after its entry had named another one.
 #[test]
 fn an_endpoint_that_moves_to_another_pool_is_listed_there() {
     let now = Duration::from_secs(100);
--- a/crates/firdock-node/tests/node/completeness.rs
+++ b/crates/firdock-node/tests/node/completeness.rs
@@ -1,4 +1,4 @@
-//! Whether an answer is whole: the table of what is decided, and how streams are cut into events.
+//! Completeness of answers: the decision for each framing and ending, and the splitting of streams into events.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -36,10 +36,10 @@
     BodyState::Events { begun, left }
 }
 
-// Guards against ends by a lost connection that count as the end of an answer.
+// Guards against a lost connection that counts as the end of an answer.
 #[test]
-fn only_its_framing_or_an_orderly_close_without_one_ends_an_answer() {
-    let shapes = [
+fn an_answer_ends_by_its_framing_or_by_an_orderly_close_if_it_has_none() {
+    let bodies = [
         BodyState::Opaque,
         events(true, TrailingData::Nothing),
         BodyState::Delimited { ended: true },
@@ -47,14 +47,14 @@
     for framing in FRAMINGS {
         for ending in ENDINGS {
             let closed = framing == Framing::Connection && ending == Ending::Closed;
-            for shape in shapes {
-                let told = assess_completeness(framing, ending, shape);
-                let is_broken = matches!(told, Completeness::Broken(_));
+            for body in bodies {
+                let completeness = assess_completeness(framing, ending, body);
+                let is_broken = matches!(completeness, Completeness::Broken(_));
                 let ends = ending == Ending::Framed || closed;
-                assert_eq!(is_broken, !ends, "{framing:?} {ending:?} {shape:?}");
-                let proven = !closed || shape == BodyState::Delimited { ended: true };
+                assert_eq!(is_broken, !ends, "{framing:?} {ending:?} {body:?}");
+                let proven = !closed || body == BodyState::Delimited { ended: true };
                 assert_eq!(
-                    told == Completeness::Complete,
+                    completeness == Completeness::Complete,
                     ends && proven,
                     "{framing:?} {ending:?}"
                 );
@@ -63,11 +63,11 @@
     }
 }
 
-// Guards against streams that end inside an event, or before the first one, and count as whole.
+// Guards against streams that end inside an event, or before the first one, and count as complete.
 #[test]
 fn a_stream_that_ends_inside_an_event_is_broken_whatever_its_framing() {
-    let closed = |shape| assess_completeness(Framing::Connection, Ending::Closed, shape);
-    let framed = |shape| assess_completeness(Framing::Chunks, Ending::Framed, shape);
+    let closed = |body| assess_completeness(Framing::Connection, Ending::Closed, body);
+    let framed = |body| assess_completeness(Framing::Chunks, Ending::Framed, body);
     let cases = [
         (
             events(true, TrailingData::Event),
@@ -96,28 +96,28 @@
             Some(BreakCause::Foreign),
         ),
     ];
-    for (shape, by_close, by_framing) in cases {
+    for (body, by_close, by_framing) in cases {
         let by_close = by_close.map_or(Completeness::Unproven, Completeness::Broken);
         let by_framing = by_framing.map_or(Completeness::Complete, Completeness::Broken);
-        assert_eq!(closed(shape), by_close, "{shape:?}");
-        assert_eq!(framed(shape), by_framing, "{shape:?}");
+        assert_eq!(closed(body), by_close, "{body:?}");
+        assert_eq!(framed(body), by_framing, "{body:?}");
     }
 }
 
-/// What a cutter gave of a stream: bytes passed on, events, last id, and what was left.
+/// Result of splitting a stream: bytes forwarded, number of events, last id, and trailing data.
 #[derive(Debug, PartialEq, Eq)]
-struct Cut {
-    passed: Vec<u8>,
+struct Split {
+    forwarded: Vec<u8>,
     count: u32,
     id: Option<String>,
     left: TrailingData,
 }
 
-/// Cuts a stream that comes in parts of these lengths.
-fn cut(bytes: &[u8], lengths: &[usize]) -> Cut {
-    let mut cutter = EventSplitter::default();
-    let mut given = Cut {
-        passed: Vec::new(),
+/// Splits a stream that arrives in chunks of these lengths, repeated as often as needed.
+fn split(bytes: &[u8], lengths: &[usize]) -> Split {
+    let mut splitter = EventSplitter::default();
+    let mut result = Split {
+        forwarded: Vec::new(),
         count: 0,
         id: None,
         left: TrailingData::Nothing,
@@ -126,23 +126,23 @@
     let mut lengths = lengths.iter().cycle();
     while !rest.is_empty() {
         let length = lengths.next().copied().unwrap_or(1).clamp(1, rest.len());
-        let (part, after) = rest.split_at(length);
+        let (chunk, after) = rest.split_at(length);
         rest = after;
-        if let Some(whole) = cutter.push(part).expect("no event is too long") {
-            given.passed.extend_from_slice(&whole.bytes);
-            given.count += whole.count;
-            if whole.count > 0 {
-                given.id = whole.last_id;
+        if let Some(complete) = splitter.push(chunk).expect("no event is too long") {
+            result.forwarded.extend_from_slice(&complete.bytes);
+            result.count += complete.count;
+            if complete.count > 0 {
+                result.id = complete.last_id;
             }
         }
     }
-    given.left = cutter.finish().1;
-    given
+    result.left = splitter.finish().1;
+    result
 }
 
-// Guards against ends of events that are not seen, or seen where none are, by the published format.
+// Guards against ends of events that are missed, or found where the published format has none.
 #[test]
-fn events_end_at_a_blank_line_whatever_ends_the_lines() {
+fn events_end_at_a_blank_line_with_any_line_terminator() {
     let cases: [(&str, &str, u32, Option<&str>, TrailingData); 17] = [
         (
             "id: 1\ndata: a\n\n",
@@ -228,16 +228,16 @@
             TrailingData::Nothing,
         ),
     ];
-    for (stream, passed, count, id, left) in cases {
-        let expected = Cut {
-            passed: passed.as_bytes().to_vec(),
+    for (stream, forwarded, count, id, left) in cases {
+        let expected = Split {
+            forwarded: forwarded.as_bytes().to_vec(),
             count,
             id: id.map(str::to_owned),
             left,
         };
         for lengths in [&[usize::MAX][..], &[1], &[2], &[3, 1]] {
             assert_eq!(
-                cut(stream.as_bytes(), lengths),
+                split(stream.as_bytes(), lengths),
                 expected,
                 "{stream:?} {lengths:?}"
             );
@@ -245,12 +245,12 @@
     }
 }
 
-// Guards against a caller that is told an answer has begun before its first event is whole.
+// Guards against a caller that gets the head of an answer before its first event is complete.
 #[test]
-fn comments_before_the_first_event_wait_for_it_and_later_ones_do_not() {
-    let mut cutter = EventSplitter::default();
-    assert_eq!(cutter.push(b": wait\n\n").expect("short"), None);
-    let first = cutter
+fn comments_are_held_until_the_first_event_and_forwarded_at_once_after_it() {
+    let mut splitter = EventSplitter::default();
+    assert_eq!(splitter.push(b": wait\n\n").expect("short"), None);
+    let first = splitter
         .push(b"data: a\n\n")
         .expect("short")
         .expect("an event");
@@ -258,37 +258,37 @@
         (first.count, &*first.bytes),
         (1, &b": wait\n\ndata: a\n\n"[..])
     );
-    let comment = cutter
+    let comment = splitter
         .push(b": alive\n")
         .expect("short")
         .expect("a comment");
     assert_eq!((comment.count, &*comment.bytes), (0, &b": alive\n"[..]));
 }
 
-// Guards against an event that waits for what comes after it.
+// Guards against an event that is held until the data after it arrives.
 #[test]
-fn an_event_is_whole_with_the_first_byte_that_ends_it() {
-    let mut cutter = EventSplitter::default();
-    let first = cutter
+fn an_event_is_complete_with_the_first_byte_of_its_terminator() {
+    let mut splitter = EventSplitter::default();
+    let first = splitter
         .push(b"data: a\r\n\r")
         .expect("short")
         .expect("an event");
     assert_eq!(first.count, 1);
-    let rest = cutter
+    let rest = splitter
         .push(b"\ndata: b\r\n\r")
         .expect("short")
         .expect("an event");
     assert_eq!((rest.count, &*rest.bytes), (1, &b"\ndata: b\r\n\r"[..]));
 }
 
-/// Starts a far end that answers one call with these bytes and closes the connection.
-async fn answering(answer: &'static str) -> SocketAddr {
+/// Starts a server that answers one call with these bytes and closes the connection.
+async fn serve_once(answer: &'static str) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("an address");
     let address = listener.local_addr().expect("an address");
     tokio::spawn(async move {
         let (mut stream, _) = listener.accept().await.expect("a connection");
-        let mut asked = [0; 1_024];
-        let _ = stream.read(&mut asked).await;
+        let mut call = [0; 1_024];
+        let _ = stream.read(&mut call).await;
         stream.write_all(answer.as_bytes()).await.expect("written");
     });
     address
@@ -298,29 +298,29 @@
     HttpEngine::new(Duration::from_secs(1), Duration::from_secs(1))
 }
 
-// Guards against a part of a KV cache that is taken for all of it: its form has no end of its own.
+// Guards against a truncated KV cache that passes for a complete one: its format does not mark its end.
 #[tokio::test]
-async fn a_kv_cache_without_framing_is_not_taken() {
-    let at = answering("HTTP/1.1 200 OK\r\n\r\nbytes").await;
-    let taken = engine().export_kv(at, Uuid::nil()).await;
-    assert_eq!(taken.ok(), None);
-    let at = answering("HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nbytes").await;
-    let taken = engine().export_kv(at, Uuid::nil()).await;
-    assert_eq!(taken.ok(), Some(KvCache(Bytes::from_static(b"bytes"))));
+async fn a_kv_cache_without_framing_is_rejected() {
+    let at = serve_once("HTTP/1.1 200 OK\r\n\r\nbytes").await;
+    let exported = engine().export_kv(at, Uuid::nil()).await;
+    assert_eq!(exported.ok(), None);
+    let at = serve_once("HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nbytes").await;
+    let exported = engine().export_kv(at, Uuid::nil()).await;
+    assert_eq!(exported.ok(), Some(KvCache(Bytes::from_static(b"bytes"))));
 }
 
-// Guards against a part of a report that is taken for all of it, and against a whole one that is not taken
-// since it has no framing.
+// Guards against a truncated report that passes for a complete one, and against a complete one that is
+// rejected because it has no framing.
 #[tokio::test]
-async fn a_report_without_framing_is_taken_if_its_form_is_whole() {
-    let at = answering("HTTP/1.1 200 OK\r\n\r\n{\"running\": 3}").await;
-    let told = engine().report(at, 0).await.expect("a report");
-    assert_eq!(told.running, 3);
-    let at = answering("HTTP/1.1 200 OK\r\n\r\n{\"running\": 3").await;
+async fn a_report_without_framing_is_accepted_if_its_json_is_complete() {
+    let at = serve_once("HTTP/1.1 200 OK\r\n\r\n{\"running\": 3}").await;
+    let report = engine().report(at, 0).await.expect("a report");
+    assert_eq!(report.running, 3);
+    let at = serve_once("HTTP/1.1 200 OK\r\n\r\n{\"running\": 3").await;
     assert_eq!(engine().report(at, 0).await.ok(), None);
 }
 
-// Guards against whole answers that are waited on, or reset, since they never have a body.
+// Guards against complete answers that are awaited further, or reset, because they never have a body.
 #[test]
 fn answers_that_have_no_body_need_no_framing() {
     let none = HeaderMap::new();
@@ -352,7 +352,7 @@
     }
 }
 
-/// A line, without its end.
+/// Generates a line without its terminator.
 fn line() -> impl Strategy<Value = &'static str> {
     prop_oneof![
         Just(""),
@@ -365,18 +365,18 @@
 }
 
 proptest! {
-    // Guards against streams that are cut in another way where they come in other parts.
+    // Guards against a splitting that depends on the chunks in which a stream arrives.
     #[test]
-    fn parts_of_a_stream_change_nothing_and_all_bytes_are_passed_on_or_left(
+    fn chunks_do_not_change_the_result_and_the_forwarded_bytes_are_a_prefix(
         lines in prop::collection::vec((line(), prop_oneof![Just("\n"), Just("\r\n"), Just("\r")]), 0..12),
         lengths in prop::collection::vec(1_usize..9, 1..4),
         lost in 0_usize..6,
     ) {
         let mut stream: String = lines.iter().flat_map(|(line, end)| [*line, *end]).collect();
         stream.truncate(stream.len().saturating_sub(lost));
-        let once = cut(stream.as_bytes(), &[usize::MAX]);
-        let often = cut(stream.as_bytes(), &lengths);
+        let once = split(stream.as_bytes(), &[usize::MAX]);
+        let often = split(stream.as_bytes(), &lengths);
         prop_assert_eq!(&once, &often);
-        prop_assert!(stream.as_bytes().starts_with(&once.passed));
+        prop_assert!(stream.as_bytes().starts_with(&once.forwarded));
     }
 }
--- a/crates/firdock-node/tests/node/head_notice.rs
+++ b/crates/firdock-node/tests/node/head_notice.rs
@@ -1,4 +1,4 @@
-//! What the head of an answer says of its endpoint, whatever bytes stand there.
+//! Notices about an endpoint in the head of its answer, for any bytes in the headers.
 
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_time_to_come_back_is_read_in_seconds_whole_or_with_a_fraction() {
+fn retry_after_is_read_in_seconds_with_or_without_a_fraction() {
     let secs = |n: f64| Some(Duration::from_secs_f64(n));
     let day = Some(Notice::MAX_BACKOFF);
     let cases: [(&[&[u8]], Option<Duration>); 9] = [
@@ -36,7 +36,7 @@
         (&[b"0.25"], secs(0.25)),
         (&[b"0"], None),
         (&[b"0.0"], None),
-        // The longest of several lines: no server that asks is sent to while one of its times lasts.
+        // The longest of several values: the endpoint gets no request while one of its times lasts.
         (&[b"1", b"3", b"2"], secs(3.0)),
         (&[b"86401"], day),
         (&[b"99999999999999999999"], day),
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn what_is_no_number_of_seconds_is_passed_over_and_told() {
+fn an_invalid_number_of_seconds_is_ignored_and_reported() {
     let bad: [&[u8]; 12] = [
         b"",
         b"-1",
@@ -63,20 +63,20 @@
         b"\xff\xfe",
     ];
     for value in bad {
-        let (read, unread) = backoff(&[value]);
+        let (read, malformed) = backoff(&[value]);
         assert_eq!(read, None, "{value:?}");
-        assert!(unread.is_some(), "{value:?}");
+        assert!(malformed.is_some(), "{value:?}");
     }
-    // A line that can be read counts beside one that cannot.
-    let (read, unread) = backoff(&[b"soon", b"2"]);
+    // A valid value counts beside an invalid one.
+    let (read, malformed) = backoff(&[b"soon", b"2"]);
     assert_eq!(
-        (read, unread.is_some()),
+        (read, malformed.is_some()),
         (Some(Duration::from_secs(2)), true)
     );
 }
 
 #[test]
-fn a_time_to_come_back_is_an_endpoints_own_on_a_503_alone() {
+fn retry_after_applies_to_the_endpoint_on_a_503_alone() {
     let headers = headers(&RETRY_AFTER, &[b"3"]);
     for status in [200, 400, 429, 500, 502, 504] {
         let status = StatusCode::from_u16(status).expect("a status");
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn an_endpoint_leaves_by_one_value_alone_on_every_status() {
+fn an_endpoint_leaves_only_by_the_value_1_and_on_any_status() {
     let cases: [(&[&[u8]], bool, bool); 7] = [
         (&[], false, false),
         (&[b"1"], true, false),
@@ -96,18 +96,18 @@
         (&[b""], false, true),
         (&[b"yes"], false, true),
     ];
-    for (values, leaving, unread) in cases {
+    for (values, leaving, malformed) in cases {
         for status in [200, 206, 400, 429, 500, 503] {
             let status = StatusCode::from_u16(status).expect("a status");
             let read = HeadNotice::read(status, &headers(&LEAVING, values), &LEAVING);
             assert_eq!(read.notice.leaving, leaving, "{values:?}");
-            assert_eq!(read.malformed.is_some(), unread, "{values:?}");
+            assert_eq!(read.malformed.is_some(), malformed, "{values:?}");
         }
     }
 }
 
 proptest! {
-    /// Whatever the bytes are, a time is within its bounds, and what is passed over is told in short.
+    /// For any bytes, a time is within its bounds, and the report of an invalid value is short.
     #[test]
     fn any_bytes_have_a_bounded_effect(
         lines in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..80), 0..12),
@@ -127,16 +127,15 @@
             prop_assert!(!time.is_zero() && time <= Notice::MAX_BACKOFF);
             prop_assert_eq!(status, BUSY);
         }
-        prop_assert!(read.malformed.is_none_or(|told| told.chars().count() <= 64));
+        prop_assert!(read.malformed.is_none_or(|text| text.chars().count() <= 64));
     }
 
-    /// A number of seconds is read as what it says.
     #[test]
     fn any_number_of_seconds_is_read(secs in 1_u64..200_000, thousandths in 0_u32..1_000) {
         let text = format!("{secs}.{thousandths:03}");
-        let (read, unread) = backoff(&[text.as_bytes()]);
-        let told = Duration::from_secs(secs) + Duration::from_millis(thousandths.into());
-        let off = read.expect("a time").abs_diff(told.min(Notice::MAX_BACKOFF));
-        prop_assert!(off < Duration::from_micros(1) && unread.is_none());
+        let (read, malformed) = backoff(&[text.as_bytes()]);
+        let sent = Duration::from_secs(secs) + Duration::from_millis(thousandths.into());
+        let off = read.expect("a time").abs_diff(sent.min(Notice::MAX_BACKOFF));
+        prop_assert!(off < Duration::from_micros(1) && malformed.is_none());
     }
 }
--- a/crates/firdock-node/tests/node/log_limiter.rs
+++ b/crates/firdock-node/tests/node/log_limiter.rs
@@ -1,4 +1,4 @@
-//! The bound on the lines of a log, and the count of what was left out.
+//! Limit on the number of log lines, and the count of those that are left out.
 
 use std::io::Write;
 use std::sync::{Arc, Mutex};
@@ -7,9 +7,9 @@
 use firdock_node::telemetry::{Level, LogKind, LogLimiter, logger};
 
 #[derive(Clone, Default)]
-struct Kept(Arc<Mutex<Vec<u8>>>);
+struct Output(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Kept {
+impl Write for Output {
     fn write(&mut self, buf: &[u8]) -> std::io::Result<usize> {
         self.0.lock().expect("no panic").extend_from_slice(buf);
         Ok(buf.len())
@@ -21,25 +21,25 @@
 }
 
 #[test]
-fn lines_beyond_the_bound_are_counted_and_told_by_kind() {
-    let kept = Kept::default();
-    let (log, guard) = logger(kept.clone(), Level::new("info"), false, "one");
-    let budget = LogLimiter::default();
+fn lines_beyond_the_limit_are_counted_by_kind() {
+    let output = Output::default();
+    let (log, guard) = logger(output.clone(), Level::new("info"), false, "one");
+    let limiter = LogLimiter::default();
     let second = |n: u64| Duration::from_secs(n);
-    let allowed = |kind, at| (0..500).filter(|_| budget.allow(&log, at, kind)).count();
+    let allowed = |kind, at| (0..500).filter(|_| limiter.allow(&log, at, kind)).count();
     assert_eq!(allowed(LogKind::Answered, second(1)), 20);
     assert_eq!(allowed(LogKind::Failed, second(1)), 200);
     assert_eq!(allowed(LogKind::Answered, second(2)), 20);
-    budget.finish(&log);
+    limiter.finish(&log);
     drop((log, guard));
-    let text = String::from_utf8(kept.0.lock().expect("no panic").clone());
+    let text = String::from_utf8(output.0.lock().expect("no panic").clone());
     let text = text.expect("UTF-8");
-    let told: Vec<serde_json::Value> = text
+    let lines: Vec<serde_json::Value> = text
         .lines()
         .filter_map(|l| serde_json::from_str(l).ok())
         .collect();
     let count = |kind: &str| {
-        let of_kind = told.iter().filter(|l| l["kind"] == kind);
+        let of_kind = lines.iter().filter(|l| l["kind"] == kind);
         of_kind.filter_map(|l| l["count"].as_u64()).sum::<u64>()
     };
     assert_eq!(count("answered"), 2 * 480);
--- a/crates/firdock-node/tests/node/partial_replies.rs
+++ b/crates/firdock-node/tests/node/partial_replies.rs
@@ -1,4 +1,5 @@
-//! Answers in parts: whatever order parts come in, and whatever lacks, the whole is what was told.
+//! States that arrive in parts: any order of the parts gives the state that was sent, and missing parts are
+//! requested.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,7 +12,7 @@
 
 const NOW: Duration = Duration::from_secs(100);
 
-fn teller(n: u8) -> SocketAddr {
+fn sender(n: u8) -> SocketAddr {
     ([127, 0, 0, n], 7_600).into()
 }
 
@@ -31,83 +32,83 @@
 }
 
 #[test]
-fn a_part_that_is_lost_is_asked_for_alone() {
-    let told = state(PART_BYTES * 2 + 7);
-    let mut answers = PartialReplies::default();
-    assert_eq!(answers.missing(teller(1)), None);
+fn only_a_lost_part_is_requested_again() {
+    let sent = state(PART_BYTES * 2 + 7);
+    let mut replies = PartialReplies::default();
+    assert_eq!(replies.missing(sender(1)), None);
     for n in [0, 2] {
-        assert_eq!(answers.add(NOW, teller(1), part(9, &told, n)), Ok(None));
+        assert_eq!(replies.add(NOW, sender(1), part(9, &sent, n)), Ok(None));
     }
     let missing = MissingParts {
         state: 9,
         parts: vec![1],
     };
-    assert_eq!(answers.missing(teller(1)), Some(missing));
-    assert_eq!(answers.missing(teller(2)), None);
-    let whole = answers.add(NOW, teller(1), part(9, &told, 1));
-    assert_eq!(whole.map(|w| w.map(|w| w.state)), Ok(Some(told)));
-    assert_eq!(answers.missing(teller(1)), None);
+    assert_eq!(replies.missing(sender(1)), Some(missing));
+    assert_eq!(replies.missing(sender(2)), None);
+    let whole = replies.add(NOW, sender(1), part(9, &sent, 1));
+    assert_eq!(whole.map(|w| w.map(|w| w.state)), Ok(Some(sent)));
+    assert_eq!(replies.missing(sender(1)), None);
 }
 
 #[test]
-fn parts_of_a_state_that_was_made_anew_replace_those_before() {
+fn parts_of_a_newer_state_replace_those_of_an_earlier_one() {
     let (old, new) = (state(PART_BYTES + 1), state(PART_BYTES + 9));
-    let mut answers = PartialReplies::default();
-    assert_eq!(answers.add(NOW, teller(1), part(1, &old, 0)), Ok(None));
-    assert_eq!(answers.add(NOW, teller(1), part(2, &new, 1)), Ok(None));
-    let whole = answers.add(NOW, teller(1), part(2, &new, 0));
+    let mut replies = PartialReplies::default();
+    assert_eq!(replies.add(NOW, sender(1), part(1, &old, 0)), Ok(None));
+    assert_eq!(replies.add(NOW, sender(1), part(2, &new, 1)), Ok(None));
+    let whole = replies.add(NOW, sender(1), part(2, &new, 0));
     assert_eq!(whole.map(|w| w.map(|w| w.state)), Ok(Some(new.clone())));
-    // The same number by another start of the teller is another state.
-    assert_eq!(answers.add(NOW, teller(1), part(2, &new, 0)), Ok(None));
+    // The same number by another process of the sender is another state.
+    assert_eq!(replies.add(NOW, sender(1), part(2, &new, 0)), Ok(None));
     let restarted = StateAnswer {
         incarnation: vec![2; 16],
         ..part(2, &new, 1)
     };
-    assert_eq!(answers.add(NOW, teller(1), restarted), Ok(None));
+    assert_eq!(replies.add(NOW, sender(1), restarted), Ok(None));
 }
 
 #[test]
-fn parts_that_cannot_be_and_tellers_without_end_take_no_room() {
-    let told = state(PART_BYTES + 1);
-    let mut answers = PartialReplies::default();
-    let hostile = |part_no: u32, parts: u32| StateAnswer {
+fn invalid_parts_are_rejected_and_the_number_of_senders_is_bounded() {
+    let sent = state(PART_BYTES + 1);
+    let mut replies = PartialReplies::default();
+    let invalid = |part_no: u32, parts: u32| StateAnswer {
         part: part_no,
         parts,
-        ..part(1, &told, 0)
+        ..part(1, &sent, 0)
     };
     for (part_no, parts) in [(2, 2), (0, u32::MAX), (u32::MAX, 3)] {
-        let taken = answers.add(NOW, teller(1), hostile(part_no, parts));
-        assert_eq!(taken, Err(InvalidPart), "{part_no} of {parts}");
+        let outcome = replies.add(NOW, sender(1), invalid(part_no, parts));
+        assert_eq!(outcome, Err(InvalidPart), "{part_no} of {parts}");
     }
     for n in 1..=200 {
         let now = NOW + Duration::from_millis(n.into());
-        assert_eq!(answers.add(now, teller(n), part(1, &told, 0)), Ok(None));
+        assert_eq!(replies.add(now, sender(n), part(1, &sent, 0)), Ok(None));
     }
-    let kept = (1..=200).filter(|n| answers.missing(teller(*n)).is_some());
-    assert_eq!(kept.count(), 4);
+    let tracked = (1..=200).filter(|n| replies.missing(sender(*n)).is_some());
+    assert_eq!(tracked.count(), 4);
     assert_eq!(count_parts(PART_BYTES * 64), Some(64));
     assert_eq!(
         count_parts(PART_BYTES * 64 + 1),
         None,
-        "read from the store"
+        "a larger state is read from the store"
     );
 }
 
 proptest! {
     #[test]
-    fn parts_in_any_order_and_doubled_give_the_whole(
+    fn parts_in_any_order_and_repeated_give_the_whole_state(
         bytes in 1_usize..PART_BYTES * 6,
         order in prop::collection::vec(0_u32..6, 0..20),
     ) {
-        let told = state(bytes);
+        let sent = state(bytes);
         let parts = count_parts(bytes).expect("few parts");
-        let mut answers = PartialReplies::default();
+        let mut replies = PartialReplies::default();
         let mut whole = None;
         for n in order.into_iter().map(|n| n % parts).chain(0..parts) {
             if whole.is_none() {
-                whole = answers.add(NOW, teller(1), part(1, &told, n)).expect("a part");
+                whole = replies.add(NOW, sender(1), part(1, &sent, n)).expect("a part");
             }
         }
-        prop_assert_eq!(whole.map(|w| w.state), Some(told));
+        prop_assert_eq!(whole.map(|w| w.state), Some(sent));
     }
 }
--- a/crates/firdock-node/tests/node/suspects.rs
+++ b/crates/firdock-node/tests/node/suspects.rs
@@ -1,4 +1,4 @@
-//! Words on requests under which endpoints ended, as they go on the wire.
+//! Reports of requests during which endpoints exited, as they are sent to peers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,8 +13,8 @@
 
 const NOW: Duration = Duration::from_mins(1);
 
-fn told(n: usize, ends: usize) -> SuspectReport {
-    let end = |e: usize| ReportedExit {
+fn report(n: usize, exits: usize) -> SuspectReport {
+    let exit = |e: usize| ReportedExit {
         start: format!("an-endpoint-with-a-long-name-{n}-{e}@1796279291159"),
         sent_ago: Duration::from_millis(200),
         ended_ago: Duration::from_millis(100),
@@ -24,36 +24,41 @@
         content: Arc::new(Content::new("account", "POST", "/path", &n.to_be_bytes())),
         account: format!("an account with a long name {}", n % 7),
         service: "a service with a long name".to_owned(),
-        exits: (0..ends).map(end).collect(),
+        exits: (0..exits).map(exit).collect(),
     }
 }
 
-fn news(suspects: Vec<SuspectReport>) -> SelfStatus {
+fn status(suspects: Vec<SuspectReport>) -> SelfStatus {
     let settings = PolicySettings::new(&Settings::default(), Uuid::nil());
     let mut scheduler = Scheduler::new(settings);
     scheduler.step(NOW, Event::SuspectsReported(suspects), &mut Vec::new());
     SelfStatus::new(scheduler.tables(), NOW)
 }
 
-/// A datagram that is too long is not sent, and its sender would pass for silent: whatever is known of
-/// suspects, there is room for the rest of a heartbeat.
+/// A datagram that is too long is not sent, and its sender would count as silent. So reports of suspects leave
+/// space for the rest of a heartbeat, however many there are.
 #[test]
-fn words_on_suspects_never_fill_a_datagram() {
-    let many = (0..900).map(|n| told(n, 16)).collect();
-    for news in [news(many), news(vec![told(1, 1)])] {
-        for full in [news.in_full(), news.as_lead(), news.clone()] {
-            let beat = full.message(NOW, 0);
-            assert!(beat.encoded_len() < 24 << 10, "{}", beat.encoded_len());
-            assert!(!beat.suspects.is_empty());
+fn suspect_reports_never_fill_a_datagram() {
+    let many = (0..900).map(|n| report(n, 16)).collect();
+    for status in [status(many), status(vec![report(1, 1)])] {
+        for full in [status.in_full(), status.as_lead(), status.clone()] {
+            let heartbeat = full.message(NOW, 0);
+            assert!(
+                heartbeat.encoded_len() < 24 << 10,
+                "{}",
+                heartbeat.encoded_len()
+            );
+            assert!(!heartbeat.suspects.is_empty());
         }
     }
 }
 
-/// A word that waits to be sent gets older meanwhile: what followed an end would seem to come before it.
+/// Ages grow while a report waits to be sent. With its ages at creation, an event after an exit would seem to
+/// precede it.
 #[test]
 fn ages_are_those_of_the_moment_of_sending() {
-    let news = news(vec![told(1, 1)]);
-    let beat = news.message(NOW + Duration::from_millis(150), 0);
-    let end = &beat.suspects[0].ends[0];
-    assert_eq!((end.sent_ago, end.ended_ago), (350, 250));
+    let status = status(vec![report(1, 1)]);
+    let heartbeat = status.message(NOW + Duration::from_millis(150), 0);
+    let exit = &heartbeat.suspects[0].ends[0];
+    assert_eq!((exit.sent_ago, exit.ended_ago), (350, 250));
 }
