--- a/crates/firdock-state/benches/fold.rs
+++ b/crates/firdock-state/benches/fold.rs
@@ -1,4 +1,4 @@
-//! Cost of a log record as the state grows: fold, snapshot, catalog.
+//! Cost of folding a record, encoding a snapshot and building the catalog, by the number of resources.
 
 #![expect(
     missing_docs,
--- a/crates/firdock-state/src/directory.rs
+++ b/crates/firdock-state/src/directory.rs
@@ -1,8 +1,8 @@
-//! The endpoints that a platform lists, and which of them to believe in after an outage.
+//! The endpoints that a platform lists, and which of them are kept after an outage of the list.
 //!
-//! While a platform's list is out of reach, entries of endpoints that live may lapse there: they
-//! could not renew them either. An entry that is missing right after an outage is therefore kept
-//! for a short grace, in which a living endpoint is listed again (`docs/design/platform.md`).
+//! While a platform's list is unreachable, entries of live endpoints may expire there, as the endpoints cannot
+//! renew them either. An entry that is missing right after an outage is therefore kept for a short grace period,
+//! in which a live endpoint is listed again (`docs/design/platform.md`).
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,42 +10,42 @@
 use firdock_core::EndpointId;
 use firdock_core::resource::Endpoint;
 
-/// Time since the start of the process, as the policy counts it.
+/// Time since the start of the process, as in the policy.
 type Time = Duration;
 
-/// Grace after an outage in which missing entries are kept: endpoints that live and reach the list
-/// are back in it about two seconds after its return.
+/// Grace period after an outage in which missing entries are kept: live endpoints that reach the list are back
+/// in it about two seconds after it is reachable again.
 pub const GRACE: Duration = Duration::from_millis(2_300);
 
-/// Endpoints that are gone whose last entries are remembered, so that an earlier one which comes late
-/// brings none of them back: more than restart within the minutes that an entry can be late.
+/// Maximum number of removed endpoints whose newest entry order is remembered, so that an older entry that
+/// arrives late does not bring one back: more than restart within the minutes that an entry can be late.
 const MAX_GONE: usize = 4_096;
 
-/// Where an entry stands among those of its endpoint: by the start, then by its number since.
+/// Position of an entry among those of its endpoint: by the endpoint's start, then by its number since.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct EntryOrder {
     started: Duration,
     count: u64,
 }
 
-/// What became of an entry.
+/// Result of entering an entry into the directory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Entered {
     /// It changed the endpoints.
     Changed,
-    /// It says what was known.
+    /// It equals the entry that was known.
     Known,
-    /// It is older than what was known, and was passed over.
+    /// It is older than the entry that was known, and was ignored.
     Older,
-    /// It tells no start, though earlier entries of the endpoint did, and was passed over.
+    /// It has no start although earlier entries of the endpoint had one, and was ignored.
     Startless,
 }
 
-/// Endpoints by name, as the platform's list has them.
+/// Endpoints of the platform's list, by name.
 #[derive(Debug, Default)]
 pub struct Directory {
     rows: BTreeMap<EndpointId, Row>,
-    /// The newest entry of each endpoint that tells its start, and of some that are gone.
+    /// Order of the newest entry of each endpoint whose entries have a start, and of some removed endpoints.
     newest: BTreeMap<EndpointId, EntryOrder>,
 }
 
@@ -56,16 +56,17 @@
 }
 
 impl Directory {
-    /// Makes an empty directory.
+    /// Creates an empty directory.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Notes that the list was read up to its end; tells whether that changed the endpoints.
+    /// Records that the list was read up to its end, and drops missing endpoints unless a grace period lasts.
+    /// Returns whether that changed the endpoints.
     ///
-    /// Call it after the entries of the read were put and removed. `steady_since` is when the list
-    /// was first read after its last outage, by this instance or another one.
+    /// Call it after the entries of the read were put and removed. `steady_since` is the time of the first read
+    /// after the list's last outage, by this instance or another one.
     pub fn note_read(&mut self, now: Time, steady_since: Time) -> bool {
         if now < steady_since + GRACE {
             return false;
@@ -75,16 +76,16 @@
         self.rows.len() != before
     }
 
-    /// Takes an entry over unless it is older than one that was taken; `count` is its number since the
-    /// endpoint's start.
+    /// Applies an entry unless it is older than one that was applied. `count` is its number since the endpoint's
+    /// start.
     ///
-    /// Entries of endpoints that tell no start are taken as they come: their order is the platform's.
+    /// Entries of endpoints without a start are applied in the order of arrival, which is the platform's.
     pub fn enter(&mut self, endpoint: Endpoint, count: u64) -> Entered {
         let known = self.newest.get(&endpoint.name).copied();
         let Some(started) = endpoint.started else {
             return match known {
                 Some(_) => Entered::Startless,
-                None => self.put_new(endpoint),
+                None => self.put_entry(endpoint),
             };
         };
         let order = EntryOrder { started, count };
@@ -92,12 +93,12 @@
             return Entered::Older;
         }
         self.newest.insert(endpoint.name.clone(), order);
-        let entered = self.put_new(endpoint);
-        self.forget_gone();
+        let entered = self.put_entry(endpoint);
+        self.evict_removed();
         entered
     }
 
-    fn put_new(&mut self, endpoint: Endpoint) -> Entered {
+    fn put_entry(&mut self, endpoint: Endpoint) -> Entered {
         if self.put(endpoint) {
             Entered::Changed
         } else {
@@ -105,27 +106,27 @@
         }
     }
 
-    /// Forgets the earliest start among those that are gone, if too many are remembered.
-    fn forget_gone(&mut self) {
+    /// Evicts the removed endpoint with the earliest start if too many are remembered.
+    fn evict_removed(&mut self) {
         if self.newest.len() <= self.rows.len() + MAX_GONE {
             return;
         }
-        let gone = |name: &&EndpointId| !self.rows.contains_key(*name);
-        let names = self.newest.keys().filter(gone);
+        let is_removed = |name: &&EndpointId| !self.rows.contains_key(*name);
+        let names = self.newest.keys().filter(is_removed);
         let earliest = names.min_by_key(|name| self.newest[*name]).cloned();
         if let Some(name) = earliest {
             self.newest.remove(&name);
         }
     }
 
-    /// Takes an endpoint out at once, whose entry names none any more; tells whether there was one.
+    /// Removes at once an endpoint whose entry no longer names one. Returns whether there was one.
     ///
-    /// What it said before still counts, so that nothing older brings it back.
+    /// The order of its newest entry is kept, so that an older entry does not bring it back.
     pub fn take_out(&mut self, name: &str) -> bool {
         self.rows.remove(name).is_some()
     }
 
-    /// Takes an entry over; tells whether that changed the endpoints.
+    /// Applies an entry. Returns whether that changed the endpoints.
     pub fn put(&mut self, endpoint: Endpoint) -> bool {
         let name = endpoint.name.clone();
         let row = Row {
@@ -140,14 +141,15 @@
         changed
     }
 
-    /// Takes it that an entry is gone; the endpoint goes with the next read that is trusted.
+    /// Marks an entry as missing. The endpoint is removed by the next read outside of a grace period.
     pub fn remove(&mut self, name: &str) {
         if let Some(row) = self.rows.get_mut(name) {
             row.missing = true;
         }
     }
 
-    /// Takes a whole listing over; tells whether that changed the endpoints.
+    /// Applies a complete listing: endpoints that it lacks are marked as missing. Returns whether it changed an
+    /// endpoint.
     pub fn replace(&mut self, listed: Vec<Endpoint>) -> bool {
         for row in self.rows.values_mut() {
             row.missing = true;
@@ -159,13 +161,13 @@
         changed
     }
 
-    /// Tells whether missing entries are kept, so that it has to be looked at them again.
+    /// Returns whether missing entries are kept, so that the caller has to check them again later.
     #[must_use]
     pub fn keeps_missing(&self) -> bool {
         self.rows.values().any(|row| row.missing)
     }
 
-    /// Goes over the endpoints that are believed in.
+    /// Iterates over the endpoints, those with a kept missing entry included.
     pub fn endpoints(&self) -> impl Iterator<Item = &Endpoint> {
         self.rows.values().map(|row| &row.endpoint)
     }
--- a/crates/firdock-state/src/follow.rs
+++ b/crates/firdock-state/src/follow.rs
@@ -1,7 +1,7 @@
-//! Following the log: batches in, states and results out, also past retention.
+//! Follows the log: turns batches of records into a state and the result of each record.
 //!
-//! A reader that is too far behind starts again from a snapshot record; it uses one only if every
-//! record after the snapshot's offset is still there (see `docs/design/configuration.md`).
+//! A reader that is behind the log's retention starts again from a snapshot record. It uses a snapshot only if
+//! the log still has every record after the snapshot's offset (see `docs/design/configuration.md`).
 
 use std::time::Duration;
 
@@ -11,40 +11,40 @@
 use crate::record::{Body, LogRecord, Record, RecordId};
 use crate::state::{FoldOutcome, State};
 
-/// Records that the log gave in one read.
+/// Records of one read of the log.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Batch {
-    /// Oldest offset that the log still has (the next one to be written, if it has none).
+    /// Oldest offset that the log still has; the next one to be written if the log is empty.
     pub first: Offset,
     /// Offset that the next append will get.
     pub next: Offset,
-    /// The log's clock when it answered, in milliseconds since the Unix epoch.
+    /// Time of the answer by the log's clock, in milliseconds since the Unix epoch.
     pub time_millis: u64,
-    /// Records in order, from the offset asked for or the oldest one.
+    /// Records in order, from the requested offset or the oldest one.
     pub records: Vec<LogRecord>,
 }
 
 impl Batch {
-    /// Gives the log's clock.
+    /// Returns the time of the answer by the log's clock.
     #[must_use]
     pub fn time(&self) -> Duration {
         Duration::from_millis(self.time_millis)
     }
 }
 
-/// What a batch brought.
+/// Result of a batch.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Progress {
-    /// Records were folded; `at_end` tells whether the log's end was reached.
+    /// Records were folded.
     Folded {
-        /// Result of each record, for writers that wait.
+        /// Result of each record, for the writers that wait for it.
         results: Vec<(RecordId, FoldOutcome)>,
         /// Whether the log's end was reached.
         at_end: bool,
     },
-    /// Records are missing and no usable snapshot was seen yet.
+    /// Records are missing, and no usable snapshot was found yet.
     Gap {
-        /// Offset to go on reading from.
+        /// Offset to continue reading from.
         read_from: Offset,
     },
 }
@@ -53,7 +53,7 @@
 #[derive(Debug, Clone)]
 pub struct Follower {
     state: State,
-    /// Records read after a gap, while a snapshot is looked for.
+    /// Search for a snapshot after a gap; `None` while there is no gap.
     scan: Option<Scan>,
 }
 
@@ -64,8 +64,8 @@
 }
 
 impl Scan {
-    /// Goes through a batch until a snapshot whose later records are all there.
-    fn look_for_snapshot(&mut self, batch: &Batch) {
+    /// Searches a batch for a snapshot whose later records are all available.
+    fn find_snapshot(&mut self, batch: &Batch) {
         for log in batch
             .records
             .iter()
@@ -81,7 +81,7 @@
                 continue;
             };
             if state.next >= batch.first && state.next <= log.offset {
-                // Reading goes back to what the snapshot does not cover.
+                // Reading resumes at the first record that the snapshot does not cover.
                 self.next = state.next;
                 self.state = Some(*state);
                 return;
@@ -97,25 +97,25 @@
 }
 
 impl Follower {
-    /// Starts from a state: empty, or one that a peer gave.
+    /// Creates a follower that starts from a state: an empty one, or one from a peer.
     #[must_use]
     pub fn new(state: State) -> Self {
         Self { state, scan: None }
     }
 
-    /// Gives the state in force.
+    /// Returns the state in force.
     #[must_use]
     pub fn state(&self) -> &State {
         &self.state
     }
 
-    /// Gives the offset to read from.
+    /// Returns the offset to read from.
     #[must_use]
     pub fn read_from(&self) -> Offset {
         self.scan.as_ref().map_or(self.state.next, |s| s.next)
     }
 
-    /// Takes a state that a peer gave over, if it is ahead; tells whether it was.
+    /// Replaces the state by one from a peer if that is ahead. Returns whether it was.
     pub fn adopt(&mut self, state: State) -> bool {
         let ahead = state.next > self.state.next && state.version >= self.state.version;
         if ahead {
@@ -134,7 +134,7 @@
             });
         }
         if self.scan.is_some() {
-            return self.take_scanning(batch);
+            return self.scan_batch(batch);
         }
         let results = fold_all(&mut self.state, &batch.records);
         Progress::Folded {
@@ -143,8 +143,8 @@
         }
     }
 
-    /// Looks for a snapshot whose later records are all there, and folds on from it.
-    fn take_scanning(&mut self, batch: &Batch) -> Progress {
+    /// Searches for a snapshot whose later records are all available, and folds the records after it.
+    fn scan_batch(&mut self, batch: &Batch) -> Progress {
         let Some(mut scan) = self.scan.take() else {
             return Progress::Gap {
                 read_from: self.state.next,
@@ -161,7 +161,7 @@
                 fold_all(state, &batch.records);
                 scan.next = state.next;
             }
-            None => scan.look_for_snapshot(batch),
+            None => scan.find_snapshot(batch),
         }
         let at_end = scan.next >= batch.next;
         if let Some(state) = scan
@@ -174,14 +174,14 @@
                 at_end,
             };
         }
-        // At the end without a snapshot, the scan waits there for one to be written.
+        // At the end without a snapshot, the scan waits there until one is written.
         let read_from = scan.next;
         self.scan = Some(scan);
         Progress::Gap { read_from }
     }
 }
 
-/// Folds the records that come next, passing over those that were folded already.
+/// Folds the new records and skips those that were folded already.
 fn fold_all(state: &mut State, records: &[LogRecord]) -> Vec<(RecordId, FoldOutcome)> {
     let mut results = Vec::new();
     for log in records
--- a/crates/firdock-state/src/lib.rs
+++ b/crates/firdock-state/src/lib.rs
@@ -1,7 +1,7 @@
-//! The fold of the platform's log into resources, versions and the member view.
+//! Folds the records of the platform's log into resources, versions and the member view.
 //!
-//! Every instance folds the same records in the same order by the same pure function, so that of
-//! two racing operators one wins everywhere and versions never go back
+//! Every instance folds the same records in the same order with the same pure function. So of two concurrent
+//! changes to a resource the same one wins on every instance, and versions never decrease
 //! (see `docs/design/configuration.md`).
 
 pub mod directory;
--- a/crates/firdock-state/src/record.rs
+++ b/crates/firdock-state/src/record.rs
@@ -1,4 +1,4 @@
-//! Records of the platform's log, as firdock writes them.
+//! Records of the platform's log in the form in which firdock writes them.
 
 use std::time::Duration;
 
@@ -9,28 +9,28 @@
 
 use crate::State;
 
-/// Id of a record, minted by its writer, by which it finds its own record again.
+/// Id of a record. Its writer generates it and recognizes its own record by it.
 pub type RecordId = Uuid;
 
-/// A record as the log gives it back.
+/// A record as read from the log.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LogRecord {
     /// Position in the log.
     pub offset: Offset,
-    /// Time at which the log took it, in milliseconds since the Unix epoch.
+    /// Time at which the log stored it, in milliseconds since the Unix epoch.
     pub time_millis: u64,
-    /// Text of the record; text that is no [`Record`] changes nothing anywhere.
+    /// Text of the record; text that is no valid [`Record`] is ignored by every instance.
     pub body: String,
 }
 
 impl LogRecord {
-    /// Gives the record's time.
+    /// Returns the time at which the log stored the record.
     #[must_use]
     pub fn time(&self) -> Duration {
         Duration::from_millis(self.time_millis)
     }
 
-    /// Decodes the text; `None` for text that firdock did not write.
+    /// Decodes the text; `None` if it is no valid record of firdock's.
     #[must_use]
     pub fn decode(&self) -> Option<Record> {
         serde_json::from_str(&self.body).ok()
@@ -46,15 +46,15 @@
     pub body: Body,
 }
 
-/// What a record says.
+/// Content of a record, by its type.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "type", rename_all = "kebab-case")]
 pub enum Body {
     /// An operator changes a resource.
     Change(Change),
-    /// An instance comes or goes.
+    /// An instance joins or leaves.
     Member(MemberRecord),
-    /// The state up to an offset, so that older records may be dropped.
+    /// The state up to an offset, so that the log may drop older records.
     Snapshot {
         /// The state.
         state: Box<State>,
@@ -64,9 +64,9 @@
 /// A change of one resource.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// Resource that is changed.
+    /// Key of the changed resource.
     pub key: ResourceKey,
-    /// Version that the writer saw; 0 for "absent".
+    /// Version that the change is based on; 0 if the resource was absent.
     pub base: Version,
     /// New content; `None` deletes the resource.
     pub resource: Option<Resource>,
@@ -77,8 +77,8 @@
 pub struct MemberRecord {
     /// Name of the instance.
     pub name: InstanceId,
-    /// Start of the instance that the record is about.
+    /// Id of the instance's process.
     pub incarnation: Uuid,
-    /// Whether it joins; else it leaves.
+    /// Whether it joins; otherwise it leaves.
     pub joins: bool,
 }
--- a/crates/firdock-state/src/state.rs
+++ b/crates/firdock-state/src/state.rs
@@ -1,4 +1,4 @@
-//! The state that the log's records add up to.
+//! The state that results from folding the log's records.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,11 +10,11 @@
 
 use crate::record::{Body, Change, MemberRecord, Record};
 
-/// Most members of a view; further joins change nothing, so that a fault cannot grow the state.
+/// Maximum members of a view; further joins are ignored, so that a fault cannot grow the state without bound.
 const MAX_MEMBERS: usize = 512;
-/// Views that are remembered.
+/// Maximum number of views that the state keeps, the one in force included.
 const MAX_VIEWS: usize = 32;
-/// Most resources; further ones change nothing.
+/// Maximum resources; changes that add further ones are ignored.
 const MAX_RESOURCES: usize = 50_000;
 
 /// A resource with its version.
@@ -31,24 +31,24 @@
 pub struct MemberEntry {
     /// Name.
     pub name: InstanceId,
-    /// Start of the instance.
+    /// Id of the instance's process.
     pub incarnation: Uuid,
 }
 
-/// A member view that was in force, and is still asked for by those who own keys.
+/// A member view that is or was in force; owners of keys still look up earlier ones.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PastView {
     /// Number: the offset of the record that made it, plus one.
     pub number: u64,
     /// Time of that record, by the log's clock.
     pub since: Duration,
-    /// Whether no view was in force before.
+    /// Whether it is the first view.
     pub first: bool,
     /// Members, sorted by name.
     pub members: Vec<MemberEntry>,
 }
 
-/// What became of a record.
+/// Result of folding a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "result", rename_all = "kebab-case")]
 pub enum FoldOutcome {
@@ -57,12 +57,12 @@
         /// New version of the resource.
         version: Version,
     },
-    /// The writer's base was outdated: nothing changed.
+    /// The base of the change was outdated; nothing changed.
     Outdated {
-        /// Version in force; 0 where the resource is absent.
+        /// Version in force; 0 if the resource is absent.
         present: Version,
     },
-    /// The record was about members.
+    /// The record changed the member view.
     View,
     /// The record changed nothing.
     Ignored,
@@ -80,24 +80,24 @@
     pub entries: BTreeMap<ResourceKey, Entry>,
     /// Members, sorted by name.
     pub members: Vec<MemberEntry>,
-    /// The latest views, the one in force last.
+    /// The latest views in order; the last one is in force.
     pub views: Vec<PastView>,
     /// Time of the newest snapshot record; zero before the first.
     pub snapshot_time: Duration,
 }
 
 impl State {
-    /// Makes the state before the first record.
+    /// Creates the state before the first record.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Folds the record at `offset` in.
+    /// Folds the record at `offset` into the state.
     ///
     /// # Panics
     ///
-    /// Panics if records come out of order, or a version would go back.
+    /// Panics if records arrive out of order, or a version would decrease.
     pub fn fold(&mut self, offset: Offset, time: Duration, record: Option<&Record>) -> FoldOutcome {
         assert_eq!(offset, self.next, "records are folded in the log's order");
         self.next = offset + 1;
@@ -112,19 +112,19 @@
         }
     }
 
-    /// Gives the version in force of a resource; 0 where it is absent.
+    /// Returns the version in force of a resource; 0 if it is absent.
     #[must_use]
     pub fn version_of(&self, key: &ResourceKey) -> Version {
         self.entries.get(key).map_or(0, |e| e.version)
     }
 
-    /// Gives the number of the view in force; 0 before the first.
+    /// Returns the number of the view in force; 0 before the first.
     #[must_use]
     pub fn view(&self) -> u64 {
         self.views.last().map_or(0, |v| v.number)
     }
 
-    /// Gives the resources in force as the policy takes them.
+    /// Returns the resources in force in the policy's form.
     #[must_use]
     pub fn catalog(&self) -> Catalog {
         let resources = self.entries.values().map(|e| e.resource.clone());
@@ -137,15 +137,15 @@
             return FoldOutcome::Outdated { present };
         }
         let full = present == 0 && self.entries.len() >= MAX_RESOURCES;
-        let named = change
+        let key_matches = change
             .resource
             .as_ref()
             .is_none_or(|r| r.key() == change.key);
-        if full || !named {
+        if full || !key_matches {
             return FoldOutcome::Ignored;
         }
         let version = offset + 1;
-        assert!(version > self.version, "versions never go back");
+        assert!(version > self.version, "versions never decrease");
         self.version = version;
         match &change.resource {
             Some(resource) => {
@@ -176,11 +176,11 @@
             }
             _ => return FoldOutcome::Ignored,
         }
-        self.note_view(offset, time);
+        self.record_view(offset, time);
         FoldOutcome::View
     }
 
-    fn note_view(&mut self, offset: Offset, since: Duration) {
+    fn record_view(&mut self, offset: Offset, since: Duration) {
         let first = self.views.is_empty();
         let members = self.members.clone();
         self.views.push(PastView {
@@ -195,7 +195,7 @@
     }
 }
 
-/// JSON has no maps with struct keys, so entries are written as a list.
+/// Serializes the entries as a list, as JSON has no maps with struct keys.
 mod entries {
     use std::collections::BTreeMap;
 
--- a/crates/firdock-state/tests/state/decode.rs
+++ b/crates/firdock-state/tests/state/decode.rs
@@ -1,4 +1,4 @@
-//! Records from outside are data: whatever comes is ignored or folded, and never a panic.
+//! Decoding of records from outside: any text is folded or ignored, and never causes a panic.
 
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
     }
 
     #[test]
-    fn json_that_is_nearly_a_record_changes_nothing(
+    fn json_of_an_almost_valid_record_is_ignored(
         kind in "[a-z]{0,8}", base in any::<i64>(), name in ".{0,70}",
     ) {
         let body = format!(
--- a/crates/firdock-state/tests/state/main.rs
+++ b/crates/firdock-state/tests/state/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the fold and of following the log.
+//! Tests of decoding records, folding and following the log, and the directory of endpoints.
 
 mod decode;
 mod directory;
--- a/crates/firdock-state/tests/state/random.rs
+++ b/crates/firdock-state/tests/state/random.rs
@@ -1,4 +1,4 @@
-//! Random runs of several followers over one log: retention, outages, races and snapshots.
+//! Random runs of several followers of one log: retention, outages, concurrent changes and snapshots.
 //!
 //! `FIRDOCK_SEEDS` sets how many seeds are run, `FIRDOCK_SEED` runs a single one.
 
@@ -12,7 +12,7 @@
 use rand::{Rng as _, SeedableRng as _};
 use uuid::Uuid;
 
-/// Seeds of a run in CI.
+/// Number of seeds of a run in CI.
 const SEEDS: u64 = 300;
 const STEPS: usize = 400;
 const FOLLOWERS: usize = 4;
@@ -39,9 +39,9 @@
         id
     }
 
-    fn read(&self, from: u64, most: usize) -> Batch {
+    fn read(&self, from: u64, max: usize) -> Batch {
         let skip = from.saturating_sub(self.first) as usize;
-        let records = self.records.iter().skip(skip).take(most).cloned().collect();
+        let records = self.records.iter().skip(skip).take(max).cloned().collect();
         Batch {
             first: self.first,
             next: self.next(),
@@ -51,13 +51,13 @@
     }
 }
 
-/// Folds every record that was ever written, as the arbiter of what is right.
-struct Arbiter {
+/// Folds every record that was ever written, as the reference for the followers.
+struct Reference {
     state: State,
     results: Vec<(Uuid, FoldOutcome)>,
 }
 
-impl Arbiter {
+impl Reference {
     fn fold(&mut self, log: &LogRecord) {
         let record = log.decode();
         let outcome = self.state.fold(log.offset, log.time(), record.as_ref());
@@ -104,7 +104,7 @@
         first: 0,
         records: Vec::new(),
     };
-    let mut arbiter = Arbiter {
+    let mut reference = Reference {
         state: State::new(),
         results: Vec::new(),
     };
@@ -115,19 +115,19 @@
         match rng.random_range(0..100) {
             0..30 => {
                 let body = change(&mut rng, followers[i].state());
-                append(&mut log, &mut arbiter, body);
+                append(&mut log, &mut reference, body);
             }
             30..38 => {
                 let body = member(&mut rng);
-                append(&mut log, &mut arbiter, body);
+                append(&mut log, &mut reference, body);
             }
             38..44 => {
                 let state = Box::new(followers[i].state().clone());
-                append(&mut log, &mut arbiter, Body::Snapshot { state });
+                append(&mut log, &mut reference, Body::Snapshot { state });
             }
             44..50 => expire(&mut rng, &mut log),
             50..53 => {
-                // A new instance takes the place of an old one.
+                // A new instance replaces an old one.
                 followers[i] = Follower::default();
                 versions[i] = 0;
             }
@@ -135,22 +135,22 @@
                 let state = followers[(i + 1) % FOLLOWERS].state().clone();
                 followers[i].adopt(state);
             }
-            _ => read(&mut rng, &log, &arbiter, &mut followers[i]),
+            _ => read(&mut rng, &log, &reference, &mut followers[i]),
         }
         let version = followers[i].state().version;
         assert!(
             version >= versions[i],
-            "seed {seed}: follower {i} went back to {version}"
+            "seed {seed}: version of follower {i} decreased to {version}"
         );
         versions[i] = version;
     }
-    settle(seed, &mut log, &mut arbiter, &mut followers);
+    check_convergence(seed, &mut log, &mut reference, &mut followers);
 }
 
-fn append(log: &mut Log, arbiter: &mut Arbiter, body: Body) {
+fn append(log: &mut Log, reference: &mut Reference, body: Body) {
     log.append(body);
     let record = log.records.last().expect("one was just written").clone();
-    arbiter.fold(&record);
+    reference.fold(&record);
 }
 
 fn expire(rng: &mut StdRng, log: &mut Log) {
@@ -159,34 +159,42 @@
     log.first += n as u64;
 }
 
-fn read(rng: &mut StdRng, log: &Log, arbiter: &Arbiter, follower: &mut Follower) {
+fn read(rng: &mut StdRng, log: &Log, reference: &Reference, follower: &mut Follower) {
     let batch = log.read(follower.read_from(), rng.random_range(1..20));
     if let Progress::Folded { results, at_end } = follower.take(&batch) {
         for result in results {
             assert!(
-                arbiter.results.contains(&result),
+                reference.results.contains(&result),
                 "all folds of a record agree"
             );
         }
         if at_end {
-            assert_same(follower.state(), &arbiter.state);
+            assert_same(follower.state(), &reference.state);
         }
     }
 }
 
-fn assert_same(state: &State, right: &State) {
-    assert_eq!(state.entries, right.entries);
+fn assert_same(state: &State, expected: &State) {
+    assert_eq!(state.entries, expected.entries);
     assert_eq!(
         (&state.members, &state.views),
-        (&right.members, &right.views)
+        (&expected.members, &expected.views)
+    );
+    assert_eq!(
+        (state.version, state.next),
+        (expected.version, expected.next)
     );
-    assert_eq!((state.version, state.next), (right.version, right.next));
 }
 
-/// Lets one that is up to date write a snapshot; then everyone must come to the same state.
-fn settle(seed: u64, log: &mut Log, arbiter: &mut Arbiter, followers: &mut [Follower]) {
-    let state = Box::new(arbiter.state.clone());
-    append(log, arbiter, Body::Snapshot { state });
+/// Appends an up-to-date snapshot and checks that all followers then reach the same state.
+fn check_convergence(
+    seed: u64,
+    log: &mut Log,
+    reference: &mut Reference,
+    followers: &mut [Follower],
+) {
+    let state = Box::new(reference.state.clone());
+    append(log, reference, Body::Snapshot { state });
     for follower in followers {
         for _ in 0..1_000 {
             let batch = log.read(follower.read_from(), 7);
@@ -196,22 +204,22 @@
         }
         assert_eq!(
             follower.state().next,
-            arbiter.state.next,
+            reference.state.next,
             "seed {seed}: not caught up"
         );
-        assert_same(follower.state(), &arbiter.state);
+        assert_same(follower.state(), &reference.state);
     }
 }
 
-fn number(name: &str) -> Option<u64> {
+fn number_from_env(name: &str) -> Option<u64> {
     std::env::var(name).ok()?.parse().ok()
 }
 
 #[test]
-fn every_follower_comes_to_the_same_state_and_never_goes_back() {
-    let seeds = match number("FIRDOCK_SEED") {
+fn all_followers_converge_to_one_state_and_versions_never_decrease() {
+    let seeds = match number_from_env("FIRDOCK_SEED") {
         Some(seed) => seed..seed + 1,
-        None => 0..number("FIRDOCK_SEEDS").unwrap_or(SEEDS),
+        None => 0..number_from_env("FIRDOCK_SEEDS").unwrap_or(SEEDS),
     };
     for seed in seeds {
         let run = std::panic::catch_unwind(|| run_seed(seed));
--- a/crates/firdock-wire/src/auth.rs
+++ b/crates/firdock-wire/src/auth.rs
@@ -1,12 +1,12 @@
-//! Proof that a peer knows the shared key, bound to both names and both sides' random bytes.
+//! Proof that a peer knows the shared key, bound to both names and nonces, and the sealing of datagrams.
 
 use hmac::{Hmac, Mac as _};
 use sha2::Sha256;
 
-/// Random bytes of one side of a connection.
+/// Length of the nonce of each side of a connection.
 pub const NONCE_BYTES: usize = 32;
 
-/// Which side of the connection a proof is for, so that one side's proof is no use as the other's.
+/// Side of the connection that a proof is for, so that a proof cannot be replayed as the other side's.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Side {
     /// The instance that connected.
@@ -15,20 +15,20 @@
     Acceptor,
 }
 
-/// What both sides of a connection know once hello and welcome were sent.
+/// Names and nonces of both sides, known once hello and welcome were exchanged.
 #[derive(Debug, Clone, Copy)]
 pub struct Parties<'a> {
     /// Name of the instance that connected.
     pub dialer: &'a str,
-    /// Its random bytes.
+    /// Its nonce.
     pub dialer_nonce: &'a [u8],
     /// Name of the instance that was connected to.
     pub acceptor: &'a str,
-    /// Its random bytes.
+    /// Its nonce.
     pub acceptor_nonce: &'a [u8],
 }
 
-/// Makes one side's proof.
+/// Creates the proof of one side.
 #[must_use]
 pub fn prove(key: &[u8], side: Side, parties: &Parties<'_>) -> Vec<u8> {
     mac(key, side, parties).finalize().into_bytes().to_vec()
@@ -37,13 +37,13 @@
 /// Checks the other side's proof in constant time.
 #[must_use]
 pub fn check(key: &[u8], side: Side, parties: &Parties<'_>, proof: &[u8]) -> bool {
-    let fresh = parties.dialer_nonce.len() == NONCE_BYTES
+    let nonces_are_valid = parties.dialer_nonce.len() == NONCE_BYTES
         && parties.acceptor_nonce.len() == NONCE_BYTES
         && parties.dialer_nonce != parties.acceptor_nonce;
-    fresh && mac(key, side, parties).verify_slice(proof).is_ok()
+    nonces_are_valid && mac(key, side, parties).verify_slice(proof).is_ok()
 }
 
-/// Computes the code over every field with its length, so that fields cannot run together.
+/// Computes the HMAC over every field with its length, so that the boundaries of fields are unambiguous.
 fn mac(key: &[u8], side: Side, parties: &Parties<'_>) -> Hmac<Sha256> {
     let mut mac = Hmac::<Sha256>::new_from_slice(key).expect("HMAC takes keys of any length");
     mac.update(&[u8::from(side == Side::Acceptor)]);
@@ -60,10 +60,10 @@
     mac
 }
 
-/// Bytes of the code before a sealed datagram's content.
-const SEAL_BYTES: usize = 32;
+/// Length of the HMAC before a sealed datagram's content.
+const MAC_BYTES: usize = 32;
 
-/// Puts a code before a datagram's content, by which an instance with the same key knows it.
+/// Prepends an HMAC to a datagram's content, by which instances with the same key authenticate it.
 #[must_use]
 pub fn seal(key: &[u8], content: &[u8]) -> Vec<u8> {
     let mut sealed = datagram_mac(key, content).finalize().into_bytes().to_vec();
@@ -71,12 +71,12 @@
     sealed
 }
 
-/// Gives a sealed datagram's content; `None` if its code is not right.
+/// Returns the content of a sealed datagram; `None` if its HMAC is invalid.
 #[must_use]
 pub fn open<'a>(key: &[u8], sealed: &'a [u8]) -> Option<&'a [u8]> {
-    let (code, content) = sealed.split_at_checked(SEAL_BYTES)?;
-    let right = datagram_mac(key, content).verify_slice(code).is_ok();
-    right.then_some(content)
+    let (code, content) = sealed.split_at_checked(MAC_BYTES)?;
+    let is_valid = datagram_mac(key, content).verify_slice(code).is_ok();
+    is_valid.then_some(content)
 }
 
 fn datagram_mac(key: &[u8], content: &[u8]) -> Hmac<Sha256> {
--- a/crates/firdock-wire/src/codec.rs
+++ b/crates/firdock-wire/src/codec.rs
@@ -1,4 +1,4 @@
-//! Frames of bounded size, each holding one message.
+//! Codec for frames of bounded size that hold one message each.
 
 use bytes::{Bytes, BytesMut};
 use prost::Message as _;
@@ -7,24 +7,24 @@
 
 use crate::message::{Frame, frame::Body};
 
-/// What can be wrong with a connection's bytes.
+/// Error in the bytes of a connection.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 #[non_exhaustive]
 pub enum WireError {
-    /// The connection broke, or a frame was longer than allowed.
-    #[snafu(display("connection or frame length"), context(false))]
+    /// The connection failed, or a frame exceeded the size limit.
+    #[snafu(display("connection failed, or frame too long"), context(false))]
     Io {
         /// Cause.
         source: std::io::Error,
     },
-    /// The bytes of a frame are no message.
-    #[snafu(display("frame holds no message"))]
+    /// The bytes of a frame are not a valid message.
+    #[snafu(display("frame does not hold a valid message"))]
     Decode {
         /// Cause.
         source: prost::DecodeError,
     },
-    /// A frame holds a message of no kind known here.
+    /// A frame holds a message of an unknown kind.
     #[snafu(display("frame holds a message of an unknown kind"))]
     UnknownKind,
 }
@@ -36,7 +36,7 @@
 }
 
 impl FrameCodec {
-    /// Makes a codec that refuses frames longer than `max_bytes`.
+    /// Creates a codec that rejects frames longer than `max_bytes`.
     #[must_use]
     pub fn new(max_bytes: usize) -> Self {
         let frames = LengthDelimitedCodec::builder()
--- a/crates/firdock-wire/tests/wire/main.rs
+++ b/crates/firdock-wire/tests/wire/main.rs
@@ -1,4 +1,4 @@
-//! Frames from outside: whatever comes is a message or an error, and never a panic.
+//! Decoding of frames from outside: any bytes are a message or an error, and never cause a panic.
 
 use bytes::{BufMut as _, BytesMut};
 use firdock_wire::auth::{NONCE_BYTES, Parties, Side, check, prove};
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 use tokio_util::codec::{Decoder as _, Encoder as _};
 
-const MAX: usize = 1 << 16;
+const MAX_FRAME_BYTES: usize = 1 << 16;
 
 fn parties<'a>(a: &'a [u8], b: &'a [u8]) -> Parties<'a> {
     Parties {
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_proof_holds_for_its_key_side_and_nonces_only() {
+fn a_proof_is_valid_for_its_key_side_and_nonces_only() {
     let (a, b) = ([1; NONCE_BYTES], [2; NONCE_BYTES]);
     let proof = prove(b"key", Side::Dialer, &parties(&a, &b));
     assert!(check(b"key", Side::Dialer, &parties(&a, &b), &proof));
@@ -37,21 +37,21 @@
 }
 
 #[test]
-fn a_frame_that_is_too_long_is_refused_before_it_is_read() {
-    let mut codec = FrameCodec::new(MAX);
+fn a_frame_that_is_too_long_is_rejected_before_it_is_read() {
+    let mut codec = FrameCodec::new(MAX_FRAME_BYTES);
     let mut bytes = BytesMut::new();
     bytes.put_u32(u32::MAX);
-    let refused = codec.decode(&mut bytes);
-    assert!(matches!(refused, Err(firdock_wire::WireError::Io { .. })));
-    let data = vec![0; MAX + 1];
-    let long = codec.encode(Body::AnswerData(AnswerData { data }), &mut BytesMut::new());
-    assert!(long.is_err());
+    let decoded = codec.decode(&mut bytes);
+    assert!(matches!(decoded, Err(firdock_wire::WireError::Io { .. })));
+    let data = vec![0; MAX_FRAME_BYTES + 1];
+    let encoded = codec.encode(Body::AnswerData(AnswerData { data }), &mut BytesMut::new());
+    assert!(encoded.is_err());
 }
 
 proptest! {
     #[test]
     fn any_bytes_are_decoded_without_a_panic(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
-        let mut codec = FrameCodec::new(MAX);
+        let mut codec = FrameCodec::new(MAX_FRAME_BYTES);
         let mut buffer = BytesMut::from(&*bytes);
         while let Ok(Some(_)) = codec.decode(&mut buffer) {}
         let mut framed = BytesMut::new();
@@ -61,24 +61,24 @@
     }
 
     #[test]
-    fn what_is_encoded_is_decoded_the_same_in_any_pieces(
+    fn an_encoded_message_is_decoded_the_same_from_any_chunks(
         body in proptest::collection::vec(any::<u8>(), 0..2_000),
         name in "[a-z-]{1,20}",
         value in proptest::collection::vec(any::<u8>(), 0..40),
         cut in any::<usize>(),
     ) {
-        let order = HandOver {
+        let hand_over = HandOver {
             body,
             headers: vec![Header { name, value }],
             target: "/orders".to_owned(),
             ..HandOver::default()
         };
-        let mut codec = FrameCodec::new(MAX);
+        let mut codec = FrameCodec::new(MAX_FRAME_BYTES);
         let mut bytes = BytesMut::new();
-        codec.encode(Body::HandOver(order.clone()), &mut bytes).expect("it fits");
+        codec.encode(Body::HandOver(hand_over.clone()), &mut bytes).expect("it fits");
         let tail = bytes.split_off(cut % bytes.len());
         prop_assert!(codec.decode(&mut bytes).expect("no error").is_none());
         bytes.unsplit(tail);
-        prop_assert_eq!(codec.decode(&mut bytes).expect("no error"), Some(Body::HandOver(order)));
+        prop_assert_eq!(codec.decode(&mut bytes).expect("no error"), Some(Body::HandOver(hand_over)));
     }
 }
