--- a/crates/firdock-node/tests/node/partial_replies.rs
+++ b/crates/firdock-node/tests/node/partial_replies.rs
@@ -45,8 +45,8 @@
     };
     assert_eq!(replies.missing(sender(1)), Some(missing));
     assert_eq!(replies.missing(sender(2)), None);
-    let whole = replies.add(NOW, sender(1), part(9, &sent, 1));
-    assert_eq!(whole.map(|w| w.map(|w| w.state)), Ok(Some(sent)));
+    let complete = replies.add(NOW, sender(1), part(9, &sent, 1));
+    assert_eq!(complete.map(|state| state.map(|s| s.state)), Ok(Some(sent)));
     assert_eq!(replies.missing(sender(1)), None);
 }
 
@@ -56,8 +56,11 @@
     let mut replies = PartialReplies::default();
     assert_eq!(replies.add(NOW, sender(1), part(1, &old, 0)), Ok(None));
     assert_eq!(replies.add(NOW, sender(1), part(2, &new, 1)), Ok(None));
-    let whole = replies.add(NOW, sender(1), part(2, &new, 0));
-    assert_eq!(whole.map(|w| w.map(|w| w.state)), Ok(Some(new.clone())));
+    let complete = replies.add(NOW, sender(1), part(2, &new, 0));
+    assert_eq!(
+        complete.map(|state| state.map(|s| s.state)),
+        Ok(Some(new.clone()))
+    );
     // The same number by another process of the sender is another state.
     assert_eq!(replies.add(NOW, sender(1), part(2, &new, 0)), Ok(None));
     let restarted = StateAnswer {
@@ -103,12 +106,12 @@
         let sent = state(bytes);
         let parts = count_parts(bytes).expect("few parts");
         let mut replies = PartialReplies::default();
-        let mut whole = None;
+        let mut complete = None;
         for n in order.into_iter().map(|n| n % parts).chain(0..parts) {
-            if whole.is_none() {
-                whole = replies.add(NOW, sender(1), part(1, &sent, n)).expect("a part");
+            if complete.is_none() {
+                complete = replies.add(NOW, sender(1), part(1, &sent, n)).expect("a part");
             }
         }
-        prop_assert_eq!(whole.map(|w| w.state), Some(sent));
+        prop_assert_eq!(complete.map(|s| s.state), Some(sent));
     }
 }
--- a/crates/firdock-state/src/directory.rs
+++ b/crates/firdock-state/src/directory.rs
@@ -148,8 +148,8 @@
         }
     }
 
-    /// Applies a complete listing: endpoints that it lacks are marked as missing. Returns whether it changed an
-    /// endpoint.
+    /// Applies a complete listing: endpoints that it lacks are marked as missing. Returns whether it added or
+    /// changed an endpoint.
     pub fn replace(&mut self, listed: Vec<Endpoint>) -> bool {
         for row in self.rows.values_mut() {
             row.missing = true;
