--- a/crates/firdock-wire/src/auth.rs
+++ b/crates/firdock-wire/src/auth.rs
@@ -3,7 +3,7 @@
 use hmac::{Hmac, Mac as _};
 use sha2::Sha256;
 
-/// Length of the nonce of each side of a connection.
+/// Length in bytes of the random nonce of each side of a connection.
 pub const NONCE_BYTES: usize = 32;
 
 /// Side of the connection that a proof is for, so that a proof cannot be replayed as the other side's.
@@ -60,7 +60,7 @@
     mac
 }
 
-/// Length of the HMAC before a sealed datagram's content.
+/// Length in bytes of the HMAC before a sealed datagram's content.
 const MAC_BYTES: usize = 32;
 
 /// Prepends an HMAC to a datagram's content, by which instances with the same key authenticate it.
