--- a/crates/firdock-node/tests/node/large_site.rs
+++ b/crates/firdock-node/tests/node/large_site.rs
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn an_instance_whose_question_is_queued_reads_the_store_later() {
+fn an_instance_whose_reply_is_delayed_reads_the_store_later() {
     let reads = SharedReads::default().with_asks_peers_first(true);
     let pause = Duration::from_millis(600);
     let (due, _) = reads.due_at(START, pause, ReadTurn::alone());
