--- a/crates/firdock-core/src/ids.rs
+++ b/crates/firdock-core/src/ids.rs
@@ -5,7 +5,7 @@
 
 use uuid::Uuid;
 
-/// Id of one request at one entry instance, minted at the door.
+/// Id of one request at one entry instance, generated at the ingress.
 pub type RequestId = Uuid;
 /// Name of an entry instance, as the platform's instance list and the settings give it.
 pub type InstanceId = String;
--- a/crates/firdock-core/src/settings/tables.rs
+++ b/crates/firdock-core/src/settings/tables.rs
@@ -15,7 +15,7 @@
     pub name: InstanceId,
     /// Availability zone.
     pub zone: ZoneId,
-    /// Address of the callers' door.
+    /// Address of the ingress, where callers connect.
     pub callers: Option<SocketAddr>,
     /// Address of the resource API, health and metrics.
     pub operators: Option<SocketAddr>,
--- a/crates/firdock-standin/src/client.rs
+++ b/crates/firdock-standin/src/client.rs
@@ -1,4 +1,4 @@
-//! A caller that checks what it gets: its own answer, whole, with one outcome.
+//! Test client that verifies each answer: complete, meant for this caller, with exactly one outcome.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -12,23 +12,23 @@
 use crate::engine::text;
 use crate::service::{WORK_HEADER, expected_answer};
 
-/// Time for a connect.
-const CONNECT_TIME: Duration = Duration::from_secs(5);
-/// Time for the head of an answer.
-const HEAD_TIME: Duration = Duration::from_secs(15);
+/// Timeout for establishing a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
+/// Timeout for the head of a response.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// What to call.
+/// Work that a call asks for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Work {
     /// A model call.
     Model {
-        /// Model.
+        /// Name of the model.
         model: String,
         /// Prompt.
         prompt: String,
-        /// Tokens of the answer.
+        /// Number of tokens in the answer.
         tokens: u32,
-        /// Whether the answer is wanted as a stream.
+        /// Whether the answer is requested as an event stream.
         stream: bool,
         /// Whether it is a chat call.
         chat: bool,
@@ -37,28 +37,28 @@
     Plain {
         /// Method.
         method: Method,
-        /// Path with the query.
+        /// Path and query.
         target: String,
         /// Body.
         body: String,
     },
 }
 
-/// A call.
+/// A call to send to an entry instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Call {
     /// Bearer key.
     pub bearer: String,
     /// Idempotency key.
     pub key: Option<String>,
-    /// Name of the piece of work over all its resends, which stand-in services count by.
+    /// Name of the piece of work, the same in all retries; stand-in services count runs by it.
     pub work_name: Option<String>,
-    /// What to call.
+    /// Work that the call asks for.
     pub work: Work,
 }
 
 impl Call {
-    /// Makes a model call.
+    /// Creates a model call with a streamed answer.
     #[must_use]
     pub fn model(bearer: &str, model: &str, prompt: &str, tokens: u32) -> Self {
         let work = Work::Model {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Makes a plain call.
+    /// Creates a plain call.
     #[must_use]
     pub fn plain(bearer: &str, method: Method, target: &str, body: &str) -> Self {
         let work = Work::Plain {
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Asks for the answer as a whole or as a stream.
+    /// Sets whether the answer is requested as an event stream or in one piece.
     #[must_use]
     pub fn with_stream(mut self, wanted: bool) -> Self {
         if let Work::Model { stream, .. } = &mut self.work {
@@ -101,7 +101,7 @@
         self
     }
 
-    /// Makes a model call a chat call.
+    /// Turns a model call into a chat call.
     #[must_use]
     pub fn with_chat(mut self) -> Self {
         if let Work::Model { chat, .. } = &mut self.work {
@@ -117,7 +117,7 @@
         self
     }
 
-    /// Names the piece of work.
+    /// Sets the name of the piece of work.
     #[must_use]
     pub fn with_work_name(mut self, name: &str) -> Self {
         self.work_name = Some(name.to_owned());
@@ -174,7 +174,7 @@
         body
     }
 
-    /// Gives the text that a whole answer must have.
+    /// Returns the text of the complete answer to this call.
     fn expected(&self) -> String {
         match &self.work {
             Work::Model {
@@ -193,33 +193,33 @@
     }
 }
 
-/// What a caller got.
+/// Response to a call, with the checks made on it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Got {
-    /// Status; 0 where no head came.
+    /// HTTP status; 0 if no response head was received.
     pub status: u16,
-    /// Value of `Firdock-Outcome`; empty where there was none.
+    /// Value of `Firdock-Outcome`; empty without the header.
     pub outcome: String,
-    /// Reason of a problem document.
+    /// Reason in the problem document.
     pub reason: String,
-    /// Seconds of `Retry-After`.
+    /// Value of `Retry-After`, in seconds.
     pub retry_after: Option<u64>,
-    /// Whether the body came to its end as HTTP tells it.
+    /// Whether the body ended properly by HTTP's framing.
     pub ended: bool,
-    /// Whether the whole answer is the caller's own.
+    /// Whether the answer is complete and belongs to this call.
     pub own: bool,
-    /// Text of the body, or of the tokens.
+    /// Text of the body, or the joined text of the tokens.
     pub text: String,
-    /// Headers.
+    /// Response headers.
     pub headers: HeaderMap,
-    /// Time to the first byte of the body.
+    /// Time from the call to the first byte of the body.
     pub first: Duration,
-    /// Time to the end.
+    /// Time from the call to the end of the body.
     pub total: Duration,
 }
 
 impl Got {
-    fn nothing(since: Instant) -> Self {
+    fn without_response(started: Instant) -> Self {
         Self {
             status: 0,
             outcome: String::new(),
@@ -229,20 +229,20 @@
             own: false,
             text: String::new(),
             headers: HeaderMap::new(),
-            first: since.elapsed(),
-            total: since.elapsed(),
+            first: started.elapsed(),
+            total: started.elapsed(),
         }
     }
 
-    /// Tells whether the caller got its own whole answer.
+    /// Returns whether the caller received its own complete answer.
     #[must_use]
     pub fn answered(&self) -> bool {
         self.outcome == "answered" && self.ended && self.own
     }
 
-    /// Tells whether the call ended as one of the three outcomes may.
+    /// Returns whether the response is valid for its outcome.
     ///
-    /// An answer that was begun and is not whole must show it by a broken connection.
+    /// An answer that started but is incomplete must end with a broken connection.
     #[must_use]
     pub fn is_sound(&self) -> bool {
         match self.outcome.as_str() {
@@ -253,22 +253,22 @@
     }
 }
 
-/// Makes a call and checks the answer.
+/// Sends a call and checks the answer.
 pub async fn call(address: SocketAddr, call: &Call) -> Got {
-    let since = Instant::now();
+    let started = Instant::now();
     let Some(request) = call.request() else {
-        return Got::nothing(since);
+        return Got::without_response(started);
     };
-    let Ok(mut connection) = connect(address, CONNECT_TIME).await else {
-        return Got::nothing(since);
+    let Ok(mut connection) = connect(address, CONNECT_TIMEOUT).await else {
+        return Got::without_response(started);
     };
-    let Ok(response) = connection.call(request, HEAD_TIME).await else {
-        return Got::nothing(since);
+    let Ok(response) = connection.call(request, HEAD_TIMEOUT).await else {
+        return Got::without_response(started);
     };
     let (head, mut body) = response.into_parts();
     let mut got = Got {
         status: head.status.as_u16(),
-        ..Got::nothing(since)
+        ..Got::without_response(started)
     };
     let header = |name: &str| head.headers.get(name).and_then(|v| v.to_str().ok());
     got.outcome = header("firdock-outcome").unwrap_or_default().to_owned();
@@ -278,7 +278,7 @@
         match body.frame().await {
             Some(Ok(frame)) => {
                 if bytes.is_empty() {
-                    got.first = since.elapsed();
+                    got.first = started.elapsed();
                 }
                 bytes.extend_from_slice(frame.data_ref().map_or(&[], |d| d));
             }
@@ -286,7 +286,7 @@
             None => break true,
         }
     };
-    got.total = since.elapsed();
+    got.total = started.elapsed();
     read_body(&mut got, call, &String::from_utf8_lossy(&bytes));
     got.headers = head.headers;
     got
@@ -302,12 +302,12 @@
     }
     got.text = match &call.work {
         Work::Model { stream: true, .. } => stream_text(body),
-        Work::Model { .. } => whole_text(body),
+        Work::Model { .. } => single_answer_text(body),
         Work::Plain { .. } => body.to_owned(),
     };
-    let closed = !matches!(&call.work, Work::Model { stream: true, .. })
+    let complete = !matches!(&call.work, Work::Model { stream: true, .. })
         || body.trim_end().ends_with("data: [DONE]");
-    got.own = closed && got.text == call.expected();
+    got.own = complete && got.text == call.expected();
 }
 
 fn stream_text(body: &str) -> String {
@@ -317,7 +317,7 @@
         .collect()
 }
 
-fn whole_text(body: &str) -> String {
+fn single_answer_text(body: &str) -> String {
     let answer = serde_json::from_str::<Value>(body).unwrap_or_default();
     choice_text(&answer["choices"][0], "message")
 }
@@ -329,7 +329,7 @@
     text.unwrap_or_default().to_owned()
 }
 
-/// Calls an operators' or a stand-in's path; gives the status (0 for none) and the body.
+/// Calls the operator API or a stand-in; returns the status (0 without a response) and the body.
 pub async fn operator_call(
     method: Method,
     address: SocketAddr,
@@ -342,10 +342,11 @@
         .uri(path)
         .header("host", "firdock")
         .body(body);
-    let (Ok(request), Ok(mut connection)) = (request, connect(address, CONNECT_TIME).await) else {
+    let (Ok(request), Ok(mut connection)) = (request, connect(address, CONNECT_TIMEOUT).await)
+    else {
         return (0, String::new());
     };
-    let Ok(response) = connection.call(request, HEAD_TIME).await else {
+    let Ok(response) = connection.call(request, HEAD_TIMEOUT).await else {
         return (0, String::new());
     };
     let status = response.status().as_u16();
--- a/crates/firdock-standin/src/demo.rs
+++ b/crates/firdock-standin/src/demo.rs
@@ -1,4 +1,4 @@
-//! The demo: stand-ins and two entry instances in one process, and a mix of both users' work.
+//! The demo: stand-ins and two entry instances in one process, under a mix of both deployments' requests.
 
 mod load;
 mod report;
@@ -11,36 +11,36 @@
 pub use report::DemoReport;
 pub use site::DemoSite;
 
-/// Why the demo could not run.
+/// Error that ends the demo.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 #[non_exhaustive]
 pub enum DemoError {
-    /// A stand-in did not start.
+    /// A stand-in failed to start.
     #[snafu(display("start a stand-in"))]
     Standin {
         /// Cause.
         source: std::io::Error,
     },
-    /// An instance did not start.
+    /// An entry instance failed to start.
     #[snafu(display("start an entry instance"))]
     Instance {
         /// Cause.
         source: firdock_node::StartError,
     },
-    /// The sample resources did not come into force.
+    /// The sample resources were rejected or did not take effect in time.
     #[snafu(display("apply the sample resources: {why}"))]
     Resources {
-        /// What the resource API said.
+        /// Answer of the resource API.
         why: String,
     },
 }
 
-/// Runs the demo.
+/// Runs the demo and returns its report.
 ///
 /// # Errors
 ///
-/// Fails if a part does not start or the sample resources are refused.
+/// Fails if a component does not start or the sample resources are rejected.
 pub async fn run(seconds: u64, seed: u64) -> Result<DemoReport, DemoError> {
     let site = DemoSite::start().await?;
     let results = load::run(&site, Duration::from_secs(seconds), seed).await;
--- a/crates/firdock-standin/src/demo/load.rs
+++ b/crates/firdock-standin/src/demo/load.rs
@@ -1,4 +1,4 @@
-//! The demo's callers: a bounded mix of both deployments' requests.
+//! Load generator of the demo: a mix of both deployments' requests with bounded concurrency.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,24 +14,24 @@
 use crate::client::{Call, Got, call};
 use crate::workload::{Arrival, Deployment, Workload};
 
-/// Requests a second of each deployment.
+/// Requests per second of each deployment.
 const RATE: f64 = 25.0;
-/// Callers at once.
+/// Maximum number of concurrent callers.
 const MAX_CALLERS: usize = 256;
-/// Longest answer of the demo, in tokens.
+/// Maximum length of an answer, in tokens.
 const MAX_OUTPUT: u32 = 200;
 
-/// One call with what came of it.
+/// Result of one call.
 #[derive(Debug)]
-pub struct Result {
+pub struct CallResult {
     /// Tier of the request.
     pub tier: &'static str,
-    /// What the caller got.
+    /// Checked response.
     pub got: Got,
 }
 
-/// Sends requests for a while and waits for all answers.
-pub async fn run(site: &DemoSite, time: Duration, seed: u64) -> Vec<Result> {
+/// Sends requests for `time` and waits for all answers.
+pub async fn run(site: &DemoSite, time: Duration, seed: u64) -> Vec<CallResult> {
     let addresses = site.caller_addresses();
     let mut arrivals = arrivals(time, seed, addresses.len());
     arrivals.sort_by_key(|a| a.at);
@@ -45,7 +45,7 @@
         calls.spawn(async move {
             let got = send(address, &arrival).await;
             drop(slot);
-            Result {
+            CallResult {
                 tier: arrival.kind.tier,
                 got,
             }
@@ -56,19 +56,19 @@
 
 fn arrivals(time: Duration, seed: u64, instances: usize) -> Vec<Arrival> {
     let deployments = [Deployment::Fjallkarta, Deployment::Authority];
-    let works = deployments
+    let workloads = deployments
         .into_iter()
         .zip(seed..)
         .map(|(deployment, seed)| {
             Workload::new(deployment, seed, RATE, instances).take_while(move |a| a.at < time)
         });
-    works.flatten().collect()
+    workloads.flatten().collect()
 }
 
 async fn send(address: SocketAddr, arrival: &Arrival) -> Got {
     let key = bearer(ACCOUNTS[arrival.account]);
     let service = arrival.kind.service;
-    let what = if arrival.kind.plain {
+    let call_spec = if arrival.kind.plain {
         let target = format!("/{service}/{}", arrival.prompt.unique);
         let call = Call::plain(&key, Method::POST, &target, "sheet 21 north");
         let name = Uuid::now_v7().to_string();
@@ -81,5 +81,5 @@
         let tokens = arrival.output.min(MAX_OUTPUT);
         Call::model(&key, service, &arrival.prompt.text(), tokens)
     };
-    call(address, &what).await
+    call(address, &call_spec).await
 }
--- a/crates/firdock-standin/src/demo/report.rs
+++ b/crates/firdock-standin/src/demo/report.rs
@@ -1,46 +1,46 @@
-//! What the demo prints.
+//! Report of the demo.
 
 use std::collections::BTreeMap;
 use std::fmt::{self, Display, Formatter};
 
 use serde::Serialize;
 
-use super::load::Result;
+use super::load::CallResult;
 
 /// Figures of one tier.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct TierRow {
     /// Requests sent.
     pub sent: u64,
-    /// Whole own answers.
+    /// Requests whose caller received its own complete answer.
     pub answered: u64,
-    /// Requests that ran nowhere.
+    /// Requests that no endpoint ran.
     pub not_run: u64,
-    /// Requests that may have run.
+    /// Requests of which it is unknown whether they ran.
     pub unknown: u64,
-    /// Requests that ended in no outcome, or with an answer that is not their own.
+    /// Requests without a valid outcome, or with an answer that belongs to another request.
     pub unsound: u64,
     /// 95th percentile of the time to the first byte, in milliseconds.
     pub first_p95_millis: u64,
 }
 
-/// The whole report.
+/// Report over all tiers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct DemoReport {
     /// Figures by tier.
     pub tiers: BTreeMap<&'static str, TierRow>,
-    /// Prompt tokens computed in vain.
+    /// Prompt tokens whose computation was wasted.
     pub wasted_prefill_tokens: u64,
-    /// Most often that any request ran on one endpoint.
+    /// Highest number of runs of any request on one endpoint.
     pub most_runs: u32,
 }
 
 impl DemoReport {
-    /// Makes the report.
+    /// Creates the report from the results of all calls.
     #[must_use]
-    pub(super) fn new(results: &[Result], most_runs: u32, wasted: u64) -> Self {
+    pub(super) fn new(results: &[CallResult], most_runs: u32, wasted: u64) -> Self {
         let mut tiers: BTreeMap<&'static str, TierRow> = BTreeMap::new();
-        let mut firsts: BTreeMap<&'static str, Vec<u64>> = BTreeMap::new();
+        let mut first_byte_times: BTreeMap<&'static str, Vec<u64>> = BTreeMap::new();
         for r in results {
             let row = tiers.entry(r.tier).or_default();
             row.sent += 1;
@@ -48,14 +48,14 @@
                 "answered" if r.got.answered() => {
                     row.answered += 1;
                     let millis = u64::try_from(r.got.first.as_millis()).unwrap_or(u64::MAX);
-                    firsts.entry(r.tier).or_default().push(millis);
+                    first_byte_times.entry(r.tier).or_default().push(millis);
                 }
                 "not-run" if r.got.is_sound() => row.not_run += 1,
                 "unknown" if r.got.is_sound() => row.unknown += 1,
                 _ => row.unsound += 1,
             }
         }
-        for (tier, mut times) in firsts {
+        for (tier, mut times) in first_byte_times {
             times.sort_unstable();
             let at = (times.len() * 95).div_ceil(100).saturating_sub(1);
             if let Some(row) = tiers.get_mut(tier) {
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Tells whether every request ended in one outcome, with its own whole answer if answered.
+    /// Returns whether every request had exactly one valid outcome and ran at most once on any endpoint.
     #[must_use]
     pub fn is_sound(&self) -> bool {
         self.tiers.values().all(|t| t.unsound == 0) && self.most_runs <= 1
--- a/crates/firdock-standin/src/demo/site.rs
+++ b/crates/firdock-standin/src/demo/site.rs
@@ -1,4 +1,4 @@
-//! The demo's site: log, instance list, engines of three speeds, plain services, two instances.
+//! The demo's site: a log, an instance list, engines of three speeds, plain services and two instances.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
@@ -18,24 +18,24 @@
 
 /// Sample resources without endpoints and accounts.
 const SAMPLE: &str = include_str!("../../samples/demo.toml");
-/// Accounts of the demo; the bearer key of each is its name and `-key`.
+/// Client accounts of the demo; the bearer key of each is its name followed by `-key`.
 pub const ACCOUNTS: [&str; 5] = ["uppsala", "vasteras", "amman", "orebro", "gavle"];
-/// Engines of three speeds: slots, prompt tokens a second, seconds for a token.
+/// Engine speeds: slots, prompt tokens per second, seconds per token.
 const SPEEDS: [(usize, f64, f64); 3] = [
     (8, 40_000.0, 0.004),
     (8, 20_000.0, 0.008),
     (4, 10_000.0, 0.012),
 ];
-/// Engines of each speed.
+/// Number of engines of each speed.
 const ENGINES_EACH: usize = 2;
-/// Plain services.
+/// Number of plain services.
 const SERVICES: usize = 2;
-/// Entry instances.
+/// Number of entry instances.
 const INSTANCES: usize = 2;
-/// Grace of the demo's idempotency keys after a change of members.
-const KEY_GRACE: Duration = Duration::from_secs(2);
-/// Time in which the site must be ready.
-const READY_TIME: Duration = Duration::from_secs(20);
+/// Grace period of idempotency keys after a membership change.
+const KEY_GRACE_PERIOD: Duration = Duration::from_secs(2);
+/// Timeout for the site to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A running site.
 #[derive(Debug)]
@@ -51,18 +51,18 @@
     SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0)
 }
 
-/// Finds a free port for an address that settings must name beforehand.
+/// Finds a free port, for an address that the settings must give before the instance binds it.
 fn free_address() -> Result<SocketAddr, DemoError> {
     let listener = TcpListener::bind(any_port()).context(StandinSnafu)?;
     listener.local_addr().context(StandinSnafu)
 }
 
 impl DemoSite {
-    /// Starts everything and waits until the sample resources are in force everywhere.
+    /// Starts all components and waits until the sample resources are in force on every instance.
     ///
     /// # Errors
     ///
-    /// Fails if a part does not start or the sample resources are refused.
+    /// Fails if a component does not start or the sample resources are rejected.
     pub async fn start() -> Result<Self, DemoError> {
         let log = StandinLog::start(any_port(), LogSettings::default()).context(StandinSnafu)?;
         let list = StandinInstances::start(any_port(), Duration::from_millis(200));
@@ -94,8 +94,8 @@
             site.add_instance(i)?;
         }
         site.apply().await?;
-        // Keys minted right after a change of members are answered `unknown` (docs/design/keys.md).
-        tokio::time::sleep(KEY_GRACE).await;
+        // Keys created during the grace period after a membership change are answered `unknown` (docs/design/keys.md).
+        tokio::time::sleep(KEY_GRACE_PERIOD).await;
         Ok(site)
     }
 
@@ -112,7 +112,7 @@
             free_address()?,
             self.log.served.address,
             self.list.served.address,
-            KEY_GRACE.as_secs(),
+            KEY_GRACE_PERIOD.as_secs(),
         );
         let settings =
             Settings::parse(&text).map_err(|e| DemoError::Resources { why: e.to_string() })?;
@@ -127,9 +127,9 @@
         Ok(())
     }
 
-    /// Applies the resources through the resource API, again until the log was read.
+    /// Applies the resources through the resource API, retrying until every instance has read them from the log.
     async fn apply(&self) -> Result<(), DemoError> {
-        let end = Instant::now() + READY_TIME;
+        let end = Instant::now() + READY_TIMEOUT;
         let text = self.resources();
         loop {
             let at = self.instances[0].operators;
@@ -144,16 +144,16 @@
         }
     }
 
-    /// Tells whether every instance knows all others and the newest configuration.
+    /// Returns whether every instance knows all others and the newest configuration.
     async fn converged(&self) -> bool {
         for instance in &self.instances {
             let (_, text) = operator_call(Method::GET, instance.operators, "/v1/status", "").await;
             let status = serde_json::from_str::<serde_json::Value>(&text).unwrap_or_default();
             let members = status["members"].as_array().map_or(0, Vec::len);
-            let heard = status["instances"]
+            let live = status["instances"]
                 .as_object()
                 .map_or(0, serde_json::Map::len);
-            if status["converged"] != true || members != INSTANCES || heard != INSTANCES {
+            if status["converged"] != true || members != INSTANCES || live != INSTANCES {
                 return false;
             }
         }
@@ -192,13 +192,13 @@
         text
     }
 
-    /// Gives the callers' doors.
+    /// Returns the ingress address of each instance.
     #[must_use]
     pub fn caller_addresses(&self) -> Vec<SocketAddr> {
         self.instances.iter().map(|i| i.callers).collect()
     }
 
-    /// Gives the most often that any request ran on one endpoint.
+    /// Returns the highest number of runs of any request on one endpoint.
     #[must_use]
     pub fn most_runs(&self) -> u32 {
         let engines = self.engines.iter().map(|e| e.runs().most());
@@ -206,7 +206,7 @@
         engines.chain(services).max().unwrap_or(0)
     }
 
-    /// Sums the prompt tokens that the instances count as computed in vain.
+    /// Sums the prompt tokens that the instances count as wasted.
     pub async fn wasted_prefill(&self) -> u64 {
         let mut sum = 0;
         for instance in &self.instances {
@@ -221,7 +221,7 @@
         sum
     }
 
-    /// Stops the instances one after another.
+    /// Stops the instances, one after another.
     pub async fn stop(self) {
         for instance in self.instances {
             instance.stop().await;
@@ -229,7 +229,7 @@
     }
 }
 
-/// Gives the bearer key of a demo account.
+/// Returns the bearer key of a demo account.
 #[must_use]
 pub fn bearer(account: &str) -> String {
     format!("{account}-key")
--- a/crates/firdock-standin/src/fault.rs
+++ b/crates/firdock-standin/src/fault.rs
@@ -1,11 +1,11 @@
-//! Faults that a stand-in can be told to have, by `POST /fault`.
+//! Faults that are injected into a stand-in with `POST /fault`.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// What is wrong with a stand-in.
+/// Faults of a stand-in, as set by a test.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[expect(
@@ -13,9 +13,9 @@
     reason = "each fault is independent of the others"
 )]
 pub struct FaultState {
-    /// Pause before each call is worked on, in milliseconds.
+    /// Delay before each call is processed, in milliseconds.
     pub delay_millis: u64,
-    /// Calls to come whose reply is lost after they took effect.
+    /// Number of next calls whose reply is lost after they took effect.
     pub lose_replies: u32,
     /// Whether calls get no answer and have no effect.
     pub silent: bool,
@@ -23,27 +23,27 @@
     pub outage: bool,
     /// Whether new work is refused before anything is done for it.
     pub refuse: bool,
-    /// Seconds for which the stand-in wants nothing, told with what it refuses; 0 for none.
+    /// `Retry-After` that is sent with a refusal, in seconds; 0 for none.
     pub retry_after: u32,
-    /// How many times slower the stand-in works.
+    /// Factor by which processing takes longer.
     pub slowdown: f64,
-    /// Tokens or bytes after which the next answers are cut off; 0 for never.
+    /// Number of tokens or bytes after which answers are truncated, for as many answers as `cuts`.
     pub cut_after: u32,
-    /// Answers to come that are cut off.
+    /// Number of next answers that are truncated.
     pub cuts: u32,
-    /// Whether answers have neither a length nor chunks, so that one that is cut off ends like a whole one.
+    /// Whether answers have neither a content length nor chunks, so that a truncated one looks complete.
     pub unframed: bool,
-    /// Answers to come that carry another request's id.
+    /// Number of next answers that carry the id of another request.
     pub crossed: u32,
-    /// Whether the stand-in says that it is leaving.
+    /// Whether the stand-in reports that it is leaving.
     pub leaving: bool,
-    /// Whether a broken stream cannot be taken up again.
+    /// Whether a broken stream cannot be resumed.
     pub forgetful: bool,
-    /// Age of the load and cache events that a report shows, in milliseconds.
+    /// Minimum age of the load and the cache events in a report, in milliseconds.
     pub report_lag_millis: u64,
-    /// Reports to come whose cache events are lost.
+    /// Number of next reports whose cache events are lost.
     pub lost_events: u32,
-    /// Whether the stand-in is dead: what it was answering breaks off.
+    /// Whether the stand-in is dead: answers in progress break off.
     pub dead: bool,
 }
 
@@ -70,12 +70,12 @@
     }
 }
 
-/// Faults of one stand-in, shared with whoever sets them.
+/// Shared handle to the faults of one stand-in.
 #[derive(Debug, Clone, Default)]
 pub struct Faults(Arc<Mutex<FaultState>>);
 
 impl Faults {
-    /// Makes a stand-in that works well.
+    /// Creates a state without faults.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
@@ -85,7 +85,7 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Gives the present faults.
+    /// Returns the current faults.
     #[must_use]
     pub fn get(&self) -> FaultState {
         self.lock().clone()
@@ -101,33 +101,33 @@
         change(&mut self.lock());
     }
 
-    /// Takes one lost reply off the count; tells whether there was one.
+    /// Counts down the lost replies; returns whether this reply is lost.
     #[must_use]
     pub fn take_lost_reply(&self) -> bool {
-        take(&mut self.lock().lose_replies)
+        count_down(&mut self.lock().lose_replies)
     }
 
-    /// Takes one crossed answer off the count; tells whether there was one.
+    /// Counts down the answers with another request's id; returns whether this is one.
     #[must_use]
     pub fn take_crossed(&self) -> bool {
-        take(&mut self.lock().crossed)
+        count_down(&mut self.lock().crossed)
     }
 
-    /// Takes one report with lost events off the count; tells whether there was one.
+    /// Counts down the reports with lost cache events; returns whether this is one.
     #[must_use]
     pub fn take_lost_events(&self) -> bool {
-        take(&mut self.lock().lost_events)
+        count_down(&mut self.lock().lost_events)
     }
 
-    /// Takes one cut answer off the count; gives after how much it is cut.
+    /// Counts down the truncated answers; returns the length at which this one is truncated, if it is.
     #[must_use]
     pub fn take_cut(&self) -> Option<u32> {
         let mut state = self.lock();
         let after = state.cut_after;
-        take(&mut state.cuts).then_some(after)
+        count_down(&mut state.cuts).then_some(after)
     }
 
-    /// Waits for the delay, and for ever where the stand-in is silent.
+    /// Waits for the configured delay, and forever if the stand-in is silent.
     pub async fn before_work(&self) {
         let state = self.get();
         if state.delay_millis > 0 {
@@ -139,8 +139,8 @@
     }
 }
 
-fn take(count: &mut u32) -> bool {
-    let some = *count > 0;
+fn count_down(count: &mut u32) -> bool {
+    let is_positive = *count > 0;
     *count = count.saturating_sub(1);
-    some
+    is_positive
 }
--- a/crates/firdock-standin/src/instances.rs
+++ b/crates/firdock-standin/src/instances.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the platform's instance list, which shows what was true some time ago.
+//! Stand-in for the platform's instance list, which shows changes after a delay.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -14,7 +14,7 @@
 use crate::log::set_fault;
 use crate::web::{self, Reply, Served};
 
-/// Changes kept that are not shown yet.
+/// Maximum number of changes that the list does not show yet; further changes are dropped.
 const MAX_PENDING: usize = 10_000;
 
 #[derive(Debug, Default)]
@@ -46,7 +46,7 @@
     }
 }
 
-/// A running instance list.
+/// A running instance list server.
 #[derive(Debug)]
 pub struct StandinInstances {
     /// Server.
@@ -57,7 +57,7 @@
 }
 
 impl StandinInstances {
-    /// Starts a list that lags.
+    /// Starts a list that shows each change after `lag`.
     ///
     /// # Errors
     ///
@@ -74,12 +74,12 @@
         })
     }
 
-    /// Adds or changes a row.
+    /// Adds or replaces the row of an instance.
     pub fn set(&self, row: ListedRow) {
         lock(&self.store).set(row.name.clone(), Some(row));
     }
 
-    /// Removes a row.
+    /// Removes the row of an instance.
     pub fn remove(&self, name: &str) {
         lock(&self.store).set(name.to_owned(), None);
     }
@@ -111,7 +111,7 @@
                     lock(&store).set(row.name.clone(), Some(row));
                     web::status(200, "set")
                 }
-                None => web::status(400, "no row"),
+                None => web::status(400, "malformed row"),
             }
         }
         (Method::DELETE, path) => match path.strip_prefix("/instances/") {
--- a/crates/firdock-standin/src/lib.rs
+++ b/crates/firdock-standin/src/lib.rs
@@ -1,7 +1,8 @@
-//! Small stand-ins for what surrounds firdock: engines, plain services, the log, the instance list.
+//! Stand-ins for the systems that firdock talks to: model engines, plain application servers, the
+//! platform's log and its instance list.
 //!
-//! Each can be told at run time to delay, lose replies, stop answering or slow down, so that tests
-//! can bring about the failures that firdock is meant for. They are not part of the product.
+//! Faults can be injected into each at run time: delays, lost replies, no answers, slow work. Tests use
+//! them to reproduce the failures that firdock must handle. The stand-ins are not part of the product.
 
 pub mod client;
 pub mod demo;
--- a/crates/firdock-standin/src/log.rs
+++ b/crates/firdock-standin/src/log.rs
@@ -14,17 +14,17 @@
 use crate::fault::{FaultState, Faults};
 use crate::web::{self, Reply, Served};
 
-/// Bytes of records kept at most.
+/// Maximum total size of the retained records, in bytes.
 const MAX_BYTES: usize = 256 << 20;
-/// Most records in one answer.
+/// Maximum number of records in one answer.
 const MAX_BATCH: usize = 1_024;
 
 /// Settings of the log.
 #[derive(Debug, Clone, Copy)]
 pub struct LogSettings {
-    /// How long records are kept.
+    /// Time for which records are retained.
     pub retention: Duration,
-    /// Appends a second.
+    /// Maximum appends per second.
     pub rate: f64,
 }
 
@@ -44,7 +44,7 @@
     records: VecDeque<LogRecord>,
     bytes: usize,
     credit: f64,
-    credited: Instant,
+    credited_at: Instant,
 }
 
 impl Store {
@@ -55,7 +55,7 @@
             records: VecDeque::new(),
             bytes: 0,
             credit: settings.rate,
-            credited: Instant::now(),
+            credited_at: Instant::now(),
         }
     }
 
@@ -63,7 +63,7 @@
         self.first + self.records.len() as u64
     }
 
-    /// Drops what is past retention, or too much.
+    /// Drops records that are past retention or exceed [`MAX_BYTES`].
     fn expire(&mut self) {
         let limit = now_millis().saturating_sub(self.settings.retention.as_millis() as u64);
         while self
@@ -78,12 +78,12 @@
         }
     }
 
-    /// Appends a record unless the rate is used up.
+    /// Appends a record and returns its offset; `None` if the append rate is exceeded.
     fn append(&mut self, body: String) -> Option<u64> {
-        let passed = self.credited.elapsed().as_secs_f64();
-        self.credited = Instant::now();
-        let most = self.settings.rate;
-        self.credit = (self.credit + passed * most).min(most);
+        let elapsed = self.credited_at.elapsed().as_secs_f64();
+        self.credited_at = Instant::now();
+        let max = self.settings.rate;
+        self.credit = (self.credit + elapsed * max).min(max);
         if self.credit < 1.0 {
             return None;
         }
@@ -98,14 +98,14 @@
         Some(offset)
     }
 
-    fn read(&mut self, from: u64, most: usize) -> Batch {
+    fn read(&mut self, from: u64, max: usize) -> Batch {
         self.expire();
         let skip = from.saturating_sub(self.first) as usize;
         let records = self
             .records
             .iter()
             .skip(skip)
-            .take(most.min(MAX_BATCH))
+            .take(max.min(MAX_BATCH))
             .cloned();
         Batch {
             first: self.first,
@@ -123,7 +123,7 @@
     u64::try_from(now.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// A running log.
+/// A running log server.
 #[derive(Debug)]
 pub struct StandinLog {
     /// Server.
@@ -134,7 +134,7 @@
 }
 
 impl StandinLog {
-    /// Starts a log.
+    /// Starts a log server.
     ///
     /// # Errors
     ///
@@ -151,13 +151,13 @@
         })
     }
 
-    /// Gives all records that are kept.
+    /// Returns all retained records.
     #[must_use]
     pub fn records(&self) -> Vec<LogRecord> {
         lock(&self.store).records.iter().cloned().collect()
     }
 
-    /// Drops all records before an offset, as retention would.
+    /// Drops all records before an offset, as the end of their retention does.
     pub fn drop_before(&self, offset: u64) {
         let mut store = lock(&self.store);
         while store.first < offset && !store.records.is_empty() {
@@ -189,8 +189,8 @@
     match (request.method().clone(), path.as_str()) {
         (Method::GET, "/log") => {
             let from = web::query(&request, "from").unwrap_or(0);
-            let most = web::query(&request, "max").unwrap_or(100) as usize;
-            web::json(&lock(&store).read(from, most))
+            let max = web::query(&request, "max").unwrap_or(100) as usize;
+            web::json(&lock(&store).read(from, max))
         }
         (Method::POST, "/log") => append(request, &faults, &store).await,
         _ => web::status(404, "no such path"),
@@ -204,11 +204,11 @@
 ) -> Response<Reply> {
     let body = web::read(request.into_body()).await;
     let Some(body) = body.and_then(|b| String::from_utf8(b.to_vec()).ok()) else {
-        return web::status(400, "a record is UTF-8 text");
+        return web::status(400, "record is not UTF-8 text");
     };
     let appended = lock(store).append(body);
     let Some(offset) = appended else {
-        return web::status(429, "append rate");
+        return web::status(429, "append rate exceeded");
     };
     if faults.take_lost_reply() {
         web::never().await;
@@ -223,6 +223,6 @@
             faults.set(state);
             web::status(200, "set")
         }
-        None => web::status(400, "no fault that this stand-in knows"),
+        None => web::status(400, "malformed body or unknown fault"),
     }
 }
--- a/crates/firdock-standin/src/main.rs
+++ b/crates/firdock-standin/src/main.rs
@@ -1,4 +1,4 @@
-//! `firdock-standin`: the stand-ins as processes, and the demo.
+//! `firdock-standin`: runs the stand-ins as processes, the demo and the measurements.
 
 mod cmd;
 
--- a/crates/firdock-standin/src/service.rs
+++ b/crates/firdock-standin/src/service.rs
@@ -1,4 +1,4 @@
-//! Stand-in for a plain application server, which counts what it ran.
+//! Stand-in for a plain application server that counts its runs of each request.
 
 use std::collections::HashMap;
 use std::io;
@@ -18,24 +18,24 @@
 use crate::log::set_fault;
 use crate::web::{self, Reply, Served};
 
-/// Runs that are counted; further ones are run but not counted.
-const MAX_RUNS: usize = 200_000;
-/// Header by which callers in tests name a piece of work, over all its resends.
+/// Maximum number of requests whose runs are counted; once it is reached, calls run without being counted.
+const MAX_COUNTED: usize = 200_000;
+/// Header with which test callers name a piece of work, the same in all retries.
 pub const WORK_HEADER: &str = "x-work";
-/// Header that carries the request's id.
+/// Header with the request's id.
 const REQUEST_ID: &str = "x-request-id";
 
-/// What a stand-in service ran.
+/// Number of runs on a stand-in.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Runs {
     /// Runs by request id.
     pub by_request: HashMap<String, u32>,
-    /// Runs by the name that the caller gave the work.
+    /// Runs by the caller's name of the work.
     pub by_work: HashMap<String, u32>,
 }
 
 impl Runs {
-    /// Gives the most often that any request or piece of work ran.
+    /// Returns the highest number of runs of any request or piece of work.
     #[must_use]
     pub fn most(&self) -> u32 {
         self.by_request
@@ -53,7 +53,7 @@
     running: std::sync::atomic::AtomicU32,
 }
 
-/// A running plain service.
+/// A running plain application server.
 #[derive(Debug)]
 pub struct StandinService {
     /// Server.
@@ -64,7 +64,7 @@
 }
 
 impl StandinService {
-    /// Starts a service whose calls take `work`.
+    /// Starts a server on which each call takes `work`.
     ///
     /// # Errors
     ///
@@ -81,7 +81,7 @@
         })
     }
 
-    /// Gives what it ran.
+    /// Returns the number of runs so far.
     #[must_use]
     pub fn runs(&self) -> Runs {
         lock(&self.shared.runs).clone()
@@ -135,10 +135,10 @@
     use std::sync::atomic::Ordering::Relaxed;
     let (head, body) = request.into_parts();
     let Some(body) = web::read(body).await else {
-        return web::status(400, "broken body");
+        return web::status(400, "incomplete or oversized body");
     };
     let text = |name: &str| head.headers.get(name).and_then(|v| v.to_str().ok());
-    count(shared, text(REQUEST_ID), text(WORK_HEADER));
+    record_run(shared, text(REQUEST_ID), text(WORK_HEADER));
     shared.running.fetch_add(1, Relaxed);
     tokio::time::sleep(work.mul_f64(faults.get().slowdown)).await;
     shared.running.fetch_sub(1, Relaxed);
@@ -155,11 +155,11 @@
     let unframed = faults.get().unframed;
     let mut response = match faults.take_cut() {
         Some(after) if unframed => Response::new(Reply::whole(answer[..after as usize].to_owned())),
-        Some(after) => cut_response(&answer, after as usize),
+        Some(after) => truncated_response(&answer, after as usize),
         None => Response::new(Reply::whole(answer)),
     };
     if unframed {
-        // Without chunks, the library ends the body with the connection.
+        // HTTP/1.0 has no chunks, so hyper ends the body by closing the connection.
         *response.version_mut() = Version::HTTP_10;
     }
     if let Some(id) = id.and_then(|id| HeaderValue::from_str(id).ok()) {
@@ -168,9 +168,9 @@
     response
 }
 
-fn count(shared: &Shared, request: Option<&str>, work: Option<&str>) {
+fn record_run(shared: &Shared, request: Option<&str>, work: Option<&str>) {
     let mut runs = lock(&shared.runs);
-    if runs.by_request.len() >= MAX_RUNS {
+    if runs.by_request.len() >= MAX_COUNTED {
         return;
     }
     if let Some(id) = request {
@@ -181,8 +181,8 @@
     }
 }
 
-/// Makes an answer that says its length and stops short of it.
-fn cut_response(answer: &str, after: usize) -> Response<Reply> {
+/// Creates a response whose body is shorter than its `Content-Length`.
+fn truncated_response(answer: &str, after: usize) -> Response<Reply> {
     let (sender, chunks) = mpsc::channel(1);
     let part = Bytes::copy_from_slice(&answer.as_bytes()[..after.min(answer.len())]);
     tokio::spawn(async move { sender.send(Some(part)).await });
@@ -194,13 +194,13 @@
     response
 }
 
-/// Gives the answer to a call, which shows whose it is.
+/// Returns the answer to a call; it depends on the whole call, so that a caller can recognize its own.
 #[must_use]
 pub fn expected_answer(method: &str, target: &str, body: &[u8]) -> String {
-    let digest = xxh(body);
+    let digest = hash_body(body);
     format!("{method} {target} {} bytes {digest:016x}\n", body.len())
 }
 
-fn xxh(body: &[u8]) -> u64 {
+fn hash_body(body: &[u8]) -> u64 {
     firdock_core::rendezvous::hash_key(body)
 }
--- a/crates/firdock-standin/src/web.rs
+++ b/crates/firdock-standin/src/web.rs
@@ -1,4 +1,4 @@
-//! Small HTTP helpers that all stand-ins share.
+//! HTTP helpers shared by the stand-ins.
 
 use std::convert::Infallible;
 use std::io;
@@ -19,7 +19,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinHandle;
 
-/// Largest body that a stand-in reads.
+/// Maximum size of a request body, in bytes.
 const MAX_BODY_BYTES: usize = 80 << 20;
 /// Limits of the stand-ins' servers.
 const OPTIONS: ServerOptions = ServerOptions {
@@ -64,7 +64,7 @@
         self.task.abort();
     }
 
-    /// Stops taking connections and waits until those that are open ended.
+    /// Stops accepting connections and waits until the open ones have ended.
     pub async fn stop(mut self) {
         self.stop.send_replace(true);
         let _ = (&mut self.task).await;
@@ -77,14 +77,14 @@
     }
 }
 
-/// Body of a stand-in's answer: whole, or chunks that come over a channel.
+/// Response body: complete, or chunks received from a channel.
 #[derive(Debug)]
 pub struct Reply {
     whole: Option<Bytes>,
     chunks: Option<mpsc::Receiver<Option<Bytes>>>,
 }
 
-/// The stand-in cuts the answer off.
+/// Error that breaks a response body off.
 #[derive(Debug)]
 pub struct CutOff;
 
@@ -97,7 +97,7 @@
 impl std::error::Error for CutOff {}
 
 impl Reply {
-    /// Makes a body that is there as a whole.
+    /// Creates a complete body.
     #[must_use]
     pub fn whole(bytes: impl Into<Bytes>) -> Self {
         Self {
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Makes a body of chunks; `None` over the channel ends it well, a closed channel cuts it off.
+    /// Creates a body of chunks; `None` on the channel ends it properly, a closed channel breaks it off.
     #[must_use]
     pub fn chunks(chunks: mpsc::Receiver<Option<Bytes>>) -> Self {
         Self {
@@ -151,7 +151,7 @@
     }
 }
 
-/// Answers with JSON.
+/// Creates a JSON response.
 pub fn json<T: Serialize>(value: &T) -> Response<Reply> {
     let body = serde_json::to_vec(value).unwrap_or_default();
     let mut response = Response::new(Reply::whole(body));
@@ -162,7 +162,7 @@
     response
 }
 
-/// Refuses a call before anything was done for it; wants nothing for so many seconds, if any.
+/// Creates a refusal that says the call was not started, with `Retry-After` in seconds unless it is 0.
 #[must_use]
 pub fn refused(retry_after: u32) -> Response<Reply> {
     let mut response = status(503, "refused before anything was done");
@@ -174,7 +174,7 @@
     response
 }
 
-/// Answers with a status and a text.
+/// Creates a response with a status and a text.
 #[must_use]
 pub fn status(code: u16, text: &str) -> Response<Reply> {
     let mut response = Response::new(Reply::whole(text.to_owned()));
@@ -182,7 +182,7 @@
     response
 }
 
-/// Reads a whole body; `None` if it is too long or ends early.
+/// Reads a complete body; `None` if it is too long or breaks off.
 pub async fn read(body: Incoming) -> Option<Bytes> {
     Limited::new(body, MAX_BODY_BYTES)
         .collect()
@@ -196,7 +196,7 @@
     serde_json::from_slice(&read(body).await?).ok()
 }
 
-/// Reads a number from the query.
+/// Returns a number from the query string.
 #[must_use]
 pub fn query(request: &Request<Incoming>, name: &str) -> Option<u64> {
     let query = request.uri().query()?;
@@ -204,7 +204,7 @@
     pairs.into_iter().find(|(n, _)| *n == name)?.1.parse().ok()
 }
 
-/// Waits for ever: the caller gets no answer.
+/// Waits forever, so that the caller receives no answer.
 pub async fn never() -> Infallible {
     std::future::pending().await
 }
