--- a/crates/firdock-standin/src/demo/site.rs
+++ b/crates/firdock-standin/src/demo/site.rs
@@ -94,7 +94,8 @@
             site.add_instance(i)?;
         }
         site.apply().await?;
-        // Keys created during the grace period after a membership change are answered `unknown` (docs/design/keys.md).
+        // During the grace period after a membership change, new keys are answered `unknown`
+        // (docs/design/keys.md).
         tokio::time::sleep(KEY_GRACE_PERIOD).await;
         Ok(site)
     }
@@ -127,7 +128,8 @@
         Ok(())
     }
 
-    /// Applies the resources through the resource API, retrying until every instance has read them from the log.
+    /// Applies the resources through the resource API, retrying until every instance has read them
+    /// from the log.
     async fn apply(&self) -> Result<(), DemoError> {
         let end = Instant::now() + READY_TIMEOUT;
         let text = self.resources();
--- a/crates/firdock-standin/src/engine.rs
+++ b/crates/firdock-standin/src/engine.rs
@@ -1,4 +1,4 @@
-//! Stand-in for a model engine that batches continuously and caches prompt prefixes.
+//! Stand-in for a model engine with continuous batching and a prefix cache.
 
 pub mod model;
 mod protocol;
--- a/crates/firdock-standin/src/engine/model.rs
+++ b/crates/firdock-standin/src/engine/model.rs
@@ -1,6 +1,6 @@
-//! Model of an engine in any time: continuous batching, chunked prefill, a bounded prefix cache.
+//! Model of an engine: continuous batching, chunked prefill, a bounded prefix cache.
 //!
-//! It takes the time as an argument, so the stand-in engine runs it by the clock and measurements
+//! The time is an argument, so that the stand-in engine runs the model in real time and measurements
 //! run it in virtual time.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -9,49 +9,49 @@
 use firdock_core::RequestId;
 use firdock_core::prefix::{BLOCK_TOKENS, BlockHash};
 
-/// Most prompt tokens computed in one step beside the decoding.
+/// Maximum number of prompt tokens computed in one step, beside decoding.
 const CHUNK_TOKENS: u32 = 512;
-/// How much slower each token gets in a full batch.
+/// Fraction by which a decoding step takes longer in a full batch.
 const ENGINE_CONTENTION: f64 = 0.5;
-/// Cache changes kept for reports.
+/// Maximum number of cache changes retained for reports.
 const MAX_CHANGES: usize = 4_096;
 
-/// How fast and large an engine is.
+/// Speed and capacity of an engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EngineSpec {
-    /// Requests in a batch.
+    /// Maximum number of requests in a batch.
     pub slots: usize,
-    /// Prompt tokens a second.
+    /// Prompt tokens computed per second.
     pub prefill_rate: f64,
-    /// Seconds for each token of a small batch.
+    /// Seconds per token in a nearly empty batch.
     pub token_secs: f64,
-    /// Blocks in the prefix cache.
+    /// Capacity of the prefix cache, in blocks.
     pub cache_blocks: usize,
 }
 
-/// A request as the engine sees it.
+/// A request to the engine.
 #[derive(Debug, Clone)]
 pub struct Job {
     /// Request.
     pub id: RequestId,
-    /// 0 goes first.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Prompt tokens, with those of an answer that is taken up.
+    /// Prompt tokens, including the tokens of an answer that is resumed.
     pub prompt_tokens: u32,
     /// Chained hashes of the prompt.
     pub blocks: Vec<BlockHash>,
-    /// Tokens still to be generated.
+    /// Number of tokens to generate.
     pub output_tokens: u32,
 }
 
-/// What a step brought for a request.
+/// A token that a step generated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Produced {
+pub struct GeneratedToken {
     /// Request.
     pub id: RequestId,
-    /// Prompt tokens that were taken from the cache.
+    /// Number of prompt tokens found in the prefix cache.
     pub cached: u32,
-    /// Whether it was the last token.
+    /// Whether it is the last token of the answer.
     pub last: bool,
 }
 
@@ -68,11 +68,11 @@
 pub struct CacheChange {
     /// Block.
     pub block: BlockHash,
-    /// Whether it came in; else it was dropped.
+    /// Whether the block was added; otherwise it was evicted.
     pub added: bool,
 }
 
-/// One engine.
+/// A simulated engine.
 #[derive(Debug)]
 pub struct EngineModel {
     spec: EngineSpec,
@@ -80,17 +80,17 @@
     waiting: BTreeMap<(u8, u64), Job>,
     arrivals: u64,
     active: Vec<Active>,
-    step_ends: Option<Duration>,
+    step_end: Option<Duration>,
     cache: HashMap<BlockHash, u64>,
-    by_use: BTreeMap<u64, BlockHash>,
-    uses: u64,
+    by_last_use: BTreeMap<u64, BlockHash>,
+    use_count: u64,
     changes: VecDeque<CacheChange>,
     sequence: u64,
     prefilled: u64,
 }
 
 impl EngineModel {
-    /// Makes an idle engine.
+    /// Creates an idle engine.
     #[must_use]
     pub fn new(spec: EngineSpec) -> Self {
         Self {
@@ -99,37 +99,37 @@
             waiting: BTreeMap::new(),
             arrivals: 0,
             active: Vec::new(),
-            step_ends: None,
+            step_end: None,
             cache: HashMap::new(),
-            by_use: BTreeMap::new(),
-            uses: 0,
+            by_last_use: BTreeMap::new(),
+            use_count: 0,
             changes: VecDeque::new(),
             sequence: 0,
             prefilled: 0,
         }
     }
 
-    /// Makes the engine slower, from the next step on.
+    /// Sets the factor by which steps take longer, from the next step on.
     pub fn set_slowdown(&mut self, slowdown: f64) {
         self.slowdown = slowdown.max(0.01);
     }
 
-    /// Takes a request.
+    /// Queues a request.
     pub fn submit(&mut self, now: Duration, job: Job) {
         self.arrivals += 1;
         self.waiting.insert((job.priority, self.arrivals), job);
-        if self.step_ends.is_none() {
+        if self.step_end.is_none() {
             self.begin_step(now);
         }
     }
 
-    /// Drops a request.
+    /// Cancels a request.
     pub fn cancel(&mut self, id: RequestId) {
         self.waiting.retain(|_, job| job.id != id);
         self.active.retain(|a| a.job.id != id);
     }
 
-    /// Drops everything, as a killed engine does.
+    /// Drops all requests and the cache, as a killed engine does.
     pub fn clear(&mut self) {
         *self = Self {
             slowdown: self.slowdown,
@@ -137,17 +137,17 @@
         };
     }
 
-    /// Tells when the present step ends; `None` for an idle engine.
+    /// Returns when the current step ends; `None` for an idle engine.
     #[must_use]
     pub fn next_step(&self) -> Option<Duration> {
-        self.step_ends
+        self.step_end
     }
 
-    /// Ends the present step and begins the next one.
-    pub fn step(&mut self, now: Duration) -> Vec<Produced> {
-        let produced = self.end_step();
+    /// Ends the current step and starts the next one; returns the tokens generated.
+    pub fn step(&mut self, now: Duration) -> Vec<GeneratedToken> {
+        let tokens = self.end_step();
         self.begin_step(now);
-        produced
+        tokens
     }
 
     /// Counts the requests in the batch.
@@ -156,26 +156,26 @@
         self.active.len() as u32
     }
 
-    /// Counts the requests that wait for the batch.
+    /// Counts the requests that wait for a slot in the batch.
     #[must_use]
     pub fn waiting(&self) -> u32 {
         self.waiting.len() as u32
     }
 
-    /// Sums the prompt tokens still to be computed.
+    /// Sums the prompt tokens that remain to be computed.
     #[must_use]
     pub fn backlog(&self) -> u32 {
         let active: u32 = self.active.iter().map(|a| a.to_prefill).sum();
         active + self.waiting.values().map(|j| j.prompt_tokens).sum::<u32>()
     }
 
-    /// Gives the number of the newest cache change.
+    /// Returns the sequence number of the newest cache change.
     #[must_use]
     pub fn sequence(&self) -> u64 {
         self.sequence
     }
 
-    /// Gives the cache changes after a number, and whether some are missing.
+    /// Returns the cache changes after a sequence number, and whether some of them are no longer retained.
     #[must_use]
     pub fn changes_after(&self, after: u64) -> (Vec<CacheChange>, bool) {
         let first = self.sequence - self.changes.len() as u64;
@@ -202,7 +202,7 @@
     fn begin_step(&mut self, now: Duration) {
         self.fill_batch();
         if self.active.is_empty() {
-            self.step_ends = None;
+            self.step_end = None;
             return;
         }
         let decoding = self.active.iter().filter(|a| a.to_prefill == 0).count();
@@ -217,7 +217,7 @@
             .map_or(0, |i| self.active[i].to_prefill);
         let prefill = f64::from(chunk.min(CHUNK_TOKENS)) / self.spec.prefill_rate;
         let secs = (decode + prefill) * self.slowdown;
-        self.step_ends = Some(now + Duration::from_secs_f64(secs.max(1e-6)));
+        self.step_end = Some(now + Duration::from_secs_f64(secs.max(1e-6)));
     }
 
     fn fill_batch(&mut self) {
@@ -237,38 +237,39 @@
         }
     }
 
-    /// Gives the request whose prompt is computed next: the most urgent, then the oldest.
+    /// Returns the index of the request whose prompt is computed next: the most urgent, then the oldest.
     fn first_to_prefill(&self) -> Option<usize> {
-        let open = self
+        let prefilling_requests = self
             .active
             .iter()
             .enumerate()
             .filter(|(_, a)| a.to_prefill > 0);
-        open.min_by_key(|(i, a)| (a.job.priority, *i))
+        prefilling_requests
+            .min_by_key(|(i, a)| (a.job.priority, *i))
             .map(|(i, _)| i)
     }
 
-    fn end_step(&mut self) -> Vec<Produced> {
+    fn end_step(&mut self) -> Vec<GeneratedToken> {
         let prefilling = self.first_to_prefill();
-        let mut produced = Vec::new();
+        let mut tokens = Vec::new();
         for a in self.active.iter_mut().filter(|a| a.to_prefill == 0) {
             a.to_decode = a.to_decode.saturating_sub(1);
             let last = a.to_decode == 0;
-            produced.push(Produced {
+            tokens.push(GeneratedToken {
                 id: a.job.id,
                 cached: a.cached,
                 last,
             });
         }
         if let Some(i) = prefilling {
-            self.prefill(i, &mut produced);
+            self.prefill(i, &mut tokens);
         }
         self.active.retain(|a| a.to_prefill > 0 || a.to_decode > 0);
-        produced
+        tokens
     }
 
-    /// Computes a chunk of a prompt; its end brings the first token.
-    fn prefill(&mut self, i: usize, produced: &mut Vec<Produced>) {
+    /// Computes a chunk of a prompt; the last chunk yields the first token.
+    fn prefill(&mut self, i: usize, tokens: &mut Vec<GeneratedToken>) {
         let a = &mut self.active[i];
         let chunk = a.to_prefill.min(CHUNK_TOKENS);
         a.to_prefill -= chunk;
@@ -277,7 +278,7 @@
             return;
         }
         a.to_decode = a.to_decode.saturating_sub(1);
-        produced.push(Produced {
+        tokens.push(GeneratedToken {
             id: a.job.id,
             cached: a.cached,
             last: a.to_decode == 0,
@@ -289,39 +290,39 @@
     }
 
     fn cached_tokens(&mut self, job: &Job) -> u32 {
-        let n = job
+        let cached_blocks = job
             .blocks
             .iter()
             .take_while(|b| self.cache.contains_key(b))
             .count();
-        for block in &job.blocks[..n] {
+        for block in &job.blocks[..cached_blocks] {
             self.touch(*block);
         }
-        n as u32 * BLOCK_TOKENS
+        cached_blocks as u32 * BLOCK_TOKENS
     }
 
-    /// Puts a block at the end of the order in which blocks are dropped.
+    /// Marks a block as most recently used; adds it if needed, evicting the least recently used block.
     fn touch(&mut self, block: BlockHash) {
-        self.uses += 1;
-        match self.cache.insert(block, self.uses) {
+        self.use_count += 1;
+        match self.cache.insert(block, self.use_count) {
             Some(earlier) => {
-                self.by_use.remove(&earlier);
+                self.by_last_use.remove(&earlier);
             }
-            None => self.note(CacheChange { block, added: true }),
+            None => self.record_change(CacheChange { block, added: true }),
         }
-        self.by_use.insert(self.uses, block);
+        self.by_last_use.insert(self.use_count, block);
         if self.cache.len() > self.spec.cache_blocks
-            && let Some((_, oldest)) = self.by_use.pop_first()
+            && let Some((_, oldest)) = self.by_last_use.pop_first()
         {
             self.cache.remove(&oldest);
-            self.note(CacheChange {
+            self.record_change(CacheChange {
                 block: oldest,
                 added: false,
             });
         }
     }
 
-    fn note(&mut self, change: CacheChange) {
+    fn record_change(&mut self, change: CacheChange) {
         self.sequence += 1;
         self.changes.push_back(change);
         if self.changes.len() > MAX_CHANGES {
--- a/crates/firdock-standin/src/engine/protocol.rs
+++ b/crates/firdock-standin/src/engine/protocol.rs
@@ -1,28 +1,28 @@
-//! What the stand-in engine reads and writes: the OpenAI-compatible protocol with numbered tokens.
+//! Protocol of the stand-in engine: OpenAI-compatible, with an offset on each token.
 
 use bytes::Bytes;
 use serde_json::{Value, json};
 
-/// Most tokens of an answer that does not say.
+/// Length of the answer if the call does not set `max_tokens`.
 const DEFAULT_TOKENS: u32 = 64;
 
-/// A call, as far as the stand-in reads it.
+/// Fields of a call that the stand-in uses.
 #[derive(Debug, Clone)]
 pub struct Call {
     /// Whether it is a chat call.
     pub chat: bool,
     /// Text of the prompt.
     pub prompt: String,
-    /// Tokens of the whole answer.
+    /// Number of tokens in the complete answer.
     pub tokens: u32,
-    /// Tokens that another engine generated before.
+    /// Number of tokens that another engine has already generated.
     pub resume_from: u32,
-    /// 0 goes first.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
 }
 
 impl Call {
-    /// Reads a call; `None` for a malformed one.
+    /// Parses a call; `None` if it is malformed.
     #[must_use]
     pub fn parse(path: &str, body: &[u8]) -> Option<Self> {
         let body = serde_json::from_slice::<Value>(body).ok()?;
@@ -44,7 +44,7 @@
         })
     }
 
-    /// Writes the event of the token at `offset`.
+    /// Encodes the event of the token at `offset`.
     #[must_use]
     pub fn token_event(&self, offset: u32, cached: u32, prompt_tokens: u32) -> Bytes {
         let text = super::text::token(&self.prompt, offset);
@@ -62,7 +62,7 @@
         }))
     }
 
-    /// Writes the last event and the end of the stream.
+    /// Encodes the last event and the end of the stream.
     #[must_use]
     pub fn end_event(&self, offset: u32, cached: u32, prompt_tokens: u32) -> Bytes {
         let choice = if self.chat {
@@ -91,7 +91,7 @@
     }
 }
 
-/// Puts the text of a chat together as firdock does for its prefixes.
+/// Joins the messages of a chat in the same way as firdock does to compute prefix hashes.
 fn chat_prompt(body: &Value) -> Option<String> {
     let mut text = String::new();
     for message in body["messages"].as_array()? {
--- a/crates/firdock-standin/src/engine/server.rs
+++ b/crates/firdock-standin/src/engine/server.rs
@@ -1,4 +1,4 @@
-//! HTTP server of the stand-in engine, run by the clock.
+//! HTTP server of the stand-in engine, which runs the engine model in real time.
 
 mod order;
 mod report;
@@ -20,8 +20,8 @@
 use tokio::task::JoinHandle;
 use uuid::Uuid;
 
-use self::order::{export_kv, import_kv, order};
-use self::report::{Reading, report};
+use self::order::{export_kv, handle_command, import_kv};
+use self::report::{LoadSample, report};
 use super::model::{EngineModel, EngineSpec, Job};
 use super::protocol::Call;
 use crate::fault::Faults;
@@ -29,27 +29,27 @@
 use crate::service::Runs;
 use crate::web::{self, Reply, Served};
 
-/// Requests kept after they ended, so that a late reader finds them.
-const MAX_ENDED: usize = 256;
-/// Time for which a request without a reader goes on.
-const UNREAD_TIME: Duration = Duration::from_secs(2);
-/// Pause between comments that show a waiting caller that the engine lives.
-const COMMENT_PAUSE: Duration = Duration::from_millis(500);
-/// Longest sleep of the engine's clock.
-const LONGEST_SLEEP: Duration = Duration::from_millis(20);
-/// Readings of the load kept for late reports.
-const MAX_READINGS: usize = 1_024;
-/// KV caches kept for export.
+/// Maximum number of finished requests retained, so that a late reader still finds them.
+const MAX_FINISHED: usize = 256;
+/// Time after which a request without a reader is cancelled.
+const UNREAD_TIMEOUT: Duration = Duration::from_secs(2);
+/// Interval of the SSE comments that show a waiting caller that the engine is alive.
+const COMMENT_INTERVAL: Duration = Duration::from_millis(500);
+/// Maximum sleep between two updates of the engine model.
+const MAX_SLEEP: Duration = Duration::from_millis(20);
+/// Maximum number of load samples retained for delayed reports.
+const MAX_SAMPLES: usize = 1_024;
+/// Maximum number of imported KV caches retained.
 const MAX_KV: usize = 64;
 
 #[derive(Debug)]
-struct Running {
+struct ActiveRequest {
     call: Call,
     dispatch: u32,
     prompt_tokens: u32,
     cached: u32,
-    /// Tokens of the whole answer made so far, with those resumed from.
-    made: u32,
+    /// Tokens of the complete answer generated so far, including those it was resumed from.
+    generated: u32,
     ended: bool,
     readers: u32,
     unread_since: Instant,
@@ -58,19 +58,19 @@
 #[derive(Debug)]
 struct State {
     model: EngineModel,
-    running: HashMap<RequestId, Running>,
+    running: HashMap<RequestId, ActiveRequest>,
     ended: VecDeque<RequestId>,
     runs: Runs,
     fence: u64,
     refuse_work: bool,
     kv: VecDeque<(RequestId, Bytes)>,
-    readings: VecDeque<Reading>,
+    samples: VecDeque<LoadSample>,
 }
 
 #[derive(Debug)]
 struct Shared {
     state: Mutex<State>,
-    news: Notify,
+    progress: Notify,
     started: Instant,
     faults: Faults,
 }
@@ -83,12 +83,12 @@
     /// Faults.
     pub faults: Faults,
     shared: Arc<Shared>,
-    clock: JoinHandle<()>,
+    model_task: JoinHandle<()>,
 }
 
 impl Drop for StandinEngine {
     fn drop(&mut self) {
-        self.clock.abort();
+        self.model_task.abort();
     }
 }
 
@@ -108,40 +108,40 @@
             fence: 0,
             refuse_work: false,
             kv: VecDeque::new(),
-            readings: VecDeque::new(),
+            samples: VecDeque::new(),
         };
         let shared = Arc::new(Shared {
             state: Mutex::new(state),
-            news: Notify::new(),
+            progress: Notify::new(),
             started: Instant::now(),
             faults: faults.clone(),
         });
-        let clock = tokio::spawn(run_clock(Arc::clone(&shared)));
+        let model_task = tokio::spawn(run_model(Arc::clone(&shared)));
         let handled = Arc::clone(&shared);
         let served = Served::start(address, move |r| handle(r, Arc::clone(&handled)))?;
         Ok(Self {
             served,
             faults,
             shared,
-            clock,
+            model_task,
         })
     }
 
-    /// Kills the engine: connects are refused and what it was answering breaks off.
+    /// Kills the engine: it refuses connections, and answers in progress break off.
     pub fn kill(&self) {
         self.served.close();
         self.faults.change(|f| f.dead = true);
         self.shared.lock().model.clear();
-        self.shared.news.notify_waiters();
+        self.shared.progress.notify_waiters();
     }
 
-    /// Gives how often each request was dispatched to this engine.
+    /// Returns how often each request was dispatched to this engine.
     #[must_use]
     pub fn runs(&self) -> Runs {
         self.shared.lock().runs.clone()
     }
 
-    /// Counts the requests that it is working on.
+    /// Counts the requests in progress.
     #[must_use]
     pub fn busy(&self) -> usize {
         self.shared
@@ -152,7 +152,7 @@
             .count()
     }
 
-    /// Sums the prompt tokens that it computed.
+    /// Returns the number of prompt tokens computed so far.
     #[must_use]
     pub fn prefilled(&self) -> u64 {
         self.shared.lock().model.prefilled()
@@ -165,59 +165,60 @@
     }
 }
 
-/// Runs the model by the clock.
-async fn run_clock(shared: Arc<Shared>) {
+/// Runs the engine model in real time.
+async fn run_model(shared: Arc<Shared>) {
     loop {
         let wait = shared.advance();
-        tokio::time::sleep(wait.min(LONGEST_SLEEP)).await;
+        tokio::time::sleep(wait.min(MAX_SLEEP)).await;
     }
 }
 
 impl Shared {
-    /// Takes every step that is due; gives the time to the next one.
+    /// Runs every step that is due; returns the time until the next one.
     fn advance(&self) -> Duration {
         let faults = self.faults.get();
         let mut state = self.lock();
         state.model.set_slowdown(faults.slowdown);
         state.drop_unread();
         if faults.silent {
-            return LONGEST_SLEEP;
+            return MAX_SLEEP;
         }
         loop {
             let now = self.started.elapsed();
             match state.model.next_step() {
                 Some(due) if due <= now => state.step(due),
                 Some(due) => return due.saturating_sub(now),
-                None => return LONGEST_SLEEP,
+                None => return MAX_SLEEP,
             }
-            self.news.notify_waiters();
+            self.progress.notify_waiters();
         }
     }
 }
 
 impl State {
     fn step(&mut self, due: Duration) {
-        for produced in self.model.step(due) {
-            let Some(r) = self.running.get_mut(&produced.id) else {
+        for token in self.model.step(due) {
+            let Some(r) = self.running.get_mut(&token.id) else {
                 continue;
             };
-            r.cached = produced.cached;
-            r.made += 1;
-            if produced.last {
+            r.cached = token.cached;
+            r.generated += 1;
+            if token.last {
                 r.ended = true;
-                self.ended.push_back(produced.id);
+                self.ended.push_back(token.id);
             }
         }
-        while self.ended.len() > MAX_ENDED {
+        while self.ended.len() > MAX_FINISHED {
             if let Some(id) = self.ended.pop_front() {
                 self.running.remove(&id);
             }
         }
     }
 
-    /// Cancels what nobody has read for a while.
+    /// Cancels the requests that had no reader for [`UNREAD_TIMEOUT`].
     fn drop_unread(&mut self) {
-        let unread = |r: &Running| r.readers == 0 && r.unread_since.elapsed() > UNREAD_TIME;
+        let unread =
+            |r: &ActiveRequest| r.readers == 0 && r.unread_since.elapsed() > UNREAD_TIMEOUT;
         let gone: Vec<RequestId> = self
             .running
             .iter()
@@ -260,7 +261,7 @@
             let id = (*id).to_owned();
             import_kv(&id, request, &shared).await
         }
-        (Method::POST, ["orders"]) => order(request, &shared).await,
+        (Method::POST, ["orders"]) => handle_command(request, &shared).await,
         (Method::GET, _) if path == REPORT_PATH => report(&request, &shared),
         _ => web::status(404, "no such path"),
     }
@@ -274,14 +275,14 @@
     let id = header(&request, "x-request-id").and_then(|v| Uuid::parse_str(v).ok());
     let dispatch = header(&request, "x-dispatch").and_then(|v| v.parse::<u32>().ok());
     let (Some(id), Some(dispatch)) = (id, dispatch) else {
-        return web::status(400, "x-request-id and x-dispatch are needed");
+        return web::status(400, "x-request-id and x-dispatch are required");
     };
     let refused = shared.faults.get().refuse || shared.lock().refuse_work;
     if refused {
         return web::refused(shared.faults.get().retry_after);
     }
     let Some(body) = web::read(request.into_body()).await else {
-        return web::status(400, "broken body");
+        return web::status(400, "incomplete or oversized body");
     };
     let Some(call) = Call::parse(path, &body) else {
         return web::status(400, "malformed call");
@@ -306,13 +307,13 @@
             blocks: block_hashes(call.prompt.as_bytes()),
             output_tokens: call.tokens.saturating_sub(call.resume_from).max(1),
         };
-        let made = call.resume_from;
-        let running = Running {
+        let generated = call.resume_from;
+        let running = ActiveRequest {
             call,
             dispatch,
             prompt_tokens,
             cached: 0,
-            made,
+            generated,
             ended: false,
             readers: 0,
             unread_since: Instant::now(),
@@ -320,7 +321,7 @@
         state.running.insert(id, running);
         state.model.submit(self.started.elapsed(), job);
         drop(state);
-        self.news.notify_waiters();
+        self.progress.notify_waiters();
     }
 }
 
@@ -340,7 +341,7 @@
     }
 }
 
-/// Answers with the tokens from `from` on, as they are made.
+/// Streams the tokens from offset `from` on, as they are generated.
 fn stream(id: RequestId, dispatch: u32, from: u32, shared: &Arc<Shared>) -> Response<Reply> {
     let (sender, chunks) = mpsc::channel(32);
     let cut = shared.faults.take_cut();
@@ -364,7 +365,7 @@
     response
 }
 
-/// Someone who reads a request's tokens.
+/// Connection that reads a request's tokens.
 struct Reader {
     id: RequestId,
     shared: Arc<Shared>,
@@ -378,11 +379,11 @@
         Self { id, shared }
     }
 
-    /// Sends tokens until the end, the cut, or until nobody takes them.
+    /// Sends tokens until the answer ends, the injected truncation or a closed connection.
     async fn run(self, mut at: u32, cut: Option<u32>, sender: mpsc::Sender<Option<Bytes>>) {
         let mut sent = 0;
         loop {
-            let news = self.shared.news.notified();
+            let progress = self.shared.progress.notified();
             if self.shared.faults.get().dead {
                 return;
             }
@@ -403,7 +404,11 @@
                 return;
             }
             let silent = self.shared.faults.get().silent;
-            if tokio::time::timeout(COMMENT_PAUSE, news).await.is_err() && !silent {
+            if tokio::time::timeout(COMMENT_INTERVAL, progress)
+                .await
+                .is_err()
+                && !silent
+            {
                 let comment = Bytes::from_static(b": waiting\n\n");
                 if sender.send(Some(comment)).await.is_err() {
                     return;
@@ -412,17 +417,17 @@
         }
     }
 
-    /// Gives the events from `at` on, and whether they are the last.
+    /// Returns the events from offset `at` on, and whether the answer ends with them.
     fn events(&self, at: &mut u32) -> Option<(Vec<Bytes>, bool)> {
         let state = self.shared.lock();
         let r = state.running.get(&self.id)?;
         let mut events = Vec::new();
-        while *at < r.made {
+        while *at < r.generated {
             events.push(r.call.token_event(*at, r.cached, r.prompt_tokens));
             *at += 1;
         }
         if r.ended {
-            events.push(r.call.end_event(r.made, r.cached, r.prompt_tokens));
+            events.push(r.call.end_event(r.generated, r.cached, r.prompt_tokens));
         }
         Some((events, r.ended))
     }
--- a/crates/firdock-standin/src/engine/server/order.rs
+++ b/crates/firdock-standin/src/engine/server/order.rs
@@ -1,4 +1,4 @@
-//! Orders outside any request, and KV caches that are exported and imported.
+//! Commands to the engine as a whole, and the export and import of KV caches.
 
 use firdock_node::endpoint::FencedCommand;
 use hyper::body::Incoming;
@@ -26,7 +26,10 @@
 ) -> Response<Reply> {
     let body = web::read(request.into_body()).await;
     let (Ok(id), Some(body)) = (Uuid::parse_str(id), body) else {
-        return web::status(400, "an id and a cache are needed");
+        return web::status(
+            400,
+            "malformed request id, or incomplete or oversized cache",
+        );
     };
     let mut state = shared.lock();
     state.kv.push_back((id, body));
@@ -36,17 +39,17 @@
     web::status(200, "imported")
 }
 
-pub(super) async fn order(request: Request<Incoming>, shared: &Shared) -> Response<Reply> {
+pub(super) async fn handle_command(request: Request<Incoming>, shared: &Shared) -> Response<Reply> {
     use firdock_node::endpoint::EngineCommand;
-    let Some(order) = web::read_json::<FencedCommand>(request.into_body()).await else {
-        return web::status(400, "no order that this stand-in knows");
+    let Some(command) = web::read_json::<FencedCommand>(request.into_body()).await else {
+        return web::status(400, "malformed or unknown command");
     };
     let mut state = shared.lock();
-    if order.fence <= state.fence {
-        return web::status(409, "a later order was given");
+    if command.fence <= state.fence {
+        return web::status(409, "a command with the same or a later fence was received");
     }
-    state.fence = order.fence;
-    match order.order {
+    state.fence = command.fence;
+    match command.order {
         EngineCommand::Leave => state.refuse_work = true,
         EngineCommand::Stay => state.refuse_work = false,
         EngineCommand::LoadModel(_) => {}
--- a/crates/firdock-standin/src/measure/run.rs
+++ b/crates/firdock-standin/src/measure/run.rs
@@ -167,7 +167,7 @@
         let capacity = fleet::capacity(s.deployment);
         let most = 2.4 * capacity;
         let work = Workload::new(s.deployment, s.seed, most, INSTANCES)
-            .with_account_parts(s.scenario.account_parts());
+            .with_account_weights(s.scenario.account_weights());
         // Arrivals at the highest rate are thinned out to the rate of the moment.
         let mut thinner = 0.0;
         for arrival in work.take_while(|a| a.at < s.time) {
--- a/crates/firdock-standin/src/measure/run/serve.rs
+++ b/crates/firdock-standin/src/measure/run/serve.rs
@@ -89,21 +89,21 @@
         if engine.model.next_step() != Some(self.now) {
             return;
         }
-        for produced in engine.model.step(self.now) {
-            self.produced(e, produced);
+        for token in engine.model.step(self.now) {
+            self.deliver_token(e, token);
         }
         self.plan_step(e);
     }
 
-    pub(super) fn produced(&mut self, e: usize, produced: model::Produced) {
-        let Some(job) = self.fleet.engines[e].jobs.get_mut(&produced.id) else {
+    pub(super) fn deliver_token(&mut self, e: usize, token: model::GeneratedToken) {
+        let Some(job) = self.fleet.engines[e].jobs.get_mut(&token.id) else {
             return;
         };
         job.made += 1;
         let first = !std::mem::replace(&mut job.begun, true);
         let job = job.clone();
         if first {
-            if let Some(r) = self.records.get_mut(&produced.id) {
+            if let Some(r) = self.records.get_mut(&token.id) {
                 r.first = r.first.or(Some(self.now + LATENCY));
             }
             self.tell(
@@ -113,19 +113,19 @@
             );
             let news = DispatchUpdate::Tokens {
                 delivered: job.made,
-                cached: produced.cached,
+                cached: token.cached,
             };
             self.tell(job.node, &job.dispatch, news);
         }
-        if produced.last {
-            self.fleet.engines[e].jobs.remove(&produced.id);
+        if token.last {
+            self.fleet.engines[e].jobs.remove(&token.id);
             let prompt = self
                 .arrivals
-                .get(&produced.id)
+                .get(&token.id)
                 .map_or(0, |(new, _)| new.prompt_tokens);
             let news = DispatchUpdate::Ended {
                 prompt,
-                cached: produced.cached,
+                cached: token.cached,
                 output: job.made,
             };
             self.tell(job.node, &job.dispatch, news);
--- a/crates/firdock-standin/src/measure/scenario.rs
+++ b/crates/firdock-standin/src/measure/scenario.rs
@@ -82,10 +82,10 @@
 
     /// Gives the parts of the requests that each account sends.
     #[must_use]
-    pub fn account_parts(self) -> [f64; 5] {
+    pub fn account_weights(self) -> [f64; 5] {
         match self {
             Self::Flood => [0.07, 0.04, 0.02, 0.01, 0.86],
-            _ => crate::workload::ACCOUNT_PARTS,
+            _ => crate::workload::ACCOUNT_WEIGHTS,
         }
     }
 }
--- a/crates/firdock-standin/src/workload.rs
+++ b/crates/firdock-standin/src/workload.rs
@@ -1,7 +1,7 @@
-//! The two deployments' work: who asks for what, how long it is, and when.
+//! Synthetic workloads of the two deployments: accounts, kinds, lengths and arrival times of requests.
 //!
-//! Lengths differ a hundredfold and prompts share long prefixes, as the users say of theirs. A
-//! seed fixes everything.
+//! Lengths differ by a factor of a hundred and prompts share long prefixes, as the users report of
+//! their own. The same seed gives the same workload.
 
 use std::time::Duration;
 
@@ -9,37 +9,37 @@
 use rand::rngs::StdRng;
 use rand::{Rng as _, SeedableRng as _};
 
-/// One of the two users.
+/// One of the two deployments that firdock is measured on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Deployment {
-    /// Hiking maps: the instant tier counts most.
+    /// Hiking maps: the instant tier matters most.
     Fjallkarta,
-    /// Metering: wasted prefill counts most.
+    /// Metering: wasted prefill matters most.
     Authority,
 }
 
 /// A kind of request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Kind {
-    /// Service that it matches.
+    /// Service that the request matches.
     pub service: &'static str,
-    /// Tier of that service, by name.
+    /// Name of that service's tier.
     pub tier: &'static str,
-    /// Rank of that tier.
+    /// Rank of the tier.
     pub rank: u8,
-    /// Whether it is a plain call.
+    /// Whether it is a plain call rather than a model call.
     pub plain: bool,
     /// Whether it may be repeated.
     pub repeatable: bool,
-    /// Part of all requests.
+    /// Fraction of all requests.
     pub weight: f64,
-    /// Prompt tokens shared with others of a group.
+    /// Range of the length of the prompt prefix that a group shares, in tokens.
     pub shared: (u32, u32),
-    /// Prompt tokens of its own.
+    /// Range of the length of the rest of the prompt, in tokens.
     pub own: (u32, u32),
-    /// Tokens of the answer.
+    /// Range of the length of the answer, in tokens.
     pub output: (u32, u32),
-    /// Groups that share a prefix.
+    /// Number of groups that share a prefix each.
     pub groups: u32,
 }
 
@@ -58,7 +58,7 @@
     }
 }
 
-/// What Fjällkarta's shops ask for.
+/// Requests of Fjällkarta's shops.
 const FJALLKARTA: [Kind; 5] = [
     plain("tiles", 0.40, true),
     plain("stock", 0.15, false),
@@ -100,7 +100,7 @@
     },
 ];
 
-/// What the Authority's staff ask for.
+/// Requests of the Authority's staff.
 const AUTHORITY: [Kind; 4] = [
     plain("lookup", 0.45, false),
     Kind {
@@ -142,7 +142,7 @@
 ];
 
 impl Deployment {
-    /// Gives the kinds of request.
+    /// Returns the kinds of request.
     #[must_use]
     pub fn kinds(self) -> &'static [Kind] {
         match self {
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Gives the name.
+    /// Returns the name.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -161,68 +161,68 @@
     }
 }
 
-/// A prompt: a prefix that its group shares, and text of its own.
+/// A prompt: a prefix shared within its group, followed by unique text.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Prompt {
     /// Number of the group that shares the prefix.
     pub group: u64,
-    /// Tokens of the prefix.
+    /// Length of the prefix, in tokens.
     pub shared: u32,
-    /// Number that makes the rest unique.
+    /// Number from which the unique text is made.
     pub unique: u64,
-    /// Tokens of the rest.
+    /// Length of the unique text, in tokens.
     pub own: u32,
 }
 
 impl Prompt {
-    /// Counts the tokens.
+    /// Returns the length, in tokens.
     #[must_use]
     pub fn tokens(&self) -> u32 {
         self.shared + self.own
     }
 
-    /// Writes the prompt out.
+    /// Returns the text of the prompt.
     #[must_use]
     pub fn text(&self) -> String {
         let shared = filler(self.group, self.shared);
         shared + &filler(self.unique, self.own)
     }
 
-    /// Hashes the prompt's blocks as firdock and engines do.
+    /// Returns the block hashes of the prompt, computed as in firdock and in the engines.
     #[must_use]
     pub fn blocks(&self) -> Vec<BlockHash> {
         block_hashes(self.text().as_bytes())
     }
 }
 
-/// Makes text of a number of tokens that differs for each number.
+/// Returns text of `tokens` tokens that is different for each `number`.
 fn filler(number: u64, tokens: u32) -> String {
     let bytes = tokens as usize * BYTES_PER_TOKEN;
-    let word = format!("{number:016x} ");
-    word.chars().cycle().take(bytes).collect()
+    let pattern = format!("{number:016x} ");
+    pattern.chars().cycle().take(bytes).collect()
 }
 
-/// A request that arrives.
+/// Arrival of a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Arrival {
-    /// When.
+    /// Time since the start of the workload.
     pub at: Duration,
-    /// Kind.
+    /// Kind of the request.
     pub kind: Kind,
-    /// Account, by number; the first is the largest.
+    /// Index of the client account; index 0 sends most.
     pub account: usize,
     /// Prompt.
     pub prompt: Prompt,
-    /// Tokens of the answer.
+    /// Length of the answer, in tokens.
     pub output: u32,
-    /// Entry instance that the balancer picks, by number.
+    /// Index of the entry instance that the load balancer picks.
     pub instance: usize,
 }
 
-/// Parts of the requests that each account sends: few are large.
-pub const ACCOUNT_PARTS: [f64; 5] = [0.45, 0.30, 0.12, 0.08, 0.05];
+/// Fraction of the requests that each client account sends: few accounts are large.
+pub const ACCOUNT_WEIGHTS: [f64; 5] = [0.45, 0.30, 0.12, 0.08, 0.05];
 
-/// Makes arrivals at a steady mean rate.
+/// Generator of arrivals as a Poisson process.
 #[derive(Debug)]
 pub struct Workload {
     rng: StdRng,
@@ -230,12 +230,12 @@
     rate: f64,
     instances: usize,
     now: f64,
-    made: u64,
-    account_parts: [f64; 5],
+    request_count: u64,
+    account_weights: [f64; 5],
 }
 
 impl Workload {
-    /// Makes a workload of `rate` requests a second.
+    /// Creates a workload with a mean of `rate` requests per second.
     #[must_use]
     pub fn new(deployment: Deployment, seed: u64, rate: f64, instances: usize) -> Self {
         Self {
@@ -244,15 +244,15 @@
             rate,
             instances,
             now: 0.0,
-            made: seed << 32,
-            account_parts: ACCOUNT_PARTS,
+            request_count: seed << 32,
+            account_weights: ACCOUNT_WEIGHTS,
         }
     }
 
-    /// Sets the parts of the requests that each account sends.
+    /// Sets the fraction of the requests that each client account sends.
     #[must_use]
-    pub fn with_account_parts(mut self, parts: [f64; 5]) -> Self {
-        self.account_parts = parts;
+    pub fn with_account_weights(mut self, parts: [f64; 5]) -> Self {
+        self.account_weights = parts;
         self
     }
 
@@ -268,12 +268,12 @@
         0
     }
 
-    /// Draws a length whose logarithm is even, so that short ones are common.
-    fn length(&mut self, (least, most): (u32, u32)) -> u32 {
-        if most <= least {
-            return least;
+    /// Draws a length from a log-uniform distribution, so that short lengths are common.
+    fn length(&mut self, (min, max): (u32, u32)) -> u32 {
+        if max <= min {
+            return min;
         }
-        let (low, high) = (f64::from(least.max(1)).ln(), f64::from(most).ln());
+        let (low, high) = (f64::from(min.max(1)).ln(), f64::from(max).ln());
         self.rng.random_range(low..high).exp() as u32
     }
 
@@ -282,24 +282,24 @@
             return Prompt {
                 group: 0,
                 shared: 0,
-                unique: self.made,
+                unique: self.request_count,
                 own: 0,
             };
         }
-        // Some groups are asked about far more often than others.
-        let popular: f64 = self.rng.random_range(0.0..1.0);
-        let group = (popular * popular * f64::from(kind.groups)) as u64;
-        let (least, most) = kind.shared;
-        let spread = u64::from(most - least);
-        let shared = least + (group.wrapping_mul(0x9e37_79b9) % (spread + 1)) as u32;
-        // Prefixes end with a block, as templates that are reused do.
+        // The square makes requests for some groups far more frequent than for others.
+        let popularity: f64 = self.rng.random_range(0.0..1.0);
+        let group = (popularity * popularity * f64::from(kind.groups)) as u64;
+        let (min, max) = kind.shared;
+        let range = u64::from(max - min);
+        let shared = min + (group.wrapping_mul(0x9e37_79b9) % (range + 1)) as u32;
+        // Prefixes are whole blocks, as reused templates are.
         let shared = (shared / BLOCK_TOKENS).max(1) * BLOCK_TOKENS;
         let own = self.length(kind.own);
         let name = kind.service.len() as u64;
         Prompt {
             group: (name << 48) | group,
             shared,
-            unique: self.made,
+            unique: self.request_count,
             own,
         }
     }
@@ -309,12 +309,12 @@
     type Item = Arrival;
 
     fn next(&mut self) -> Option<Arrival> {
-        self.made += 1;
-        let pause = -self.rng.random_range(f64::EPSILON..1.0).ln() / self.rate;
-        self.now += pause;
+        self.request_count += 1;
+        let interval = -self.rng.random_range(f64::EPSILON..1.0).ln() / self.rate;
+        self.now += interval;
         let kinds = self.deployment.kinds();
         let kind = kinds[self.pick(kinds.iter().map(|k| k.weight))];
-        let parts = self.account_parts;
+        let parts = self.account_weights;
         let account = self.pick(parts.into_iter());
         let prompt = self.prompt(&kind);
         let output = self.length(kind.output);
