--- a/crates/firdock-standin/src/engine/server.rs
+++ b/crates/firdock-standin/src/engine/server.rs
@@ -1,6 +1,6 @@
 //! HTTP server of the stand-in engine, which runs the engine model in real time.
 
-mod order;
+mod command;
 mod report;
 
 use std::collections::{HashMap, VecDeque};
@@ -20,7 +20,7 @@
 use tokio::task::JoinHandle;
 use uuid::Uuid;
 
-use self::order::{export_kv, handle_command, import_kv};
+use self::command::{export_kv, handle_command, import_kv};
 use self::report::{LoadSample, report};
 use super::model::{EngineModel, EngineSpec, Job};
 use super::protocol::Call;
