--- a/crates/firdock-standin/src/measure.rs
+++ b/crates/firdock-standin/src/measure.rs
@@ -1,8 +1,8 @@
-//! Measurement that repeats: the real policy in virtual time against a small model of engines.
+//! Reproducible measurement: the real policy in virtual time, on a model of the endpoints.
 //!
-//! Several instances decide each alone, with stale news of the others, on the two deployments of
-//! the users. Baselines run behind the same trait, and each mechanism can be switched off
-//! (see `docs/design/measurement.md`).
+//! Several instances decide independently, with stale information about each other, on the two
+//! deployments of the users. Baselines implement the same trait, and each mechanism of the policy can
+//! be switched off (see `docs/design/measurement.md`).
 
 mod baseline;
 mod fleet;
--- a/crates/firdock-standin/src/measure/baseline.rs
+++ b/crates/firdock-standin/src/measure/baseline.rs
@@ -1,4 +1,4 @@
-//! Baselines behind the policy's trait: each dispatches at once and never holds or sheds.
+//! Baseline policies, which dispatch each request at once and never queue or shed any.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,19 +11,19 @@
 use rand::rngs::StdRng;
 use rand::{Rng as _, SeedableRng as _};
 
-/// How a baseline chooses.
+/// Rule by which a baseline chooses an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Choice {
-    /// One after another.
+    /// One endpoint after another.
     RoundRobin,
     /// The least reported load.
     LeastReported,
-    /// The less loaded, as reported, of two drawn at random.
+    /// The lower reported load of two endpoints drawn at random.
     TwoChoices,
 }
 
 #[derive(Debug)]
-struct Backend {
+struct EndpointLoad {
     name: String,
     services: Vec<String>,
     reported: u32,
@@ -31,48 +31,48 @@
 }
 
 #[derive(Debug)]
-struct Live {
+struct ActiveRequest {
     new: NewRequest,
     dispatch: u32,
     tried: Vec<usize>,
     at: usize,
 }
 
-/// A baseline.
+/// A baseline policy.
 #[derive(Debug)]
 pub struct Baseline {
     choice: Choice,
     rng: StdRng,
-    backends: Vec<Backend>,
+    endpoints: Vec<EndpointLoad>,
     ranks: HashMap<String, u8>,
     repeatable: HashMap<String, bool>,
-    live: HashMap<RequestId, Live>,
-    turn: usize,
+    active: HashMap<RequestId, ActiveRequest>,
+    next_index: usize,
 }
 
 impl Baseline {
-    /// Makes a baseline.
+    /// Creates a baseline policy.
     #[must_use]
     pub fn new(choice: Choice, seed: u64) -> Self {
         Self {
             choice,
             rng: StdRng::seed_from_u64(seed),
-            backends: Vec::new(),
+            endpoints: Vec::new(),
             ranks: HashMap::new(),
             repeatable: HashMap::new(),
-            live: HashMap::new(),
-            turn: seed as usize,
+            active: HashMap::new(),
+            next_index: seed as usize,
         }
     }
 
     fn configure(&mut self, catalog: &Catalog) {
-        let backend = |e: &firdock_core::resource::Endpoint| Backend {
+        let unloaded = |e: &firdock_core::resource::Endpoint| EndpointLoad {
             name: e.name.clone(),
             services: e.services.clone(),
             reported: 0,
             slots: e.slots,
         };
-        self.backends = catalog.endpoints.iter().map(backend).collect();
+        self.endpoints = catalog.endpoints.iter().map(unloaded).collect();
         for s in &catalog.services {
             let rank = catalog
                 .tiers
@@ -86,39 +86,43 @@
 
     fn pick(&mut self, service: &str, tried: &[usize]) -> Option<usize> {
         let serves = |i: &usize| {
-            self.backends[*i].services.iter().any(|s| s == service) && !tried.contains(i)
+            self.endpoints[*i].services.iter().any(|s| s == service) && !tried.contains(i)
         };
-        let open: Vec<usize> = (0..self.backends.len()).filter(serves).collect();
-        if open.is_empty() {
+        let candidates: Vec<usize> = (0..self.endpoints.len()).filter(serves).collect();
+        if candidates.is_empty() {
             return None;
         }
         let load = |i: &usize| {
-            let b = &self.backends[*i];
+            let b = &self.endpoints[*i];
             u64::from(b.reported) * 1_000 / u64::from(b.slots)
         };
         match self.choice {
             Choice::RoundRobin => {
-                self.turn += 1;
-                Some(open[self.turn % open.len()])
+                self.next_index += 1;
+                Some(candidates[self.next_index % candidates.len()])
             }
             Choice::LeastReported => {
-                let least = open.iter().map(load).min()?;
-                let ties: Vec<usize> = open.iter().copied().filter(|i| load(i) == least).collect();
+                let least = candidates.iter().map(load).min()?;
+                let ties: Vec<usize> = candidates
+                    .iter()
+                    .copied()
+                    .filter(|i| load(i) == least)
+                    .collect();
                 Some(ties[self.rng.random_range(0..ties.len())])
             }
             Choice::TwoChoices => {
-                let a = open[self.rng.random_range(0..open.len())];
-                let b = open[self.rng.random_range(0..open.len())];
+                let a = candidates[self.rng.random_range(0..candidates.len())];
+                let b = candidates[self.rng.random_range(0..candidates.len())];
                 Some(if load(&a) <= load(&b) { a } else { b })
             }
         }
     }
 
-    fn place(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let Some(mut live) = self.live.remove(&id) else {
+    fn dispatch_request(&mut self, id: RequestId, out: &mut Vec<Action>) {
+        let Some(mut active) = self.active.remove(&id) else {
             return;
         };
-        let Some(at) = self.pick(&live.new.service, &live.tried) else {
+        let Some(at) = self.pick(&active.new.service, &active.tried) else {
             let reason = Reason::NoEndpoint;
             let verdict = Verdict {
                 outcome: Outcome::Unknown,
@@ -128,38 +132,38 @@
             out.push(Action::Answer { id, verdict });
             return;
         };
-        live.dispatch += 1;
-        live.tried.push(at);
-        live.at = at;
-        let priority = self.ranks.get(&live.new.service).copied().unwrap_or(0);
+        active.dispatch += 1;
+        active.tried.push(at);
+        active.at = at;
+        let priority = self.ranks.get(&active.new.service).copied().unwrap_or(0);
         out.push(Action::Dispatch(Dispatch {
             id,
-            endpoint: self.backends[at].name.clone(),
-            dispatch: live.dispatch,
+            endpoint: self.endpoints[at].name.clone(),
+            dispatch: active.dispatch,
             resume_from: 0,
             priority,
             confirm_by: None,
             deadline: None,
         }));
-        self.live.insert(id, live);
+        self.active.insert(id, active);
     }
 
-    fn news(&mut self, e: &EndpointEvent, out: &mut Vec<Action>) {
-        let Some(live) = self.live.get(&e.id).filter(|l| l.dispatch == e.dispatch) else {
+    fn handle_update(&mut self, e: &EndpointEvent, out: &mut Vec<Action>) {
+        let Some(active) = self.active.get(&e.id).filter(|l| l.dispatch == e.dispatch) else {
             return;
         };
         match e.update {
-            DispatchUpdate::Refused { .. } => self.place(e.id, out),
+            DispatchUpdate::Refused { .. } => self.dispatch_request(e.id, out),
             DispatchUpdate::Broke { .. } => {
                 if self
                     .repeatable
-                    .get(&live.new.service)
+                    .get(&active.new.service)
                     .copied()
                     .unwrap_or(false)
                 {
-                    self.place(e.id, out);
+                    self.dispatch_request(e.id, out);
                 } else {
-                    self.live.remove(&e.id);
+                    self.active.remove(&e.id);
                     out.push(Action::Cut {
                         id: e.id,
                         reason: Reason::EndpointLost,
@@ -167,7 +171,7 @@
                 }
             }
             DispatchUpdate::Ended { .. } => {
-                self.live.remove(&e.id);
+                self.active.remove(&e.id);
             }
             _ => {}
         }
@@ -180,20 +184,20 @@
             Event::Config(catalog) => self.configure(&catalog),
             Event::Arrived(new) => {
                 let id = new.id;
-                self.live.insert(
+                self.active.insert(
                     id,
-                    Live {
+                    ActiveRequest {
                         new,
                         dispatch: 0,
                         tried: Vec::new(),
                         at: 0,
                     },
                 );
-                self.place(id, out);
+                self.dispatch_request(id, out);
             }
-            Event::Endpoint(e) => self.news(&e, out),
+            Event::Endpoint(e) => self.handle_update(&e, out),
             Event::Report(r) => {
-                if let Some(b) = self.backends.iter_mut().find(|b| b.name == r.endpoint) {
+                if let Some(b) = self.endpoints.iter_mut().find(|b| b.name == r.endpoint) {
                     b.reported = r.running + r.waiting;
                 }
             }
--- a/crates/firdock-standin/src/measure/fleet.rs
+++ b/crates/firdock-standin/src/measure/fleet.rs
@@ -1,4 +1,4 @@
-//! The endpoints of a run: unlike engines and plain servers, in virtual time.
+//! Endpoints of a run: heterogeneous engines and plain servers, in virtual time.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -12,26 +12,26 @@
 use crate::engine::{EngineModel, EngineSpec};
 use crate::workload::Deployment;
 
-/// Engines of three hardware generations: slots, prompt tokens a second, seconds for a token.
+/// Engines of three hardware generations: slots, prompt tokens per second, seconds per token.
 const GENERATIONS: [(usize, f64, f64); 3] = [
     (16, 12_000.0, 0.018),
     (12, 6_000.0, 0.028),
     (8, 3_000.0, 0.040),
 ];
-/// Blocks in an engine's prefix cache: some prompts' worth, far from all.
+/// Capacity of an engine's prefix cache, in blocks: enough for some of the prompts, far from all.
 const CACHE_BLOCKS: usize = 1_500;
-/// Plain servers.
+/// Number of plain servers.
 const SERVERS: usize = 4;
-/// Calls that a plain server works on at once.
+/// Number of calls that a plain server processes concurrently.
 const SERVER_SLOTS: u32 = 32;
-/// Time that a plain call takes.
+/// Duration of a plain call.
 pub const PLAIN_TIME: Duration = Duration::from_millis(6);
-/// Names of the accounts.
+/// Names of the client accounts.
 pub const ACCOUNTS: [&str; 5] = ["large-a", "large-b", "mid", "small-a", "small-b"];
-/// Part of shared prefixes that is expected to be cached, for the estimate of capacity.
+/// Expected fraction of the shared prefixes that is cached, for the capacity estimate.
 const EXPECTED_CACHED: f64 = 0.8;
 
-/// Time to the first token or byte within which an answer is good, and the longest wait.
+/// Returns a tier's target for the first token or byte and its maximum wait, in milliseconds.
 fn tier_times(tier: &str) -> (u64, u64) {
     match tier {
         "instant" => (250, 2_000),
@@ -42,50 +42,50 @@
     }
 }
 
-/// Gives the target of a tier.
+/// Returns a tier's target for the first token or byte.
 #[must_use]
 pub fn target(tier: &str) -> Duration {
     Duration::from_millis(tier_times(tier).0)
 }
 
-/// A request that an engine works on.
+/// A request in progress on an engine.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// Instance that sent it.
-    pub node: usize,
-    /// Its dispatch.
+    /// Index of the instance that dispatched it.
+    pub instance: usize,
+    /// Dispatch of the request.
     pub dispatch: Dispatch,
-    /// Tokens of the whole answer so far.
-    pub made: u32,
-    /// Prompt tokens that are computed for it.
-    pub computed: u32,
-    /// Whether the first token of this dispatch came.
-    pub begun: bool,
+    /// Tokens of the complete answer generated so far.
+    pub generated: u32,
+    /// Prompt tokens that this engine computes for it.
+    pub prefill_tokens: u32,
+    /// Whether this dispatch has generated its first token.
+    pub has_first_token: bool,
 }
 
-/// One engine.
+/// A simulated engine.
 #[derive(Debug)]
 pub struct Engine {
     /// Name.
     pub name: String,
     /// Model.
     pub model: EngineModel,
-    /// Whether it lives.
+    /// Whether the engine is alive.
     pub alive: bool,
-    /// Requests that it works on.
+    /// Requests in progress.
     pub jobs: BTreeMap<RequestId, Job>,
-    /// Number of the cache change that was last reported.
-    pub reported: u64,
-    /// When its next step is planned.
-    pub planned: Option<Duration>,
+    /// Sequence number of the last cache change reported.
+    pub last_reported: u64,
+    /// Time for which the end of the current step is scheduled.
+    pub scheduled: Option<Duration>,
 }
 
-/// One plain server.
+/// A simulated plain server.
 #[derive(Debug)]
 pub struct Server {
     /// Name.
     pub name: String,
-    /// Calls that it works on.
+    /// Number of calls in progress.
     pub running: u32,
 }
 
@@ -96,15 +96,15 @@
     pub engines: Vec<Engine>,
     /// Plain servers.
     pub servers: Vec<Server>,
-    by_name: HashMap<String, Place>,
+    by_name: HashMap<String, EndpointIndex>,
 }
 
-/// Where an endpoint is in the tables.
+/// Position of an endpoint in [`Fleet`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Place {
-    /// Engine by number.
+pub enum EndpointIndex {
+    /// Index of an engine.
     Engine(usize),
-    /// Plain server by number.
+    /// Index of a plain server.
     Server(usize),
 }
 
@@ -119,7 +119,7 @@
 }
 
 impl Fleet {
-    /// Makes the endpoints of a deployment.
+    /// Creates the endpoints of a deployment.
     #[must_use]
     pub fn new(deployment: Deployment) -> Self {
         let count = match deployment {
@@ -132,8 +132,8 @@
                 model: EngineModel::new(spec(i)),
                 alive: true,
                 jobs: BTreeMap::new(),
-                reported: 0,
-                planned: None,
+                last_reported: 0,
+                scheduled: None,
             })
             .collect();
         let servers: Vec<Server> = (0..SERVERS)
@@ -142,15 +142,15 @@
                 running: 0,
             })
             .collect();
-        let of_engines = engines
+        let engine_entries = engines
             .iter()
             .enumerate()
-            .map(|(i, e)| (e.name.clone(), Place::Engine(i)));
-        let of_servers = servers
+            .map(|(i, e)| (e.name.clone(), EndpointIndex::Engine(i)));
+        let server_entries = servers
             .iter()
             .enumerate()
-            .map(|(i, s)| (s.name.clone(), Place::Server(i)));
-        let by_name = of_engines.chain(of_servers).collect();
+            .map(|(i, s)| (s.name.clone(), EndpointIndex::Server(i)));
+        let by_name = engine_entries.chain(server_entries).collect();
         Self {
             engines,
             servers,
@@ -158,34 +158,37 @@
         }
     }
 
-    /// Finds an endpoint.
+    /// Finds an endpoint by name.
     #[must_use]
-    pub fn place(&self, name: &str) -> Option<Place> {
+    pub fn find(&self, name: &str) -> Option<EndpointIndex> {
         self.by_name.get(name).copied()
     }
 
-    /// Gives the longest prefix of `blocks` that any living engine has cached, in blocks.
+    /// Returns the length of the longest prefix of `blocks` that any live engine has cached, in blocks.
     #[must_use]
     pub fn best_match(&self, blocks: &[u64]) -> usize {
-        let living = self.engines.iter().filter(|e| e.alive);
-        living.map(|e| e.model.matched(blocks)).max().unwrap_or(0)
+        let live_engines = self.engines.iter().filter(|e| e.alive);
+        live_engines
+            .map(|e| e.model.matched(blocks))
+            .max()
+            .unwrap_or(0)
     }
 }
 
-/// Estimates the requests a second that a deployment's engines can do.
+/// Estimates how many requests per second a deployment's engines can process.
 #[must_use]
 pub fn capacity(deployment: Deployment) -> f64 {
     let fleet = Fleet::new(deployment);
     let total: f64 = (0..fleet.engines.len())
-        .map(|i| 1.0 / mean_work(deployment, spec(i)))
+        .map(|i| 1.0 / mean_request_secs(deployment, spec(i)))
         .sum();
     let kinds = deployment.kinds();
     let models: f64 = kinds.iter().filter(|k| !k.plain).map(|k| k.weight).sum();
     total / models
 }
 
-/// Gives the mean time that a model request occupies an engine in a full batch, in seconds.
-fn mean_work(deployment: Deployment, spec: EngineSpec) -> f64 {
+/// Returns the mean time for which a model request occupies an engine in a full batch, in seconds.
+fn mean_request_secs(deployment: Deployment, spec: EngineSpec) -> f64 {
     let models = || deployment.kinds().iter().filter(|k| !k.plain);
     let weight: f64 = models().map(|k| k.weight).sum();
     let work = |k: &crate::workload::Kind| {
@@ -197,17 +200,17 @@
     models().map(work).sum::<f64>() / weight
 }
 
-/// Gives the mean of a length that is drawn evenly, or evenly in its logarithm.
-fn mean((least, most): (u32, u32), by_logarithm: bool) -> f64 {
-    let (least, most) = (f64::from(least), f64::from(most));
-    if by_logarithm && most > least {
-        (most - least) / (most / least).ln()
+/// Returns the mean of a length with a uniform or log-uniform distribution.
+fn mean((min, max): (u32, u32), log_uniform: bool) -> f64 {
+    let (min, max) = (f64::from(min), f64::from(max));
+    if log_uniform && max > min {
+        (max - min) / (max / min).ln()
     } else {
-        f64::midpoint(least, most)
+        f64::midpoint(min, max)
     }
 }
 
-/// Gives the resources of a deployment.
+/// Returns the resources of a deployment.
 #[must_use]
 pub fn catalog(deployment: Deployment) -> Catalog {
     let kinds = deployment.kinds();
--- a/crates/firdock-standin/src/measure/plan.rs
+++ b/crates/firdock-standin/src/measure/plan.rs
@@ -1,4 +1,4 @@
-//! Which policies run in which scenarios, and the medians over seeds.
+//! Plan of a measurement: deployments, scenarios and policies, with medians over the seeds.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -18,10 +18,10 @@
 use super::score::Score;
 use crate::workload::Deployment;
 
-/// Requests that an instance holds in measurements.
+/// Maximum number of requests that an instance queues.
 const MAX_HELD: usize = 400;
 
-/// A policy that takes part.
+/// A policy under measurement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Contender {
@@ -29,39 +29,39 @@
     Firdock,
     /// Baseline: one endpoint after another.
     RoundRobin,
-    /// Baseline: the least reported load.
+    /// Baseline: the endpoint with the least reported load.
     LeastReported,
-    /// Baseline: the less loaded of two.
+    /// Baseline: the less loaded of two endpoints drawn at random.
     TwoChoices,
-    /// Firdock without holding requests until there is room.
+    /// Firdock without queueing requests until an endpoint has capacity.
     NoLateBinding,
-    /// Firdock without counting cached prefixes.
+    /// Firdock without taking cached prefixes into account.
     NoAffinity,
     /// Firdock without learned rates.
     NoLearning,
-    /// Firdock with even budgets.
+    /// Firdock with equal budgets, whatever demand the peers report.
     NoDemandShares,
-    /// Firdock without ejection.
+    /// Firdock without ejecting failing endpoints.
     NoEjection,
     /// Firdock without resuming streams.
     NoResume,
-    /// Firdock with all accounts in one queue.
+    /// Firdock with the requests of all client accounts in one queue.
     NoFairShares,
-    /// Firdock with requests in the order of their arrival, late or not.
+    /// Firdock without serving late requests last.
     NoLateLast,
-    /// Firdock without waiting for a better endpoint.
+    /// Firdock without a short wait for an endpoint that has the prefix cached.
     NoWaiting,
 }
 
 impl Contender {
-    /// Firdock and the baselines.
+    /// Firdock's policy and the baselines.
     pub const MAIN: [Self; 4] = [
         Self::Firdock,
         Self::RoundRobin,
         Self::LeastReported,
         Self::TwoChoices,
     ];
-    /// Firdock with one mechanism off.
+    /// Firdock's policy with one mechanism switched off.
     pub const WITHOUT: [Self; 9] = [
         Self::NoLateBinding,
         Self::NoAffinity,
@@ -74,7 +74,7 @@
         Self::NoWaiting,
     ];
 
-    /// Gives the name.
+    /// Returns the name.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -168,7 +168,7 @@
     s.with_mechanisms(mechanisms)
 }
 
-/// One deployment, scenario and policy.
+/// One combination of deployment, scenario and policy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Cell {
     /// Deployment.
@@ -179,7 +179,7 @@
     pub contender: Contender,
 }
 
-/// What is measured.
+/// Combinations and seeds to measure.
 #[derive(Debug, Clone)]
 pub struct Plan {
     /// Deployments.
@@ -192,7 +192,7 @@
     pub seeds: Vec<u64>,
     /// Time for which requests arrive in each run.
     pub time: Duration,
-    /// Runs at once.
+    /// Number of concurrent runs.
     pub threads: usize,
 }
 
@@ -205,28 +205,28 @@
     pub scenario: &'static str,
     /// Policy.
     pub contender: &'static str,
-    /// Goodput by tier as a part of what was offered.
+    /// Goodput by tier, as a fraction of the requests offered.
     pub goodput: BTreeMap<String, f64>,
     /// 95th percentile of the time to the first token or byte by tier, in milliseconds.
     pub first_p95: BTreeMap<String, f64>,
     /// 95th percentile of the mean time between tokens by tier, in milliseconds.
     pub gap_p95: BTreeMap<String, f64>,
-    /// Requests given up by tier.
+    /// Number of requests given up, by tier.
     pub given_up: BTreeMap<String, f64>,
-    /// Prompt tokens lost with an endpoint or an instance.
+    /// Prompt tokens whose computation was lost with an endpoint or an instance.
     pub wasted_lost: f64,
     /// Prompt tokens computed though another engine had them cached.
     pub wasted_recomputed: f64,
-    /// Jain's index over accounts.
+    /// Jain's fairness index over the client accounts.
     pub jain: f64,
-    /// Goodput of all accounts but the one that sent most, over model calls.
+    /// Goodput of model calls over all client accounts but the one that sent most.
     pub quiet_goodput: f64,
-    /// Decisions a second of processor time.
+    /// Decisions per second of processor time.
     pub decisions_per_second: f64,
 }
 
 impl Plan {
-    /// Runs everything; gives a row a cell, in the plan's order.
+    /// Runs every combination with every seed; returns one row per combination, in the plan's order.
     #[must_use]
     pub fn run(&self) -> Vec<Row> {
         let cells = self.cells();
--- a/crates/firdock-standin/src/measure/run.rs
+++ b/crates/firdock-standin/src/measure/run.rs
@@ -1,4 +1,4 @@
-//! One run in virtual time: instances, endpoints, arrivals, reports, faults.
+//! Discrete-event simulation of one run: instances, endpoints, arrivals, reports and faults.
 
 mod contestant;
 mod fault;
@@ -15,40 +15,40 @@
 use firdock_policy::{Action, Event, NewRequest, Origin, Time};
 use uuid::Uuid;
 
-pub use contestant::Contestant;
+pub use contestant::MeasuredPolicy;
 
 use super::fleet::{self, Fleet};
 use super::scenario::Scenario;
 use super::score::{Record, Score, sum};
 use crate::workload::{Arrival, Deployment, Workload};
 
-/// Entry instances.
+/// Number of entry instances.
 pub const INSTANCES: usize = 7;
-/// One way between an instance and an endpoint, a peer or the platform.
+/// One-way latency between an instance and an endpoint or a peer.
 const LATENCY: Duration = Duration::from_micros(500);
-/// Pause between two reports, two heartbeats and two timers.
-const REPORT_PAUSE: Duration = Duration::from_millis(500);
-const BEAT_PAUSE: Duration = Duration::from_millis(250);
-const TIMER_PAUSE: Duration = Duration::from_millis(25);
-/// Time at the start that fills caches and is not scored.
+/// Intervals of an endpoint's reports, an instance's heartbeats and its timer.
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
+const TIMER_INTERVAL: Duration = Duration::from_millis(25);
+/// Warm-up that fills the caches and is not scored.
 const WARM_UP: Duration = Duration::from_secs(8);
-/// Time after the last arrival for answers to end.
+/// Time after the last arrival in which answers may still end.
 const COOL_DOWN: Duration = Duration::from_secs(45);
-/// Time for which an engine goes on for an instance that is gone.
-const UNREAD_TIME: Duration = Duration::from_secs(2);
-/// Slots of a plain server, beyond which calls take longer.
+/// Time after which an engine cancels the requests of a killed instance.
+const ORPHAN_TIMEOUT: Duration = Duration::from_secs(2);
+/// Number of concurrent calls on a plain server beyond which calls take longer.
 const PLAIN_SLOTS: u32 = 32;
 
-enum Happening {
-    Arrive(Box<Arrival>),
-    Node(usize, Box<Event>),
-    AtEndpoint(usize, Dispatch),
-    Step(usize),
-    PlainDone(usize, usize, Dispatch),
-    Report(usize),
-    Beats,
+enum SimEvent {
+    RequestArrival(Box<Arrival>),
+    PolicyEvent(usize, Box<Event>),
+    DispatchArrival(usize, Dispatch),
+    EngineStep(usize),
+    PlainCallDone(usize, usize, Dispatch),
+    EndpointReport(usize),
+    Heartbeats,
     Timers,
-    Orphans(usize),
+    CancelOrphans(usize),
     KillEngine(usize),
     KillInstance(usize),
 }
@@ -64,51 +64,51 @@
     pub seed: u64,
     /// Time for which requests arrive.
     pub time: Duration,
-    /// Whether the policy sees all requests as those of one account.
+    /// Whether the policy sees all requests as sent by one client account.
     pub one_account: bool,
 }
 
 struct Run<P> {
     settings: RunSettings,
     now: Time,
-    queue: BTreeMap<(Time, u64), Happening>,
+    queue: BTreeMap<(Time, u64), SimEvent>,
     sequence: u64,
-    nodes: Vec<P>,
+    policies: Vec<P>,
     alive: [bool; INSTANCES],
     fleet: Fleet,
     records: HashMap<RequestId, Record>,
     arrivals: HashMap<RequestId, (NewRequest, Arrival)>,
-    handed: HashMap<(usize, RequestId), usize>,
+    handed_over_from: HashMap<(usize, RequestId), usize>,
     wasted: (u64, u64),
     decisions: u64,
-    spent: Duration,
+    policy_time: Duration,
     reports: u64,
 }
 
-/// Runs a policy in a scenario.
-pub fn run<P: Contestant>(settings: RunSettings, make: impl Fn(usize) -> P) -> Score {
+/// Runs a scenario with the policies that `make` creates, one per instance.
+pub fn run<P: MeasuredPolicy>(settings: RunSettings, make: impl Fn(usize) -> P) -> Score {
     let mut run = Run {
         settings,
         now: Time::ZERO,
         queue: BTreeMap::new(),
         sequence: 0,
-        nodes: (0..INSTANCES).map(make).collect(),
+        policies: (0..INSTANCES).map(make).collect(),
         alive: [true; INSTANCES],
         fleet: Fleet::new(settings.deployment),
         records: HashMap::new(),
         arrivals: HashMap::new(),
-        handed: HashMap::new(),
+        handed_over_from: HashMap::new(),
         wasted: (0, 0),
         decisions: 0,
-        spent: Duration::ZERO,
+        policy_time: Duration::ZERO,
         reports: 0,
     };
     run.prepare();
-    run.go();
+    run.run_to_end();
     run.score()
 }
 
-/// Gives the request whose whole answer an event tells of.
+/// Returns the request whose answer an event completes.
 fn ended_request(event: &Event) -> Option<RequestId> {
     match event {
         Event::HandOver(HandOverEvent::Ended(id)) => Some(*id),
@@ -117,33 +117,33 @@
     }
 }
 
-fn node_name(i: usize) -> String {
+fn instance_name(i: usize) -> String {
     format!("node-{i}")
 }
 
-impl<P: Contestant> Run<P> {
-    fn plan(&mut self, at: Time, happening: Happening) {
+impl<P: MeasuredPolicy> Run<P> {
+    fn schedule(&mut self, at: Time, sim_event: SimEvent) {
         self.sequence += 1;
-        self.queue.insert((at, self.sequence), happening);
+        self.queue.insert((at, self.sequence), sim_event);
     }
 
     fn prepare(&mut self) {
         let catalog = Arc::new(fleet::catalog(self.settings.deployment));
         for i in 0..INSTANCES {
-            self.step(i, Event::Config(Arc::clone(&catalog)));
+            self.step_policy(i, Event::Config(Arc::clone(&catalog)));
         }
         for e in 0..self.fleet.engines.len() + self.fleet.servers.len() {
-            // Reports do not all come at the same moment.
-            let at = REPORT_PAUSE.mul_f64(e as f64 / 60.0);
-            self.plan(at, Happening::Report(e));
+            // Staggers the reports, so that they do not all arrive at once.
+            let at = REPORT_INTERVAL.mul_f64(e as f64 / 60.0);
+            self.schedule(at, SimEvent::EndpointReport(e));
         }
-        self.plan(BEAT_PAUSE, Happening::Beats);
-        self.plan(TIMER_PAUSE, Happening::Timers);
-        self.plan_faults();
-        self.plan_arrivals();
+        self.schedule(HEARTBEAT_INTERVAL, SimEvent::Heartbeats);
+        self.schedule(TIMER_INTERVAL, SimEvent::Timers);
+        self.schedule_faults();
+        self.schedule_arrivals();
     }
 
-    fn plan_faults(&mut self) {
+    fn schedule_faults(&mut self) {
         match self.settings.scenario {
             Scenario::SlowEngines => {
                 for e in self.fleet.engines.iter_mut().step_by(10) {
@@ -152,67 +152,67 @@
             }
             Scenario::EnginesKilled => {
                 for (i, secs) in [(3, 10), (17, 14), (31, 18)] {
-                    self.plan(Duration::from_secs(secs), Happening::KillEngine(i));
+                    self.schedule(Duration::from_secs(secs), SimEvent::KillEngine(i));
                 }
             }
             Scenario::InstanceKilled => {
-                self.plan(Duration::from_secs(12), Happening::KillInstance(0));
+                self.schedule(Duration::from_secs(12), SimEvent::KillInstance(0));
             }
             _ => {}
         }
     }
 
-    fn plan_arrivals(&mut self) {
+    fn schedule_arrivals(&mut self) {
         let s = self.settings;
         let capacity = fleet::capacity(s.deployment);
-        let most = 2.4 * capacity;
-        let work = Workload::new(s.deployment, s.seed, most, INSTANCES)
+        let peak_rate = 2.4 * capacity;
+        let workload = Workload::new(s.deployment, s.seed, peak_rate, INSTANCES)
             .with_account_weights(s.scenario.account_weights());
-        // Arrivals at the highest rate are thinned out to the rate of the moment.
-        let mut thinner = 0.0;
-        for arrival in work.take_while(|a| a.at < s.time) {
-            thinner += s.scenario.load(arrival.at) * capacity / most;
-            if thinner >= 1.0 {
-                thinner -= 1.0;
-                self.plan(arrival.at, Happening::Arrive(Box::new(arrival)));
+        // Generates arrivals at the peak rate and thins them to the rate of the moment.
+        let mut thinning_credit = 0.0;
+        for arrival in workload.take_while(|a| a.at < s.time) {
+            thinning_credit += s.scenario.load(arrival.at) * capacity / peak_rate;
+            if thinning_credit >= 1.0 {
+                thinning_credit -= 1.0;
+                self.schedule(arrival.at, SimEvent::RequestArrival(Box::new(arrival)));
             }
         }
     }
 
-    fn go(&mut self) {
+    fn run_to_end(&mut self) {
         let end = self.settings.time + COOL_DOWN;
-        while let Some(((at, _), happening)) = self.queue.pop_first() {
+        while let Some(((at, _), sim_event)) = self.queue.pop_first() {
             if at > end {
                 break;
             }
             self.now = at;
-            self.take(happening);
+            self.handle(sim_event);
         }
     }
 
-    fn take(&mut self, happening: Happening) {
-        match happening {
-            Happening::Arrive(arrival) => self.arrive(*arrival),
-            Happening::Node(i, event) => self.step(i, *event),
-            Happening::AtEndpoint(i, dispatch) => self.at_endpoint(i, dispatch),
-            Happening::Step(e) => self.engine_step(e),
-            Happening::PlainDone(i, s, dispatch) => self.plain_done(i, s, &dispatch),
-            Happening::Report(e) => self.report(e),
-            Happening::Beats => self.beats(),
-            Happening::Timers => {
+    fn handle(&mut self, sim_event: SimEvent) {
+        match sim_event {
+            SimEvent::RequestArrival(arrival) => self.handle_arrival(*arrival),
+            SimEvent::PolicyEvent(i, event) => self.step_policy(i, *event),
+            SimEvent::DispatchArrival(i, dispatch) => self.receive_dispatch(i, dispatch),
+            SimEvent::EngineStep(e) => self.step_engine(e),
+            SimEvent::PlainCallDone(i, s, dispatch) => self.finish_plain_call(i, s, &dispatch),
+            SimEvent::EndpointReport(e) => self.report_endpoint(e),
+            SimEvent::Heartbeats => self.send_heartbeats(),
+            SimEvent::Timers => {
                 for i in 0..INSTANCES {
-                    self.step(i, Event::Timer);
+                    self.step_policy(i, Event::Timer);
                 }
-                self.plan(self.now + TIMER_PAUSE, Happening::Timers);
+                self.schedule(self.now + TIMER_INTERVAL, SimEvent::Timers);
             }
-            Happening::Orphans(i) => self.drop_orphans(i),
-            Happening::KillEngine(e) => self.kill_engine(e),
-            Happening::KillInstance(i) => self.kill_instance(i),
+            SimEvent::CancelOrphans(i) => self.cancel_orphans(i),
+            SimEvent::KillEngine(e) => self.kill_engine(e),
+            SimEvent::KillInstance(i) => self.kill_instance(i),
         }
     }
 
-    fn arrive(&mut self, arrival: Arrival) {
-        // The balancer knows instances that are gone.
+    fn handle_arrival(&mut self, arrival: Arrival) {
+        // The load balancer skips instances that are gone.
         let mut i = arrival.instance;
         while !self.alive[i] {
             i = (i + 1) % INSTANCES;
@@ -250,47 +250,50 @@
         };
         self.records.insert(id, record);
         self.arrivals.insert(id, (new.clone(), arrival));
-        self.step(i, Event::Arrived(new));
+        self.step_policy(i, Event::Arrived(new));
     }
 
-    fn step(&mut self, i: usize, event: Event) {
+    fn step_policy(&mut self, i: usize, event: Event) {
         if !self.alive[i] {
             return;
         }
         let ended = ended_request(&event);
         let mut out = Vec::new();
         let started = Instant::now();
-        self.nodes[i].step(self.now, event, &mut out);
-        self.spent += started.elapsed();
+        self.policies[i].step(self.now, event, &mut out);
+        self.policy_time += started.elapsed();
         self.decisions += 1;
         if let Some(id) = ended {
-            self.end(i, id);
+            self.record_complete(i, id);
         }
         for action in out {
-            self.carry_out(i, action);
+            self.execute(i, action);
         }
     }
 
-    fn later(&mut self, i: usize, event: Event) {
-        self.plan(self.now + LATENCY, Happening::Node(i, Box::new(event)));
+    fn deliver(&mut self, i: usize, event: Event) {
+        self.schedule(
+            self.now + LATENCY,
+            SimEvent::PolicyEvent(i, Box::new(event)),
+        );
     }
 
-    fn carry_out(&mut self, i: usize, action: Action) {
+    fn execute(&mut self, i: usize, action: Action) {
         match action {
             Action::Dispatch(dispatch) => {
-                self.plan(self.now + LATENCY, Happening::AtEndpoint(i, dispatch));
+                self.schedule(self.now + LATENCY, SimEvent::DispatchArrival(i, dispatch));
             }
             Action::HandOver { id, peer, .. } => self.hand_over(i, id, &peer),
             Action::RefuseHandOver { id, verdict, tried } => {
-                if let Some(from) = self.handed.remove(&(i, id)) {
+                if let Some(from) = self.handed_over_from.remove(&(i, id)) {
                     let verdict = Some(verdict);
                     let refusal = HandOverRefusal { id, verdict, tried };
-                    self.later(from, Event::HandOver(HandOverEvent::Refused(refusal)));
+                    self.deliver(from, Event::HandOver(HandOverEvent::Refused(refusal)));
                 }
             }
             Action::Answer { id, verdict } => {
-                if let Some(from) = self.handed.remove(&(i, id)) {
-                    self.later(from, Event::HandOver(HandOverEvent::Unknown(id, verdict)));
+                if let Some(from) = self.handed_over_from.remove(&(i, id)) {
+                    self.deliver(from, Event::HandOver(HandOverEvent::Unknown(id, verdict)));
                 }
             }
             _ => {}
@@ -298,39 +301,40 @@
     }
 
     fn hand_over(&mut self, from: usize, id: RequestId, peer: &str) {
-        let to = (0..INSTANCES).find(|i| node_name(*i) == peer);
+        let to = (0..INSTANCES).find(|i| instance_name(*i) == peer);
         let Some((to, (new, _))) = to.zip(self.arrivals.get(&id)) else {
             return;
         };
         let mut new = new.clone();
-        new.origin = Origin::Peer(node_name(from));
-        self.handed.insert((to, id), from);
-        self.later(to, Event::Arrived(new));
+        new.origin = Origin::Peer(instance_name(from));
+        self.handed_over_from.insert((to, id), from);
+        self.deliver(to, Event::Arrived(new));
     }
 
-    /// Notes that the whole answer came, for the caller or the peer it came through.
-    fn end(&mut self, i: usize, id: RequestId) {
-        if let Some(from) = self.handed.remove(&(i, id)) {
-            self.later(from, Event::HandOver(HandOverEvent::Ended(id)));
+    /// Records a complete answer, for the caller or for the peer that handed the request over.
+    fn record_complete(&mut self, i: usize, id: RequestId) {
+        if let Some(from) = self.handed_over_from.remove(&(i, id)) {
+            self.deliver(from, Event::HandOver(HandOverEvent::Ended(id)));
         } else if let Some(r) = self.records.get_mut(&id) {
             r.ended = r.ended.or(Some(self.now));
         }
     }
 
-    fn tell(&mut self, i: usize, dispatch: &Dispatch, news: DispatchUpdate) {
+    fn send_update(&mut self, i: usize, dispatch: &Dispatch, update: DispatchUpdate) {
         let event = EndpointEvent {
             id: dispatch.id,
             dispatch: dispatch.dispatch,
-            update: news,
+            update,
         };
-        self.later(i, Event::Endpoint(event));
+        self.deliver(i, Event::Endpoint(event));
     }
 
     fn score(self) -> Score {
         let scored = self.records.values().filter(|r| r.arrived > WARM_UP);
         let mut score = sum(scored);
         (score.wasted_lost, score.wasted_recomputed) = self.wasted;
-        score.decisions_per_second = self.decisions as f64 / self.spent.as_secs_f64().max(1e-9);
+        score.decisions_per_second =
+            self.decisions as f64 / self.policy_time.as_secs_f64().max(1e-9);
         score
     }
 }
--- a/crates/firdock-standin/src/measure/run/contestant.rs
+++ b/crates/firdock-standin/src/measure/run/contestant.rs
@@ -1,18 +1,18 @@
-//! What takes part in a run: a policy, and what it tells its peers.
+//! Policies under measurement and their heartbeats to peers.
 
 use firdock_policy::event::{PeerUpdate, PoolDemand};
 use firdock_policy::{Policy, pool_demand};
 
 use crate::measure::baseline::Baseline;
 
-/// What a policy tells of itself to its peers.
-pub trait Contestant: Policy {
-    /// Gives the news for peers, if the policy has any.
-    fn news(&self, name: &str) -> Option<PeerUpdate>;
+/// A policy under measurement.
+pub trait MeasuredPolicy: Policy {
+    /// Returns the content of the next heartbeat to peers; `None` for a policy without heartbeats.
+    fn heartbeat(&self, name: &str) -> Option<PeerUpdate>;
 }
 
-impl Contestant for firdock_policy::Scheduler {
-    fn news(&self, name: &str) -> Option<PeerUpdate> {
+impl MeasuredPolicy for firdock_policy::Scheduler {
+    fn heartbeat(&self, name: &str) -> Option<PeerUpdate> {
         let t = self.tables();
         Some(PeerUpdate {
             name: name.to_owned(),
@@ -28,8 +28,8 @@
     }
 }
 
-impl Contestant for Baseline {
-    fn news(&self, _name: &str) -> Option<PeerUpdate> {
+impl MeasuredPolicy for Baseline {
+    fn heartbeat(&self, _name: &str) -> Option<PeerUpdate> {
         None
     }
 }
--- a/crates/firdock-standin/src/measure/run/report.rs
+++ b/crates/firdock-standin/src/measure/run/report.rs
@@ -5,13 +5,16 @@
 use firdock_policy::Event;
 use firdock_policy::event::LoadReport;
 
-use super::{BEAT_PAUSE, Contestant, Happening, INSTANCES, LATENCY, REPORT_PAUSE, Run, node_name};
+use super::{
+    HEARTBEAT_INTERVAL, INSTANCES, LATENCY, MeasuredPolicy, REPORT_INTERVAL, Run, SimEvent,
+    instance_name,
+};
 use crate::measure::scenario::Scenario;
 
-impl<P: Contestant> Run<P> {
-    /// Has an endpoint report to every instance, as late as the scenario says.
-    pub(super) fn report(&mut self, e: usize) {
-        self.plan(self.now + REPORT_PAUSE, Happening::Report(e));
+impl<P: MeasuredPolicy> Run<P> {
+    /// Sends an endpoint's report to every instance, with the delay that the scenario sets.
+    pub(super) fn report_endpoint(&mut self, e: usize) {
+        self.schedule(self.now + REPORT_INTERVAL, SimEvent::EndpointReport(e));
         self.reports += 1;
         let scenario = self.settings.scenario;
         let age = scenario.report_age();
@@ -20,9 +23,9 @@
             return;
         };
         for i in 0..INSTANCES {
-            self.plan(
+            self.schedule(
                 self.now + age,
-                Happening::Node(i, Box::new(Event::Report(report.clone()))),
+                SimEvent::PolicyEvent(i, Box::new(Event::Report(report.clone()))),
             );
         }
     }
@@ -50,11 +53,11 @@
         if !engine.alive {
             return None;
         }
-        let (changes, gap) = engine.model.changes_after(engine.reported);
-        engine.reported = engine.model.sequence();
+        let (changes, gap) = engine.model.changes_after(engine.last_reported);
+        engine.last_reported = engine.model.sequence();
         let blocks = |added: bool| {
-            let wanted = changes.iter().filter(|c| c.added == added && !lost);
-            wanted.map(|c| c.block).collect()
+            let matching = changes.iter().filter(|c| c.added == added && !lost);
+            matching.map(|c| c.block).collect()
         };
         Some(LoadReport {
             endpoint: engine.name.clone(),
@@ -69,19 +72,19 @@
         })
     }
 
-    pub(super) fn beats(&mut self) {
+    pub(super) fn send_heartbeats(&mut self) {
         let alive = self.alive;
         for from in (0..INSTANCES).filter(|i| alive[*i]) {
-            let Some(news) = self.nodes[from].news(&node_name(from)) else {
+            let Some(update) = self.policies[from].heartbeat(&instance_name(from)) else {
                 continue;
             };
             for to in (0..INSTANCES).filter(|to| *to != from) {
-                self.plan(
+                self.schedule(
                     self.now + LATENCY,
-                    Happening::Node(to, Box::new(Event::Peer(news.clone()))),
+                    SimEvent::PolicyEvent(to, Box::new(Event::Peer(update.clone()))),
                 );
             }
         }
-        self.plan(self.now + BEAT_PAUSE, Happening::Beats);
+        self.schedule(self.now + HEARTBEAT_INTERVAL, SimEvent::Heartbeats);
     }
 }
--- a/crates/firdock-standin/src/measure/run/serve.rs
+++ b/crates/firdock-standin/src/measure/run/serve.rs
@@ -1,33 +1,35 @@
-//! What endpoints do with the requests of a run.
+//! Processing of requests by the endpoints of a run.
 
 use firdock_policy::action::Dispatch;
 use firdock_policy::event::DispatchUpdate;
 
-use super::{Contestant, Happening, LATENCY, PLAIN_SLOTS, Run, WARM_UP};
+use super::{LATENCY, MeasuredPolicy, PLAIN_SLOTS, Run, SimEvent, WARM_UP};
 use crate::engine::model;
-use crate::measure::fleet::{Job, PLAIN_TIME, Place};
+use crate::measure::fleet::{EndpointIndex, Job, PLAIN_TIME};
 
-impl<P: Contestant> Run<P> {
-    pub(super) fn at_endpoint(&mut self, i: usize, dispatch: Dispatch) {
-        match self.fleet.place(&dispatch.endpoint) {
-            Some(Place::Engine(e)) if self.fleet.engines[e].alive => self.submit(i, e, dispatch),
-            Some(Place::Server(s)) => {
+impl<P: MeasuredPolicy> Run<P> {
+    pub(super) fn receive_dispatch(&mut self, i: usize, dispatch: Dispatch) {
+        match self.fleet.find(&dispatch.endpoint) {
+            Some(EndpointIndex::Engine(e)) if self.fleet.engines[e].alive => {
+                self.submit(i, e, dispatch);
+            }
+            Some(EndpointIndex::Server(s)) => {
                 let server = &mut self.fleet.servers[s];
                 server.running += 1;
                 let contention = f64::from(server.running.div_ceil(PLAIN_SLOTS));
                 let done = self.now + PLAIN_TIME.mul_f64(contention);
-                self.plan(done, Happening::PlainDone(i, s, dispatch));
+                self.schedule(done, SimEvent::PlainCallDone(i, s, dispatch));
             }
-            _ => self.tell(i, &dispatch, DispatchUpdate::Refused { unreachable: true }),
+            _ => self.send_update(i, &dispatch, DispatchUpdate::Refused { unreachable: true }),
         }
     }
 
-    pub(super) fn plain_done(&mut self, i: usize, s: usize, dispatch: &Dispatch) {
+    pub(super) fn finish_plain_call(&mut self, i: usize, s: usize, dispatch: &Dispatch) {
         self.fleet.servers[s].running -= 1;
         if let Some(r) = self.records.get_mut(&dispatch.id) {
             r.first = r.first.or(Some(self.now + LATENCY));
         }
-        self.tell(
+        self.send_update(
             i,
             dispatch,
             DispatchUpdate::Ended {
@@ -60,31 +62,31 @@
                 output_tokens: arrival.output.saturating_sub(dispatch.resume_from).max(1),
             },
         );
-        let computed = prompt_tokens.saturating_sub(own as u32 * block);
-        let made = dispatch.resume_from;
+        let prefill_tokens = prompt_tokens.saturating_sub(own as u32 * block);
+        let generated = dispatch.resume_from;
         let job = Job {
-            node: i,
+            instance: i,
             dispatch,
-            made,
-            computed,
-            begun: false,
+            generated,
+            prefill_tokens,
+            has_first_token: false,
         };
         engine.jobs.insert(job.dispatch.id, job);
-        self.plan_step(e);
+        self.schedule_step(e);
     }
 
-    pub(super) fn plan_step(&mut self, e: usize) {
+    pub(super) fn schedule_step(&mut self, e: usize) {
         let engine = &mut self.fleet.engines[e];
         let next = engine.model.next_step();
-        if next != engine.planned
+        if next != engine.scheduled
             && let Some(at) = next
         {
-            engine.planned = next;
-            self.plan(at, Happening::Step(e));
+            engine.scheduled = next;
+            self.schedule(at, SimEvent::EngineStep(e));
         }
     }
 
-    pub(super) fn engine_step(&mut self, e: usize) {
+    pub(super) fn step_engine(&mut self, e: usize) {
         let engine = &mut self.fleet.engines[e];
         if engine.model.next_step() != Some(self.now) {
             return;
@@ -92,30 +94,30 @@
         for token in engine.model.step(self.now) {
             self.deliver_token(e, token);
         }
-        self.plan_step(e);
+        self.schedule_step(e);
     }
 
     pub(super) fn deliver_token(&mut self, e: usize, token: model::GeneratedToken) {
         let Some(job) = self.fleet.engines[e].jobs.get_mut(&token.id) else {
             return;
         };
-        job.made += 1;
-        let first = !std::mem::replace(&mut job.begun, true);
+        job.generated += 1;
+        let first = !std::mem::replace(&mut job.has_first_token, true);
         let job = job.clone();
         if first {
             if let Some(r) = self.records.get_mut(&token.id) {
                 r.first = r.first.or(Some(self.now + LATENCY));
             }
-            self.tell(
-                job.node,
+            self.send_update(
+                job.instance,
                 &job.dispatch,
                 DispatchUpdate::Started { head_sent: true },
             );
-            let news = DispatchUpdate::Tokens {
-                delivered: job.made,
+            let update = DispatchUpdate::Tokens {
+                delivered: job.generated,
                 cached: token.cached,
             };
-            self.tell(job.node, &job.dispatch, news);
+            self.send_update(job.instance, &job.dispatch, update);
         }
         if token.last {
             self.fleet.engines[e].jobs.remove(&token.id);
@@ -123,12 +125,12 @@
                 .arrivals
                 .get(&token.id)
                 .map_or(0, |(new, _)| new.prompt_tokens);
-            let news = DispatchUpdate::Ended {
+            let update = DispatchUpdate::Ended {
                 prompt,
                 cached: token.cached,
-                output: job.made,
+                output: job.generated,
             };
-            self.tell(job.node, &job.dispatch, news);
+            self.send_update(job.instance, &job.dispatch, update);
         }
     }
 }
--- a/crates/firdock-standin/src/measure/scenario.rs
+++ b/crates/firdock-standin/src/measure/scenario.rs
@@ -1,29 +1,29 @@
-//! Scenarios: how much arrives, and what goes wrong when.
+//! Scenarios: the load and the faults of a run.
 
 use std::time::Duration;
 
-/// What happens in a run.
+/// Load and faults of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Scenario {
-    /// 60 % of what the engines can do.
+    /// 60 % of the engines' capacity.
     Steady60,
-    /// 90 % of what the engines can do.
+    /// 90 % of the engines' capacity.
     Steady90,
-    /// 150 % of what the engines can do.
+    /// 150 % of the engines' capacity.
     Overload150,
-    /// 60 %, and four times that for three seconds.
+    /// 60 %, with four times that for three seconds.
     Burst,
-    /// 60 %, one engine in ten slowed four times.
+    /// 60 %, with one engine in ten slower by a factor of four.
     SlowEngines,
-    /// 60 %, three engines killed one after another.
+    /// 60 %, with three engines killed one after another.
     EnginesKilled,
-    /// 60 %, load reports five seconds late.
+    /// 60 %, with load reports delayed by five seconds.
     LateReports,
-    /// 60 %, half of the cache events lost.
+    /// 60 %, with the cache events of every second report lost.
     LostCacheEvents,
-    /// 60 %, one instance killed.
+    /// 60 %, with one instance killed.
     InstanceKilled,
-    /// 150 %, six parts in seven of it from one small account.
+    /// 150 %, with six sevenths of it from a client account that is otherwise small.
     Flood,
 }
 
@@ -42,7 +42,7 @@
         Self::Flood,
     ];
 
-    /// Gives the name.
+    /// Returns the name.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Gives the part of what the engines can do that arrives at a time.
+    /// Returns the load at a time, as a fraction of the engines' capacity.
     #[must_use]
     pub fn load(self, at: Duration) -> f64 {
         let bursting = (10..13).contains(&at.as_secs());
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Gives the age of load reports.
+    /// Returns the delay of load reports.
     #[must_use]
     pub fn report_age(self) -> Duration {
         match self {
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Gives the parts of the requests that each account sends.
+    /// Returns the fraction of the requests that each client account sends.
     #[must_use]
     pub fn account_weights(self) -> [f64; 5] {
         match self {
--- a/crates/firdock-standin/src/measure/score.rs
+++ b/crates/firdock-standin/src/measure/score.rs
@@ -1,20 +1,20 @@
-//! What a run came to.
+//! Score of a run.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use serde::Serialize;
 
-/// Figures of one tier.
+/// Score of one tier.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct TierScore {
     /// Requests that arrived.
     pub offered: u64,
-    /// Whole answers begun within the tier's target.
+    /// Complete answers that started within the tier's target.
     pub good: u64,
-    /// Whole answers.
+    /// Complete answers.
     pub answered: u64,
-    /// Requests given up.
+    /// Requests without a complete answer.
     pub given_up: u64,
     /// 95th percentile of the time to the first token or byte, in milliseconds.
     pub first_p95: f64,
@@ -23,7 +23,7 @@
 }
 
 impl TierScore {
-    /// Gives the goodput as a part of what was offered.
+    /// Returns the goodput as a fraction of the requests offered.
     #[must_use]
     pub fn goodput(&self) -> f64 {
         if self.offered == 0 {
@@ -34,52 +34,52 @@
     }
 }
 
-/// Figures of one run.
+/// Score of one run.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Score {
-    /// By tier, highest first by rank and then by name.
+    /// Scores by name of the tier.
     pub tiers: BTreeMap<String, TierScore>,
-    /// Prompt tokens lost with an endpoint or an instance.
+    /// Prompt tokens whose computation was lost with an endpoint or an instance.
     pub wasted_lost: u64,
     /// Prompt tokens computed though another engine had them cached.
     pub wasted_recomputed: u64,
-    /// Jain's index over the accounts' goodput as a part of what each offered.
+    /// Jain's fairness index over the client accounts' goodput, each as a fraction of what it offered.
     pub jain: f64,
-    /// Goodput of all accounts but the one that sent most, over model calls.
+    /// Goodput of model calls over all client accounts but the one that sent most.
     pub quiet_goodput: f64,
-    /// Decisions a second of processor time, over all instances.
+    /// Decisions per second of processor time, over all instances.
     pub decisions_per_second: f64,
 }
 
 impl Score {
-    /// Sums the wasted prefill.
+    /// Returns the total wasted prefill, in tokens.
     #[must_use]
     pub fn wasted(&self) -> u64 {
         self.wasted_lost + self.wasted_recomputed
     }
 }
 
-/// One request's course, from its caller's side.
+/// Timeline of one request, as its caller sees it.
 #[derive(Debug, Clone)]
 pub struct Record {
     /// Tier.
     pub tier: &'static str,
     /// Target for the first token or byte.
     pub target: Duration,
-    /// Account by number.
+    /// Index of the client account.
     pub account: usize,
-    /// When it arrived.
+    /// Time of arrival.
     pub arrived: Duration,
-    /// When the first token or byte came.
+    /// Time of the first token or byte.
     pub first: Option<Duration>,
-    /// When the whole answer had come.
+    /// Time at which the answer was complete.
     pub ended: Option<Duration>,
-    /// Tokens of the answer.
+    /// Length of the answer, in tokens.
     pub tokens: u32,
 }
 
 impl Record {
-    fn good(&self) -> bool {
+    fn is_good(&self) -> bool {
         let in_time = self
             .first
             .is_some_and(|f| f.saturating_sub(self.arrived) <= self.target);
@@ -87,43 +87,43 @@
     }
 }
 
-/// Sums the records of a run.
+/// Computes the score of a run from its records.
 pub fn sum<'a>(records: impl Iterator<Item = &'a Record>) -> Score {
     let mut score = Score::default();
-    let mut firsts: BTreeMap<String, Vec<f64>> = BTreeMap::new();
-    let mut gaps: BTreeMap<String, Vec<f64>> = BTreeMap::new();
+    let mut first_times: BTreeMap<String, Vec<f64>> = BTreeMap::new();
+    let mut token_gaps: BTreeMap<String, Vec<f64>> = BTreeMap::new();
     let mut accounts: BTreeMap<usize, (u64, u64)> = BTreeMap::new();
-    let mut models: BTreeMap<usize, (u64, u64)> = BTreeMap::new();
+    let mut model_calls: BTreeMap<usize, (u64, u64)> = BTreeMap::new();
     for r in records {
         let tier = score.tiers.entry(r.tier.to_owned()).or_default();
         let account = accounts.entry(r.account).or_default();
         tier.offered += 1;
         account.0 += 1;
-        let model = models.entry(r.account).or_default();
+        let model = model_calls.entry(r.account).or_default();
         model.0 += u64::from(r.tokens > 0);
-        model.1 += u64::from(r.tokens > 0 && r.good());
+        model.1 += u64::from(r.tokens > 0 && r.is_good());
         let (Some(first), Some(ended)) = (r.first, r.ended) else {
             tier.given_up += 1;
             continue;
         };
         tier.answered += 1;
-        tier.good += u64::from(r.good());
-        account.1 += u64::from(r.good());
+        tier.good += u64::from(r.is_good());
+        account.1 += u64::from(r.is_good());
         let millis = |d: Duration| d.as_secs_f64() * 1e3;
-        firsts
+        first_times
             .entry(r.tier.to_owned())
             .or_default()
             .push(millis(first.saturating_sub(r.arrived)));
         if r.tokens > 1 {
             let gap = millis(ended.saturating_sub(first)) / f64::from(r.tokens - 1);
-            gaps.entry(r.tier.to_owned()).or_default().push(gap);
+            token_gaps.entry(r.tier.to_owned()).or_default().push(gap);
         }
     }
     for (name, tier) in &mut score.tiers {
-        tier.first_p95 = p95(firsts.remove(name));
-        tier.gap_p95 = p95(gaps.remove(name));
+        tier.first_p95 = p95(first_times.remove(name));
+        tier.gap_p95 = p95(token_gaps.remove(name));
     }
-    score.quiet_goodput = quiet_goodput(&models);
+    score.quiet_goodput = quiet_goodput(&model_calls);
     score.jain = jain(
         accounts
             .values()
@@ -132,19 +132,19 @@
     score
 }
 
-/// Gives the goodput of all but the account that offered most.
+/// Returns the goodput over all client accounts but the one that offered most.
 fn quiet_goodput(accounts: &BTreeMap<usize, (u64, u64)>) -> f64 {
-    let loudest = accounts
+    let largest = accounts
         .iter()
         .max_by_key(|(_, (offered, _))| *offered)
         .map(|(a, _)| *a);
-    let quiet = || {
+    let others = || {
         accounts
             .iter()
-            .filter(|(a, _)| Some(**a) != loudest)
+            .filter(|(a, _)| Some(**a) != largest)
             .map(|(_, n)| *n)
     };
-    let (offered, good) = quiet().fold((0, 0), |sum, n| (sum.0 + n.0, sum.1 + n.1));
+    let (offered, good) = others().fold((0, 0), |sum, n| (sum.0 + n.0, sum.1 + n.1));
     if offered == 0 {
         1.0
     } else {
@@ -155,8 +155,8 @@
 fn p95(values: Option<Vec<f64>>) -> f64 {
     let mut values = values.unwrap_or_default();
     values.sort_by(f64::total_cmp);
-    let at = (values.len() * 95).div_ceil(100).saturating_sub(1);
-    values.get(at).copied().unwrap_or(0.0)
+    let index = (values.len() * 95).div_ceil(100).saturating_sub(1);
+    values.get(index).copied().unwrap_or(0.0)
 }
 
 fn jain(values: impl Iterator<Item = f64> + Clone) -> f64 {
--- a/crates/firdock-standin/src/workload.rs
+++ b/crates/firdock-standin/src/workload.rs
@@ -230,7 +230,7 @@
     rate: f64,
     instances: usize,
     now: f64,
-    request_count: u64,
+    unique_counter: u64,
     account_weights: [f64; 5],
 }
 
@@ -244,15 +244,15 @@
             rate,
             instances,
             now: 0.0,
-            request_count: seed << 32,
+            unique_counter: seed << 32,
             account_weights: ACCOUNT_WEIGHTS,
         }
     }
 
     /// Sets the fraction of the requests that each client account sends.
     #[must_use]
-    pub fn with_account_weights(mut self, parts: [f64; 5]) -> Self {
-        self.account_weights = parts;
+    pub fn with_account_weights(mut self, weights: [f64; 5]) -> Self {
+        self.account_weights = weights;
         self
     }
 
@@ -282,7 +282,7 @@
             return Prompt {
                 group: 0,
                 shared: 0,
-                unique: self.request_count,
+                unique: self.unique_counter,
                 own: 0,
             };
         }
@@ -299,7 +299,7 @@
         Prompt {
             group: (name << 48) | group,
             shared,
-            unique: self.request_count,
+            unique: self.unique_counter,
             own,
         }
     }
@@ -309,13 +309,13 @@
     type Item = Arrival;
 
     fn next(&mut self) -> Option<Arrival> {
-        self.request_count += 1;
+        self.unique_counter += 1;
         let interval = -self.rng.random_range(f64::EPSILON..1.0).ln() / self.rate;
         self.now += interval;
         let kinds = self.deployment.kinds();
         let kind = kinds[self.pick(kinds.iter().map(|k| k.weight))];
-        let parts = self.account_weights;
-        let account = self.pick(parts.into_iter());
+        let account_weights = self.account_weights;
+        let account = self.pick(account_weights.into_iter());
         let prompt = self.prompt(&kind);
         let output = self.length(kind.output);
         let instance = self.rng.random_range(0..self.instances);
