--- a/crates/firdock-standin/src/measure/run.rs
+++ b/crates/firdock-standin/src/measure/run.rs
@@ -1,7 +1,7 @@
 //! Discrete-event simulation of one run: instances, endpoints, arrivals, reports and faults.
 
-mod contestant;
 mod fault;
+mod measured_policy;
 mod report;
 mod serve;
 
@@ -15,7 +15,7 @@
 use firdock_policy::{Action, Event, NewRequest, Origin, Time};
 use uuid::Uuid;
 
-pub use contestant::MeasuredPolicy;
+pub use measured_policy::MeasuredPolicy;
 
 use super::fleet::{self, Fleet};
 use super::scenario::Scenario;
