--- a/crates/firdock-standin/src/cmd/rollouts.rs
+++ b/crates/firdock-standin/src/cmd/rollouts.rs
@@ -1,4 +1,4 @@
-//! `firdock-standin rollouts`: ways to decide on roll-outs, in virtual time.
+//! `firdock-standin rollouts`: compares roll-out strategies in virtual time.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -9,9 +9,9 @@
 use rand::SeedableRng as _;
 use rand::rngs::SmallRng;
 
-/// Pools that are drawn for: requests a second, and endpoints of each version.
+/// Simulated pools: requests per second, and number of endpoints of each version.
 const POOLS: [(f64, usize); 3] = [(430.0, 60), (180.0, 4), (3.0, 4)];
-/// Bounds of the users' sites.
+/// Exposure bounds of the users' sites.
 const BOUNDS: Rollouts = Rollouts {
     exposure_ratio: 0.1,
     exposure_slack: 50.0,
@@ -24,16 +24,16 @@
         .value_name("N")
         .default_value("200");
     Command::new("rollouts")
-        .about("Measure ways to decide on roll-outs in virtual time")
+        .about("Compare roll-out strategies in virtual time")
         .long_about(
-            "Plays drawn roll-outs of good and bad versions, decided by the policy's way and by fixed \
-             steps, and prints how much a bad version got and how often a verdict was wrong. The \
-             same seeds give the same figures.",
+            "Simulates randomly drawn roll-outs of good and bad versions under firdock's strategy and \
+             under fixed steps, and prints how many requests a version received and how often it was \
+             given up. The same seeds give the same figures.",
         )
         .arg(
             seeds
                 .value_parser(value_parser!(u64).range(1..=100_000))
-                .help("Drawn roll-outs of each kind"),
+                .help("Number of drawn roll-outs per defect and pool"),
         )
 }
 
@@ -60,38 +60,38 @@
     strategy: &impl RolloutStrategy,
     seeds: u64,
 ) {
-    let play = |seed: u64| {
+    let simulate = |seed: u64| {
         let mut rng = SmallRng::seed_from_u64(seed);
         let case = Case::draw(badness, rate, endpoints, &mut rng);
         run(&case, strategy, BOUNDS, seed)
     };
-    let outcomes: Vec<Outcome> = (0..seeds).map(play).collect();
-    let part = |o: &Outcome| o.exposed as f64 / o.sent.max(1) as f64;
-    let mean = outcomes.iter().map(part).sum::<f64>() / outcomes.len() as f64;
-    let most = outcomes.iter().map(part).fold(0.0, f64::max);
-    let over = |o: &&Outcome| {
+    let outcomes: Vec<Outcome> = (0..seeds).map(simulate).collect();
+    let exposure = |o: &Outcome| o.exposed as f64 / o.sent.max(1) as f64;
+    let mean = outcomes.iter().map(exposure).sum::<f64>() / outcomes.len() as f64;
+    let max = outcomes.iter().map(exposure).fold(0.0, f64::max);
+    let over_bound = |o: &&Outcome| {
         let bound = BOUNDS.exposure_ratio * o.sent as f64 + BOUNDS.exposure_slack;
         o.exposed as f64 > bound
     };
     let percent = |n: usize| 100.0 * n as f64 / outcomes.len() as f64;
-    let mut late: Vec<Duration> = outcomes.iter().filter_map(since_marked).collect();
-    late.sort_unstable();
+    let mut halt_delays: Vec<Duration> = outcomes.iter().filter_map(halt_delay).collect();
+    halt_delays.sort_unstable();
     let millis = |at: Option<&Duration>| at.map_or("-".to_owned(), |d| d.as_millis().to_string());
     println!(
-        "{rate:>5.0}/s {endpoints:>3} {:12} {:10} {mean:>13.3} {most:>6.3} {:>11.1} {:>9.1} {:>14.1}  {:>14} {}",
+        "{rate:>5.0}/s {endpoints:>3} {:12} {:10} {mean:>13.3} {max:>6.3} {:>11.1} {:>9.1} {:>14.1}  {:>14} {}",
         badness.name(),
         strategy.name(),
-        percent(outcomes.iter().filter(over).count()),
+        percent(outcomes.iter().filter(over_bound).count()),
         percent(outcomes.iter().filter(|o| o.halted.is_some()).count()),
         percent(outcomes.iter().filter(|o| o.moved.is_some()).count()),
-        millis(late.get(late.len() / 2)),
-        millis(late.last()),
+        millis(halt_delays.get(halt_delays.len() / 2)),
+        millis(halt_delays.last()),
     );
 }
 
-/// Gives how long after its 50th bad answer a version was given up; nothing for one that never gave so
-/// many, or that was given up before.
-fn since_marked(outcome: &Outcome) -> Option<Duration> {
+/// Returns the time from a version's 50th bad answer until it was given up; `None` if it gave fewer, was
+/// given up before or never.
+fn halt_delay(outcome: &Outcome) -> Option<Duration> {
     let (marked, halted) = (outcome.marked?, outcome.halted?);
     halted.checked_sub(marked)
 }
--- a/crates/firdock-standin/src/rollouts.rs
+++ b/crates/firdock-standin/src/rollouts.rs
@@ -1,8 +1,8 @@
-//! Measurement of roll-outs: ways to decide on them against drawn versions, good and bad, in virtual
-//! time.
+//! Measurement of roll-out strategies in virtual time, on randomly drawn good and bad versions.
 //!
-//! The model knows nothing of requests but whose answer it is, how long it took and whether it failed;
-//! what a way is told is as old as words between instances are (`docs/design/rollouts.md`).
+//! The model reduces a request to the version and endpoint that answered it, how long that took and
+//! whether it failed. A strategy sees evidence as old as reports between instances are
+//! (`docs/design/rollouts.md`).
 
 mod case;
 mod run;
--- a/crates/firdock-standin/src/rollouts/case.rs
+++ b/crates/firdock-standin/src/rollouts/case.rs
@@ -1,29 +1,29 @@
-//! Drawn roll-outs: the load, the endpoints, and what is wrong with the new version.
+//! Randomly drawn roll-outs: the load, the endpoints and the defect of the new version.
 
 use std::time::Duration;
 
 use rand::Rng as _;
 use rand::rngs::SmallRng;
 
-/// What is wrong with a new version.
+/// Defect of a new version.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Badness {
-    /// Nothing.
+    /// No defect.
     Good,
-    /// A part of its answers fails from the beginning.
+    /// A fraction of its answers fails from the beginning.
     Fails,
-    /// A part of its answers fails from some time on.
+    /// A fraction of its answers fails from some time on.
     Later,
-    /// A part of its answers to one service's requests fails.
+    /// A fraction of its answers to the requests of one service fails.
     OneService,
-    /// A part of its answers fails while the site is under load, which it is by turns.
+    /// A fraction of its answers fails while the site is under load, which it is periodically.
     UnderLoad,
-    /// A part of its answers takes several times as long.
+    /// A fraction of its answers takes several times as long.
     Slow,
 }
 
 impl Badness {
-    /// All of them.
+    /// All variants.
     pub const ALL: [Self; 6] = [
         Self::Good,
         Self::Fails,
@@ -33,7 +33,7 @@
         Self::Slow,
     ];
 
-    /// Gives the name.
+    /// Returns the name.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -47,34 +47,35 @@
     }
 }
 
-/// One drawn roll-out.
+/// A randomly drawn roll-out.
 #[derive(Debug, Clone)]
 pub struct Case {
-    /// What is wrong with the new version.
+    /// Defect of the new version.
     pub badness: Badness,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Time of the order.
+    /// Time allowed for the roll-out.
     pub time: Duration,
-    /// Endpoints of each version.
+    /// Number of endpoints of each version.
     pub endpoints: usize,
-    /// Parts of the requests that services have.
+    /// Fraction of the requests of each service.
     pub services: Vec<f64>,
-    /// Part of its answers that a bad version spoils.
+    /// Fraction of a bad version's answers that its defect affects.
     pub spoiled: f64,
-    /// How many times as long a slow answer takes.
+    /// Factor by which a slow answer takes longer.
     pub slower: f64,
-    /// Part of the order's time after which a version that turns bad is bad.
+    /// Fraction of the roll-out's time after which the defect shows, for a version that turns bad.
     pub from: f64,
-    /// Part of the endpoints of either version that are grey for a third of the time: they fail two of
-    /// five answers by a fault of their own.
+    /// Probability that an endpoint of either version is grey for a third of the time: it fails two of
+    /// five answers by a fault of its own.
     pub grey: f64,
 }
 
 impl Case {
-    /// Draws a roll-out of a pool with `rate` requests a second and so many endpoints of each version.
+    /// Draws a roll-out on a pool with `rate` requests per second and `endpoints` endpoints of each
+    /// version.
     ///
-    /// Half of the drawn ones have grey endpoints: 15 in 100, as the users' sites have them.
+    /// Half of the roll-outs have grey endpoints: 15 in 100, as on the users' sites.
     pub fn draw(badness: Badness, rate: f64, endpoints: usize, rng: &mut SmallRng) -> Self {
         Self {
             badness,
--- a/crates/firdock-standin/src/rollouts/strategy.rs
+++ b/crates/firdock-standin/src/rollouts/strategy.rs
@@ -1,40 +1,40 @@
-//! Ways to decide on a roll-out.
+//! Strategies that decide on a roll-out.
 
 use firdock_core::settings::Rollouts;
 use firdock_policy::rollout::allowance::{self, Progress};
 use firdock_policy::rollout::evidence::BINS;
 use firdock_policy::rollout::{Evidence, Tally, verdict};
 
-/// What to do next.
+/// Decision on a roll-out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decision {
-    /// Go on watching.
+    /// Keep observing.
     Watch,
-    /// Move everything, for good.
+    /// Move all requests to the new version; final.
     Move,
-    /// Give the version up, for good.
+    /// Give the new version up; final.
     Halt,
 }
 
-/// A way to decide.
+/// A strategy for deciding on roll-outs.
 pub trait RolloutStrategy {
-    /// Gives the name.
+    /// Returns the name.
     fn name(&self) -> &'static str;
 
-    /// Gives the part of the requests that the new version gets now.
+    /// Returns the fraction of the requests that the new version receives now.
     fn ratio(&self, progress: Progress, bounds: Rollouts) -> f64;
 
-    /// Decides by what is known; the new version has so many endpoints.
+    /// Decides by the evidence so far; `endpoints` is the number of endpoints of the new version.
     fn decide(
         &self,
         progress: Progress,
         bounds: Rollouts,
-        seen: &Evidence,
+        evidence: &Evidence,
         endpoints: usize,
     ) -> Decision;
 }
 
-/// The product's way: a part from the allowance, and a sequential likelihood ratio.
+/// Firdock's strategy: a ratio from the exposure allowance, and a sequential likelihood-ratio test.
 #[derive(Debug, Clone, Copy)]
 pub struct Allowance;
 
@@ -51,10 +51,10 @@
         &self,
         progress: Progress,
         bounds: Rollouts,
-        seen: &Evidence,
+        evidence: &Evidence,
         endpoints: usize,
     ) -> Decision {
-        match verdict::evaluate(seen, endpoints) {
+        match verdict::evaluate(evidence, endpoints) {
             Some(finding) if finding.bad => Decision::Halt,
             None if allowance::may_move_all(progress, bounds) => Decision::Move,
             _ => Decision::Watch,
@@ -62,20 +62,20 @@
     }
 }
 
-/// The usual way: fixed steps, and a threshold for the part of bad answers.
+/// The usual strategy: fixed steps, and a threshold on the fraction of bad answers.
 #[derive(Debug, Clone, Copy)]
 pub struct Steps;
 
-/// Parts of the time from which on a step holds, and what the new version gets then.
+/// Start of each step as a fraction of the time, and the fraction of the requests for the new version.
 const STEPS: [(f64, f64); 4] = [(0.0, 0.01), (0.25, 0.05), (0.5, 0.25), (0.75, 0.5)];
-/// Part of the time after which everything moves.
+/// Fraction of the time after which all requests move.
 const LAST_STEP: f64 = 0.9;
-/// Answers of the new version to a service's requests from which on its part of bad ones counts.
-const LEAST_ANSWERS: f64 = 20.0;
-/// How much greater than the old version's it may be.
-const MOST_WORSE: f64 = 0.1;
-/// Band of answers that took four times as long as expected, and beyond.
-const SLOW_BAND: usize = BINS / 2;
+/// Minimum number of the new version's answers for a service before the threshold applies.
+const MIN_ANSWERS: f64 = 20.0;
+/// Maximum excess of the new version's fraction of bad answers over the old version's.
+const MAX_EXCESS: f64 = 0.1;
+/// First histogram bin of answers that took at least four times as long as expected.
+const SLOW_BIN: usize = BINS / 2;
 
 impl RolloutStrategy for Steps {
     fn name(&self) -> &'static str {
@@ -83,8 +83,8 @@
     }
 
     fn ratio(&self, progress: Progress, _bounds: Rollouts) -> f64 {
-        let part = progress.elapsed.as_secs_f64() / progress.time.as_secs_f64();
-        let reached = STEPS.iter().rev().find(|(from, _)| *from <= part);
+        let time_fraction = progress.elapsed.as_secs_f64() / progress.time.as_secs_f64();
+        let reached = STEPS.iter().rev().find(|(from, _)| *from <= time_fraction);
         reached.map_or(0.0, |(_, ratio)| *ratio)
     }
 
@@ -92,15 +92,15 @@
         &self,
         progress: Progress,
         _bounds: Rollouts,
-        seen: &Evidence,
+        evidence: &Evidence,
         _endpoints: usize,
     ) -> Decision {
-        let mut services: Vec<&str> = seen.tallies.keys().map(|(s, _)| s.as_str()).collect();
+        let mut services: Vec<&str> = evidence.tallies.keys().map(|(s, _)| s.as_str()).collect();
         services.dedup();
         let worse = |service: &&str| {
-            let (old, _) = bad_part(seen, service, true);
-            let (new, answers) = bad_part(seen, service, false);
-            answers >= LEAST_ANSWERS && new > old + MOST_WORSE
+            let (old, _) = bad_fraction(evidence, service, true);
+            let (new, answers) = bad_fraction(evidence, service, false);
+            answers >= MIN_ANSWERS && new > old + MAX_EXCESS
         };
         if services.iter().any(worse) {
             Decision::Halt
@@ -112,14 +112,14 @@
     }
 }
 
-/// Gives the part of bad answers to a service's requests by one version, and how many there were.
-fn bad_part(seen: &Evidence, service: &str, old: bool) -> (f64, f64) {
-    let of = |((s, e), _): &(&(String, String), &Tally)| s == service && e.is_empty() == old;
+/// Returns the fraction of bad answers for a service by one version, and the number of all answers.
+fn bad_fraction(evidence: &Evidence, service: &str, old: bool) -> (f64, f64) {
+    let matches = |((s, e), _): &(&(String, String), &Tally)| s == service && e.is_empty() == old;
     let mut all = Tally::default();
-    for (_, tally) in seen.tallies.iter().filter(of) {
+    for (_, tally) in evidence.tallies.iter().filter(matches) {
         all.add(tally);
     }
-    let bad = f64::from(all.failed + all.lost + all.count_from_bin(SLOW_BAND));
+    let bad = f64::from(all.failed + all.lost + all.count_from_bin(SLOW_BIN));
     let answers = f64::from(all.failed + all.lost + all.whole());
     (bad / answers.max(1.0), answers)
 }
--- a/crates/firdock-standin/tests/rollouts.rs
+++ b/crates/firdock-standin/tests/rollouts.rs
@@ -1,4 +1,4 @@
-//! Drawn roll-outs: the policy's way keeps its bound whatever is wrong with a version.
+//! Drawn roll-outs: firdock's strategy keeps the exposure bound, whatever the defect of the new version.
 
 use firdock_core::settings::Rollouts;
 use firdock_standin::rollouts::{Allowance, Badness, Case, run};
@@ -9,11 +9,11 @@
     exposure_ratio: 0.1,
     exposure_slack: 50.0,
 };
-/// Drawn roll-outs of each kind and pool.
+/// Number of drawn roll-outs per defect and pool.
 const SEEDS: u64 = 12;
 
 #[test]
-fn no_drawn_version_gets_more_than_a_bad_one_may() {
+fn exposure_stays_within_the_bound_for_every_defect() {
     for (rate, endpoints) in [(430.0, 60), (180.0, 4), (3.0, 4)] {
         for badness in Badness::ALL {
             for seed in 0..SEEDS {
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_good_version_of_many_endpoints_moves_in_time() {
+fn a_good_version_on_many_endpoints_is_moved_in_time() {
     for seed in 0..SEEDS {
         let mut rng = SmallRng::seed_from_u64(seed);
         let case = Case::draw(Badness::Good, 430.0, 60, &mut rng);
