--- a/crates/firdock-standin/src/cmd.rs
+++ b/crates/firdock-standin/src/cmd.rs
@@ -1,4 +1,4 @@
-//! Subcommands, one file each, with `make_subcommand` and `execute`.
+//! Subcommands, one module each, with `make_subcommand` and `execute`.
 
 mod demo;
 mod engine;
@@ -17,17 +17,17 @@
 use snafu::{ResultExt as _, Snafu};
 use tokio::runtime::{Builder, Runtime};
 
-/// Why a stand-in did not start.
+/// Error of a subcommand.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum CmdError {
-    /// The runtime or the server could not be started.
+    /// The runtime or the server failed to start.
     #[snafu(display("start the stand-in"))]
     Start {
         /// Cause.
         source: io::Error,
     },
-    /// The demo could not run.
+    /// The demo failed.
     #[snafu(display("run the demo"))]
     Demo {
         /// Cause.
@@ -35,10 +35,10 @@
     },
 }
 
-/// Makes the command line.
+/// Creates the command-line parser.
 pub fn command() -> Command {
     Command::new("firdock-standin")
-        .about("Small stand-ins for what surrounds firdock")
+        .about("Stand-ins for the systems around firdock, for tests and demos")
         .subcommand_required(true)
         .arg_required_else_help(true)
         .subcommand(demo::make_subcommand())
@@ -60,7 +60,7 @@
         Some(("service", args)) => service::execute(args),
         Some(("log", args)) => log::execute(args),
         Some(("instances", args)) => instances::execute(args),
-        _ => unreachable!("the argument parser knows the subcommands"),
+        _ => unreachable!("the parser accepts only the subcommands above"),
     }
 }
 
@@ -78,7 +78,7 @@
         .value_name("IP:PORT")
         .required(true)
         .value_parser(value_parser!(SocketAddr))
-        .help("Address to listen on; port 0 takes any free one, which is printed")
+        .help("Address to listen on; port 0 binds any free port, and the address is printed")
 }
 
 fn number_arg(name: &'static str, default: &'static str, help: &'static str) -> Arg {
@@ -99,7 +99,7 @@
     args.get_one::<f64>(name).copied().unwrap_or_default()
 }
 
-/// Prints the address, which tests and scripts read, and serves for ever.
+/// Prints the address, which tests and scripts read, and serves until the process is killed.
 async fn serve(served: &Served) {
     println!("listening on {}", served.address);
     std::future::pending::<()>().await;
--- a/crates/firdock-standin/src/cmd/demo.rs
+++ b/crates/firdock-standin/src/cmd/demo.rs
@@ -1,4 +1,4 @@
-//! `firdock-standin demo`: the main job on embedded stand-ins.
+//! `firdock-standin demo`: entry instances and stand-ins in one process.
 
 use std::process::ExitCode;
 
@@ -8,7 +8,7 @@
 
 use super::{CmdError, DemoSnafu, runtime};
 
-/// Makes the subcommand.
+/// Creates the subcommand.
 pub fn make_subcommand() -> Command {
     let seconds = Arg::new("seconds")
         .long("seconds")
@@ -19,7 +19,7 @@
         .value_name("N")
         .default_value("1");
     Command::new("demo")
-        .about("Run stand-ins and two entry instances on loopback, with a mix of requests")
+        .about("Run stand-ins and two entry instances on loopback and send a mix of requests")
         .long_about(
             "Starts the stand-ins and two entry instances in this process, applies sample \
              resources through the resource API, sends a bounded mix of both deployments' \
@@ -29,11 +29,11 @@
         .arg(
             seconds
                 .value_parser(value_parser!(u64).range(1..=600))
-                .help("Time to send for"),
+                .help("Seconds for which requests are sent"),
         )
         .arg(
             seed.value_parser(value_parser!(u64))
-                .help("Seed of the mix"),
+                .help("Seed of the workload"),
         )
         .arg(
             Arg::new("json")
--- a/crates/firdock-standin/src/cmd/engine.rs
+++ b/crates/firdock-standin/src/cmd/engine.rs
@@ -1,4 +1,4 @@
-//! `firdock-standin engine`: a model engine.
+//! `firdock-standin engine`: runs a model engine.
 
 use std::process::ExitCode;
 
@@ -9,22 +9,26 @@
 
 use super::{CmdError, StartSnafu, listen, listen_arg, number, number_arg, runtime, serve};
 
-/// Makes the subcommand.
+/// Creates the subcommand.
 pub fn make_subcommand() -> Command {
     Command::new("engine")
-        .about("Run a model engine that batches continuously")
+        .about("Run a model engine with continuous batching")
         .arg(listen_arg())
-        .arg(number_arg("slots", "8", "Requests in a batch"))
-        .arg(number_arg("prefill-rate", "8000", "Prompt tokens a second"))
         .arg(number_arg(
-            "token-millis",
-            "20",
-            "Milliseconds for each token",
+            "slots",
+            "8",
+            "Maximum number of requests in a batch",
         ))
+        .arg(number_arg(
+            "prefill-rate",
+            "8000",
+            "Prompt tokens computed per second",
+        ))
+        .arg(number_arg("token-millis", "20", "Milliseconds per token"))
         .arg(number_arg(
             "cache-blocks",
             "4096",
-            "Blocks in the prefix cache",
+            "Capacity of the prefix cache, in blocks",
         ))
 }
 
--- a/crates/firdock-standin/src/cmd/instances.rs
+++ b/crates/firdock-standin/src/cmd/instances.rs
@@ -1,4 +1,4 @@
-//! `firdock-standin instances`: the platform's instance list.
+//! `firdock-standin instances`: runs the platform's instance list.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -9,15 +9,15 @@
 
 use super::{CmdError, StartSnafu, listen, listen_arg, number, number_arg, runtime, serve};
 
-/// Makes the subcommand.
+/// Creates the subcommand.
 pub fn make_subcommand() -> Command {
     Command::new("instances")
-        .about("Run an instance list that lags")
+        .about("Run an instance list that shows changes after a delay")
         .arg(listen_arg())
         .arg(number_arg(
             "lag-millis",
             "500",
-            "Milliseconds by which the list lags",
+            "Milliseconds after which the list shows a change",
         ))
 }
 
--- a/crates/firdock-standin/src/cmd/log.rs
+++ b/crates/firdock-standin/src/cmd/log.rs
@@ -1,4 +1,4 @@
-//! `firdock-standin log`: the platform's append-only log.
+//! `firdock-standin log`: runs the platform's append-only log.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 
 use super::{CmdError, StartSnafu, listen, listen_arg, number, number_arg, runtime, serve};
 
-/// Makes the subcommand.
+/// Creates the subcommand.
 pub fn make_subcommand() -> Command {
     Command::new("log")
         .about("Run an append-only log")
@@ -18,9 +18,9 @@
         .arg(number_arg(
             "retention-seconds",
             "3600",
-            "Seconds for which records are kept",
+            "Seconds for which records are retained",
         ))
-        .arg(number_arg("rate", "300", "Appends a second"))
+        .arg(number_arg("rate", "300", "Maximum appends per second"))
 }
 
 /// Runs the subcommand.
--- a/crates/firdock-standin/src/cmd/measure.rs
+++ b/crates/firdock-standin/src/cmd/measure.rs
@@ -1,4 +1,4 @@
-//! `firdock-standin measure`: the policy against baselines in virtual time.
+//! `firdock-standin measure`: compares the policy with baselines in virtual time.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use firdock_standin::measure::{Contender, Plan, Row, Scenario};
 use firdock_standin::workload::Deployment;
 
-/// Makes the subcommand.
+/// Creates the subcommand.
 pub fn make_subcommand() -> Command {
     let seed = Arg::new("seed")
         .long("seed")
@@ -32,11 +32,11 @@
         .value_name("N")
         .default_value("4");
     Command::new("measure")
-        .about("Measure the policy against baselines in virtual time")
+        .about("Compare the policy with baselines in virtual time")
         .long_about(
-            "Runs the real policy of seven instances in virtual time against a small model of \
-             unlike engines, beside three baselines, and prints medians over the seeds. The same \
-             seeds give the same figures, but for decisions a second.",
+            "Runs the real policy on seven instances and a model of heterogeneous engines in virtual \
+             time, beside three baselines, and prints medians over the seeds. The same seeds give the \
+             same figures, except for decisions per second.",
         )
         .arg(seed.value_parser(value_parser!(u64)).help("First seed"))
         .arg(
@@ -47,7 +47,7 @@
         .arg(
             seconds
                 .value_parser(value_parser!(u64).range(10..=3600))
-                .help("Virtual seconds"),
+                .help("Virtual seconds for which requests arrive"),
         )
         .arg(scenario.help("Only this scenario"))
         .arg(deployment.help("Only `fjallkarta` or `authority`"))
@@ -56,7 +56,7 @@
         .arg(
             threads
                 .value_parser(value_parser!(usize))
-                .help("Runs at once"),
+                .help("Number of concurrent runs"),
         )
         .arg(
             Arg::new("json")
@@ -69,7 +69,8 @@
 /// Runs the subcommand.
 pub fn execute(args: &ArgMatches) -> ExitCode {
     let number = |name: &str| args.get_one::<u64>(name).copied().unwrap_or(1);
-    let named = |name: &str, this: &str| args.get_one::<String>(name).is_none_or(|n| n == this);
+    let is_selected =
+        |name: &str, candidate: &str| args.get_one::<String>(name).is_none_or(|n| n == candidate);
     let deployments = [Deployment::Fjallkarta, Deployment::Authority];
     let mut contenders = Contender::MAIN.to_vec();
     if args.get_flag("without") {
@@ -78,15 +79,15 @@
     let plan = Plan {
         deployments: deployments
             .into_iter()
-            .filter(|d| named("deployment", d.name()))
+            .filter(|d| is_selected("deployment", d.name()))
             .collect(),
         scenarios: Scenario::ALL
             .into_iter()
-            .filter(|s| named("scenario", s.name()))
+            .filter(|s| is_selected("scenario", s.name()))
             .collect(),
         contenders: contenders
             .into_iter()
-            .filter(|c| named("only", c.name()))
+            .filter(|c| is_selected("only", c.name()))
             .collect(),
         seeds: (number("seed")..number("seed") + number("seeds")).collect(),
         time: Duration::from_secs(number("seconds")),
--- a/crates/firdock-standin/src/cmd/rollouts.rs
+++ b/crates/firdock-standin/src/cmd/rollouts.rs
@@ -17,7 +17,7 @@
     exposure_slack: 50.0,
 };
 
-/// Makes the subcommand.
+/// Creates the subcommand.
 pub fn make_subcommand() -> Command {
     let seeds = Arg::new("seeds")
         .long("seeds")
--- a/crates/firdock-standin/src/cmd/service.rs
+++ b/crates/firdock-standin/src/cmd/service.rs
@@ -1,4 +1,4 @@
-//! `firdock-standin service`: a plain application server.
+//! `firdock-standin service`: runs a plain application server.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -9,16 +9,12 @@
 
 use super::{CmdError, StartSnafu, listen, listen_arg, number, number_arg, runtime, serve};
 
-/// Makes the subcommand.
+/// Creates the subcommand.
 pub fn make_subcommand() -> Command {
     Command::new("service")
-        .about("Run a plain application server that counts what it ran")
+        .about("Run a plain application server that counts its runs of each request")
         .arg(listen_arg())
-        .arg(number_arg(
-            "work-millis",
-            "5",
-            "Milliseconds that a call takes",
-        ))
+        .arg(number_arg("work-millis", "5", "Milliseconds per call"))
 }
 
 /// Runs the subcommand.
