--- a/crates/firdock-standin/src/demo/report.rs
+++ b/crates/firdock-standin/src/demo/report.rs
@@ -18,7 +18,7 @@
     pub not_run: u64,
     /// Requests of which it is unknown whether they ran.
     pub unknown: u64,
-    /// Requests without a valid outcome, or with an answer that belongs to another request.
+    /// Requests without a valid outcome, or whose answer is incomplete or belongs to another request.
     pub unsound: u64,
     /// 95th percentile of the time to the first byte, in milliseconds.
     pub first_p95_millis: u64,
@@ -69,7 +69,8 @@
         }
     }
 
-    /// Returns whether every request had exactly one valid outcome and ran at most once on any endpoint.
+    /// Returns whether every request had exactly one outcome, with its own complete answer if answered, and
+    /// ran at most once on any endpoint.
     #[must_use]
     pub fn is_sound(&self) -> bool {
         self.tiers.values().all(|t| t.unsound == 0) && self.most_runs <= 1
--- a/crates/firdock-standin/src/engine/server.rs
+++ b/crates/firdock-standin/src/engine/server.rs
@@ -379,7 +379,7 @@
         Self { id, shared }
     }
 
-    /// Sends tokens until the answer ends, the injected truncation or a closed connection.
+    /// Sends tokens until the answer ends, a fault breaks it off or the connection is closed.
     async fn run(self, mut at: u32, cut: Option<u32>, sender: mpsc::Sender<Option<Bytes>>) {
         let mut sent = 0;
         loop {
--- a/crates/firdock-standin/src/measure/fleet.rs
+++ b/crates/firdock-standin/src/measure/fleet.rs
@@ -191,7 +191,7 @@
 fn mean_request_secs(deployment: Deployment, spec: EngineSpec) -> f64 {
     let models = || deployment.kinds().iter().filter(|k| !k.plain);
     let weight: f64 = models().map(|k| k.weight).sum();
-    let work = |k: &crate::workload::Kind| {
+    let work = |k: &crate::workload::RequestKind| {
         let shared = mean(k.shared, false) * (1.0 - EXPECTED_CACHED);
         let prefill = (shared + mean(k.own, true)) / spec.prefill_rate;
         let decode = mean(k.output, true) * spec.token_secs * 1.5 / spec.slots as f64;
--- a/crates/firdock-standin/src/measure/run.rs
+++ b/crates/firdock-standin/src/measure/run.rs
@@ -39,15 +39,25 @@
 /// Number of concurrent calls on a plain server beyond which calls take longer.
 const PLAIN_SLOTS: u32 = 32;
 
+/// Event of the simulation. Instances, engines and plain servers are given by index.
 enum SimEvent {
+    /// A request reaches an instance.
     RequestArrival(Box<Arrival>),
+    /// An event reaches the policy of an instance.
     PolicyEvent(usize, Box<Event>),
+    /// A dispatch of an instance reaches its endpoint.
     DispatchArrival(usize, Dispatch),
+    /// An engine ends a step.
     EngineStep(usize),
+    /// A plain server ends a call that an instance dispatched: instance, server, dispatch.
     PlainCallDone(usize, usize, Dispatch),
+    /// An endpoint reports its load; plain servers follow the engines in the index.
     EndpointReport(usize),
+    /// All instances send heartbeats.
     Heartbeats,
+    /// The timers of all instances fire.
     Timers,
+    /// Engines cancel the requests of a killed instance.
     CancelOrphans(usize),
     KillEngine(usize),
     KillInstance(usize),
@@ -72,15 +82,19 @@
     settings: RunSettings,
     now: Time,
     queue: BTreeMap<(Time, u64), SimEvent>,
+    /// Breaks ties in `queue` between events at the same time.
     sequence: u64,
     policies: Vec<P>,
     alive: [bool; INSTANCES],
     fleet: Fleet,
     records: HashMap<RequestId, Record>,
     arrivals: HashMap<RequestId, (NewRequest, Arrival)>,
+    /// Instance that handed a request over, by receiving instance and request.
     handed_over_from: HashMap<(usize, RequestId), usize>,
+    /// Wasted prefill in tokens: lost with an endpoint or instance, and recomputed.
     wasted: (u64, u64),
     decisions: u64,
+    /// Real time that the policies took for their decisions.
     policy_time: Duration,
     reports: u64,
 }
--- a/crates/firdock-standin/src/workload.rs
+++ b/crates/firdock-standin/src/workload.rs
@@ -20,7 +20,7 @@
 
 /// A kind of request.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Kind {
+pub struct RequestKind {
     /// Service that the request matches.
     pub service: &'static str,
     /// Name of that service's tier.
@@ -43,8 +43,8 @@
     pub groups: u32,
 }
 
-const fn plain(service: &'static str, weight: f64, repeatable: bool) -> Kind {
-    Kind {
+const fn plain(service: &'static str, weight: f64, repeatable: bool) -> RequestKind {
+    RequestKind {
         service,
         tier: "instant",
         rank: 0,
@@ -59,10 +59,10 @@
 }
 
 /// Requests of Fjällkarta's shops.
-const FJALLKARTA: [Kind; 5] = [
+const FJALLKARTA: [RequestKind; 5] = [
     plain("tiles", 0.40, true),
     plain("stock", 0.15, false),
-    Kind {
+    RequestKind {
         service: "guide",
         tier: "guide",
         rank: 1,
@@ -74,7 +74,7 @@
         output: (24, 160),
         groups: 40,
     },
-    Kind {
+    RequestKind {
         service: "tag",
         tier: "tag",
         rank: 2,
@@ -86,7 +86,7 @@
         output: (8, 32),
         groups: 20,
     },
-    Kind {
+    RequestKind {
         service: "draft",
         tier: "draft",
         rank: 3,
@@ -101,9 +101,9 @@
 ];
 
 /// Requests of the Authority's staff.
-const AUTHORITY: [Kind; 4] = [
+const AUTHORITY: [RequestKind; 4] = [
     plain("lookup", 0.45, false),
-    Kind {
+    RequestKind {
         service: "diagnosis",
         tier: "diagnosis",
         rank: 1,
@@ -115,7 +115,7 @@
         output: (100, 400),
         groups: 60,
     },
-    Kind {
+    RequestKind {
         service: "billing",
         tier: "billing",
         rank: 2,
@@ -127,7 +127,7 @@
         output: (32, 160),
         groups: 30,
     },
-    Kind {
+    RequestKind {
         service: "classify",
         tier: "classify",
         rank: 3,
@@ -144,7 +144,7 @@
 impl Deployment {
     /// Returns the kinds of request.
     #[must_use]
-    pub fn kinds(self) -> &'static [Kind] {
+    pub fn kinds(self) -> &'static [RequestKind] {
         match self {
             Self::Fjallkarta => &FJALLKARTA,
             Self::Authority => &AUTHORITY,
@@ -208,7 +208,7 @@
     /// Time since the start of the workload.
     pub at: Duration,
     /// Kind of the request.
-    pub kind: Kind,
+    pub kind: RequestKind,
     /// Index of the client account; index 0 sends most.
     pub account: usize,
     /// Prompt.
@@ -277,7 +277,7 @@
         self.rng.random_range(low..high).exp() as u32
     }
 
-    fn prompt(&mut self, kind: &Kind) -> Prompt {
+    fn prompt(&mut self, kind: &RequestKind) -> Prompt {
         if kind.plain {
             return Prompt {
                 group: 0,
