--- a/crates/firdock-policy/tests/policy/tries.rs
+++ b/crates/firdock-policy/tests/policy/attempts.rs
@@ -7,7 +7,7 @@
 use firdock_policy::stats::{AttemptKey, AttemptOutcome};
 
 use crate::edge::{Edge, edge_settings, request, resources};
-use crate::scene::millis;
+use crate::fixtures::millis;
 
 const ENDED: DispatchUpdate = DispatchUpdate::Ended {
     prompt: 90,
--- a/crates/firdock-policy/tests/policy/coordinate.rs
+++ b/crates/firdock-policy/tests/policy/coordinate.rs
@@ -7,7 +7,7 @@
 use firdock_policy::{Action, Event, NewRequest, PolicySettings, Verdict};
 
 use crate::edge::{Edge, edge_settings, request, resources, verdict};
-use crate::scene::{dispatched, id, millis};
+use crate::fixtures::{dispatched, id, millis};
 
 const BROKE: DispatchUpdate = DispatchUpdate::Broke { delivered: 0 };
 
--- a/crates/firdock-policy/tests/policy/edge.rs
+++ b/crates/firdock-policy/tests/policy/edge.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::scene::{dispatched, id, millis, settings};
+use crate::fixtures::{dispatched, id, millis, settings};
 use firdock_core::resource::{
     Account, Catalog, Endpoint, EndpointKind, LimitUnit, PoolWeight, RateLimit, Resource, Service,
     Tier,
--- a/crates/firdock-policy/tests/policy/failures.rs
+++ b/crates/firdock-policy/tests/policy/failures.rs
@@ -4,7 +4,7 @@
 use firdock_policy::{Action, Event};
 
 use crate::edge::{Edge, edge_settings, request, resources};
-use crate::scene::{id, millis};
+use crate::fixtures::{id, millis};
 
 const BROKE: DispatchUpdate = DispatchUpdate::Broke { delivered: 0 };
 
--- a/crates/firdock-policy/tests/policy/golden.rs
+++ b/crates/firdock-policy/tests/policy/golden.rs
@@ -13,7 +13,7 @@
 use serde_json::json;
 use uuid::Uuid;
 
-use crate::scene::{LOG_START, catalog, id, millis, request, resources, settings, with_key};
+use crate::fixtures::{LOG_START, catalog, id, millis, request, resources, settings, with_key};
 
 /// A session that is written down while it goes on.
 struct Session {
--- a/crates/firdock-policy/tests/policy/limits.rs
+++ b/crates/firdock-policy/tests/policy/limits.rs
@@ -12,7 +12,7 @@
 use uuid::Uuid;
 
 use crate::edge::{Edge, REFUSED, edge_settings, request, resources, verdict};
-use crate::scene::{LOG_START, dispatched, id, millis, with_key};
+use crate::fixtures::{LOG_START, dispatched, id, millis, with_key};
 
 #[test]
 fn an_account_is_limited_by_tokens_over_time() {
--- a/crates/firdock-policy/tests/policy/main.rs
+++ b/crates/firdock-policy/tests/policy/main.rs
@@ -1,23 +1,23 @@
 //! Tests of the policy: golden sessions, long random runs, and single rules.
 
 mod allowance;
+mod attempts;
 mod buffers;
 mod coordinate;
 mod edge;
 mod failures;
+mod fixtures;
 mod golden;
 mod limits;
-mod line;
+mod linear_fit;
 mod notices;
 mod overload;
-mod paced;
+mod pace_reports;
 mod random;
 mod restart;
 mod rollout;
 mod rules;
-mod scene;
 mod shares;
-mod sums;
+mod simulation;
 mod suspects;
-mod tries;
-mod world;
+mod use_aggregator;
--- a/crates/firdock-policy/tests/policy/notices.rs
+++ b/crates/firdock-policy/tests/policy/notices.rs
@@ -18,7 +18,7 @@
 use firdock_policy::{Action, Event, Time};
 
 use crate::edge::{Edge, REFUSED, edge_settings, request, resources, verdict};
-use crate::scene::{dispatched, id, millis};
+use crate::fixtures::{dispatched, id, millis};
 
 const BROKE: DispatchUpdate = DispatchUpdate::Broke { delivered: 0 };
 
--- a/crates/firdock-policy/tests/policy/overload.rs
+++ b/crates/firdock-policy/tests/policy/overload.rs
@@ -5,7 +5,7 @@
 use firdock_policy::event::DispatchUpdate;
 
 use crate::edge::{Edge, edge_settings, request, resources};
-use crate::scene::dispatched;
+use crate::fixtures::dispatched;
 
 /// The usual resources, with engines that take so many milliseconds for each token.
 fn engines(token_millis: &[(&str, f64)], slots: u32) -> Vec<Resource> {
--- a/crates/firdock-policy/tests/policy/paced.rs
+++ b/crates/firdock-policy/tests/policy/pace_reports.rs
@@ -9,7 +9,7 @@
 use firdock_policy::{Event, NewRequest, Time};
 
 use crate::edge::{Edge, edge_settings, request, resources};
-use crate::scene::{dispatched, id, millis};
+use crate::fixtures::{dispatched, id, millis};
 
 /// Seconds to a first token of an engine of usual pace.
 fn usual(tokens: f64) -> f64 {
--- a/crates/firdock-policy/tests/policy/random.rs
+++ b/crates/firdock-policy/tests/policy/random.rs
@@ -9,7 +9,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestError, TestRng, TestRunner};
 
-use crate::world::{Op, World};
+use crate::simulation::{Op, World};
 
 /// Seeds of a run in CI.
 const SEEDS: u64 = 192;
--- a/crates/firdock-policy/tests/policy/restart.rs
+++ b/crates/firdock-policy/tests/policy/restart.rs
@@ -12,7 +12,7 @@
 use firdock_policy::table::endpoint::{EndpointRow, Health};
 use firdock_policy::{Action, Event, PolicySettings, Scheduler};
 
-use crate::scene::{Driven, catalog, dispatched, id, millis, request, resources, settings};
+use crate::fixtures::{Driven, catalog, dispatched, id, millis, request, resources, settings};
 
 const BROKE: DispatchUpdate = DispatchUpdate::Broke { delivered: 0 };
 const REFUSED: DispatchUpdate = DispatchUpdate::Refused { unreachable: false };
--- a/crates/firdock-policy/tests/policy/rollout.rs
+++ b/crates/firdock-policy/tests/policy/rollout.rs
@@ -14,7 +14,7 @@
 use proptest::prelude::*;
 
 use crate::edge::{Edge, edge_settings, request, resources};
-use crate::scene::{dispatched, id, millis};
+use crate::fixtures::{dispatched, id, millis};
 
 /// Engines of each version.
 const ENGINES: usize = 12;
--- a/crates/firdock-policy/tests/policy/rules.rs
+++ b/crates/firdock-policy/tests/policy/rules.rs
@@ -8,7 +8,7 @@
 use firdock_policy::{Action, Event, Origin};
 use uuid::Uuid;
 
-use crate::scene::{
+use crate::fixtures::{
     Driven, LOG_START, catalog, dispatched, endpoint, id, millis, request, resources, settings,
     with_key,
 };
--- a/crates/firdock-policy/tests/policy/shares.rs
+++ b/crates/firdock-policy/tests/policy/shares.rs
@@ -6,13 +6,13 @@
 
 mod groups;
 mod load;
-mod parts;
+mod max_min;
 
 use firdock_core::{Outcome, Reason};
 use firdock_policy::{AccountShares, Action, Event, NewRequest, Verdict, work_report};
 
 use crate::edge::{Edge, edge_settings, request, resources};
-use crate::scene::{dispatched, id, millis};
+use crate::fixtures::{dispatched, id, millis};
 use load::{Load, Wish, secs};
 
 /// Part of its share that an account is to keep whatever others ask for.
--- a/crates/firdock-policy/tests/policy/shares/load.rs
+++ b/crates/firdock-policy/tests/policy/shares/load.rs
@@ -10,7 +10,7 @@
 use firdock_policy::{AccountShares, Action, Event, NewRequest, Time, work_report};
 
 use crate::edge::{Edge, edge_settings, request, resources};
-use crate::scene::millis;
+use crate::fixtures::millis;
 
 /// Pause between two steps, as in a daemon.
 const STEP: Duration = millis_of(25);
--- a/crates/firdock-policy/tests/policy/world.rs
+++ b/crates/firdock-policy/tests/policy/simulation.rs
@@ -21,7 +21,7 @@
 use rand::{Rng as _, SeedableRng as _};
 use uuid::Uuid;
 
-use crate::scene::{LOG_START, catalog, id, millis, request, resources, settings, with_key};
+use crate::fixtures::{LOG_START, catalog, id, millis, request, resources, settings, with_key};
 
 /// Instances of the world.
 pub const NODES: usize = 3;
--- a/crates/firdock-policy/tests/policy/world/message.rs
+++ b/crates/firdock-policy/tests/policy/simulation/message.rs
@@ -12,7 +12,7 @@
 use uuid::Uuid;
 
 use super::{ENDPOINTS, Message, World, endpoint_event, endpoint_index, node_index};
-use crate::scene::millis;
+use crate::fixtures::millis;
 
 /// Time that a look at an endpoint takes.
 const LOOK: std::time::Duration = std::time::Duration::from_millis(2);
--- a/crates/firdock-policy/tests/policy/suspects.rs
+++ b/crates/firdock-policy/tests/policy/suspects.rs
@@ -7,7 +7,7 @@
 //! the days below show the same without a network.
 
 mod evidence;
-mod words;
+mod reports;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 use firdock_policy::{Action, Event, NewRequest, Time};
 
 use crate::edge::{Edge, edge_settings, request, resources};
-use crate::scene::{dispatched, id, millis};
+use crate::fixtures::{dispatched, id, millis};
 
 const BROKE: DispatchUpdate = DispatchUpdate::Broke { delivered: 0 };
 const ENDED: DispatchUpdate = DispatchUpdate::Ended {
--- a/crates/firdock-policy/tests/policy/suspects/evidence.rs
+++ b/crates/firdock-policy/tests/policy/suspects/evidence.rs
@@ -8,13 +8,13 @@
 use firdock_policy::notice::{Notice, NoticeReport};
 use firdock_policy::{Action, Event};
 
-use super::words::{peer, told_of};
+use super::reports::{peer, told_of};
 use super::{
     BROKE, ENDED, Pool, RUN, before, breaks, endpoints, ends_against, found, is_quarantined,
     with_body,
 };
 use crate::edge::{Edge, edge_settings};
-use crate::scene::{dispatched, id, millis};
+use crate::fixtures::{dispatched, id, millis};
 
 /// A request runs on each of several endpoints at once: so many tries of it.
 fn on_board(pool: &mut Pool, tries: std::ops::RangeInclusive<u64>) -> Vec<(u64, (u32, String))> {
--- a/crates/firdock-policy/tests/policy/suspects/words.rs
+++ b/crates/firdock-policy/tests/policy/suspects/reports.rs
@@ -13,7 +13,7 @@
     is_quarantined, with_body,
 };
 use crate::edge::{Edge, edge_settings};
-use crate::scene::{dispatched, id, millis};
+use crate::fixtures::{dispatched, id, millis};
 
 pub fn told_of(body: &str, account: &str, starts: &[(&str, u64)]) -> SuspectReport {
     let end = |(start, ago): &(&str, u64)| ReportedExit {
