--- a/crates/firdock-policy/tests/policy/attempts.rs
+++ b/crates/firdock-policy/tests/policy/attempts.rs
@@ -6,7 +6,7 @@
 use firdock_policy::event::DispatchUpdate;
 use firdock_policy::stats::{AttemptKey, AttemptOutcome};
 
-use crate::edge::{Edge, edge_settings, request, resources};
+use crate::edge::{EdgeScheduler, edge_settings, request, resources};
 use crate::fixtures::millis;
 
 const ENDED: DispatchUpdate = DispatchUpdate::Ended {
@@ -16,14 +16,14 @@
 };
 
 /// A request whose caller leaves it so many milliseconds.
-fn with_left(edge: &Edge, n: u64, account: &str, left: u64) -> NewRequest {
+fn with_left(edge: &EdgeScheduler, n: u64, account: &str, left: u64) -> NewRequest {
     NewRequest {
         deadline: Some(edge.now + millis(left)),
         ..request(n, "safe", account)
     }
 }
 
-fn tries(edge: &Edge) -> BTreeMap<(bool, AttemptOutcome), u64> {
+fn tries(edge: &EdgeScheduler) -> BTreeMap<(bool, AttemptOutcome), u64> {
     let all = &edge.scheduler.tables().stats.attempts;
     let short = |(key, n): (&AttemptKey, &u64)| ((key.returned, key.end), *n);
     all.iter().map(short).collect()
@@ -31,15 +31,15 @@
 
 #[test]
 fn a_try_counts_from_the_first_one_of_its_request() {
-    let mut edge = Edge::new(edge_settings("a"), resources());
+    let mut edge = EdgeScheduler::new(edge_settings("a"), resources());
     // First tries leave 3 s; the target is 0.5 s.
     edge.arrive(with_left(&edge, 1, "free", 3_000));
-    edge.tell(1, 1, ENDED);
+    edge.update_dispatch(1, 1, ENDED);
     // One comes back after 0.2 s and one after 1 s; both are answered at once.
     edge.arrive(with_left(&edge, 2, "free", 2_800));
-    edge.tell(2, 1, ENDED);
+    edge.update_dispatch(2, 1, ENDED);
     edge.arrive(with_left(&edge, 3, "free", 2_000));
-    edge.tell(3, 1, ENDED);
+    edge.update_dispatch(3, 1, ENDED);
     let expected = BTreeMap::from([
         ((false, AttemptOutcome::InTime), 1),
         ((true, AttemptOutcome::InTime), 1),
@@ -50,9 +50,9 @@
 
 #[test]
 fn a_refusal_for_a_limit_is_a_try_that_did_not_run() {
-    let mut edge = Edge::new(edge_settings("a"), resources());
+    let mut edge = EdgeScheduler::new(edge_settings("a"), resources());
     edge.arrive(with_left(&edge, 1, "free", 3_000));
-    edge.tell(1, 1, ENDED);
+    edge.update_dispatch(1, 1, ENDED);
     // The account's limit lets one request pass, and is overdrawn by it for a while.
     for n in 2..5 {
         edge.arrive(with_left(&edge, n, "limited", 3_000));
--- a/crates/firdock-policy/tests/policy/coordinate.rs
+++ b/crates/firdock-policy/tests/policy/coordinate.rs
@@ -6,21 +6,21 @@
 use firdock_policy::event::{DispatchUpdate, Grant, GroupDemand, PeerUpdate, PoolDemand};
 use firdock_policy::{Action, Event, NewRequest, PolicySettings, Verdict};
 
-use crate::edge::{Edge, edge_settings, request, resources, verdict};
+use crate::edge::{EdgeScheduler, edge_settings, request, resources, verdict};
 use crate::fixtures::{dispatched, id, millis};
 
 const BROKE: DispatchUpdate = DispatchUpdate::Broke { delivered: 0 };
 
 /// An edge instance whose coordinator answers.
-fn member() -> Edge {
-    let mut edge = Edge::new(edge_settings("a"), resources());
+fn member() -> EdgeScheduler {
+    let mut edge = EdgeScheduler::new(edge_settings("a"), resources());
     edge.step(Event::Coordinated(true));
     edge
 }
 
 /// A coordinator's tables.
-fn coordinator(resources: Vec<Resource>) -> Edge {
-    Edge::new(coordinator_settings(), resources)
+fn coordinator(resources: Vec<Resource>) -> EdgeScheduler {
+    EdgeScheduler::new(coordinator_settings(), resources)
 }
 
 fn coordinator_settings() -> PolicySettings {
@@ -62,7 +62,7 @@
     let actions = edge.arrive(request(1, "once", "free"));
     assert!(dispatched(&actions).is_empty());
     assert_eq!(asks(&actions), 1);
-    assert_eq!(asks(&edge.after(millis(50))), 0);
+    assert_eq!(asks(&edge.advance(millis(50))), 0);
     let actions = edge.step(Event::Granted(grant(1, "e2")));
     assert_eq!(dispatched(&actions), vec![(id(1), "e2".to_owned())]);
 }
@@ -148,7 +148,7 @@
     let mut edge = member();
     edge.arrive(request(1, "safe", "free"));
     edge.step(Event::Granted(grant(1, "e1")));
-    assert_eq!(asks(&edge.tell(1, 1, BROKE)), 1);
+    assert_eq!(asks(&edge.update_dispatch(1, 1, BROKE)), 1);
     // The engine that it ran on is no place for it.
     let again = edge.step(Event::Granted(grant(1, "e1")));
     assert!(dispatched(&again).is_empty() && declined(&again).len() == 1);
@@ -178,7 +178,7 @@
         ..low
     };
     all.push(Resource::Service(low));
-    let mut edge = Edge::new(edge_settings("a"), all);
+    let mut edge = EdgeScheduler::new(edge_settings("a"), all);
     edge.step(Event::Coordinated(true));
     edge.arrive(request(1, "once", "free"));
     edge.arrive(request(2, "low", "free"));
@@ -207,7 +207,7 @@
         cached: 0,
         output: 10,
     };
-    let next = dispatched(&edge.tell(1, 1, ended));
+    let next = dispatched(&edge.update_dispatch(1, 1, ended));
     assert_eq!(next.len(), 1);
     assert_eq!(next[0].0, id(5), "the first that waits");
 }
@@ -216,7 +216,7 @@
 fn a_coordinator_leaves_second_tries_to_the_member() {
     let mut edge = coordinator(resources());
     edge.arrive(request(1, "safe", "free"));
-    let actions = edge.tell(1, 1, BROKE);
+    let actions = edge.update_dispatch(1, 1, BROKE);
     assert!(actions.is_empty(), "{actions:?}");
     assert!(edge.scheduler.tables().requests.get(id(1)).is_none());
 }
@@ -288,7 +288,7 @@
 fn places(zone: &str, east: f64, west: f64) -> (u32, u32) {
     let mut settings = coordinator_settings();
     zone.clone_into(&mut settings.zone);
-    let mut edge = Edge::new(settings, zoned());
+    let mut edge = EdgeScheduler::new(settings, zoned());
     edge.step(Event::PeersKnown(40));
     for (zone, rate) in [("east", east), ("west", west)] {
         edge.step(Event::Peer(PeerUpdate {
@@ -301,7 +301,7 @@
             ..PeerUpdate::default()
         }));
     }
-    edge.after(millis(300));
+    edge.advance(millis(300));
     let count = |zone: &str| {
         let endpoints = edge.scheduler.tables().endpoints.iter();
         let here = endpoints.filter(|(_, e)| e.declared.zone == zone);
@@ -346,7 +346,7 @@
 #[test]
 fn all_engines_of_a_small_site_are_one_groups() {
     let mut edge = coordinator(zoned());
-    edge.after(millis(300));
+    edge.advance(millis(300));
     let endpoints = edge.scheduler.tables().endpoints.iter();
     assert!(endpoints.into_iter().all(|(_, e)| e.budget == 3));
 }
--- a/crates/firdock-policy/tests/policy/edge.rs
+++ b/crates/firdock-policy/tests/policy/edge.rs
@@ -16,7 +16,7 @@
 };
 
 /// A scheduler of an edge instance.
-pub struct Edge {
+pub struct EdgeScheduler {
     pub scheduler: Scheduler,
     pub now: Time,
 }
@@ -98,7 +98,7 @@
     }
 }
 
-impl Edge {
+impl EdgeScheduler {
     /// Starts an instance that is alone and knows it.
     pub fn new(settings: PolicySettings, resources: Vec<Resource>) -> Self {
         let mut edge = Self::unaware(settings, resources);
@@ -129,26 +129,31 @@
         self.step(Event::Arrived(new))
     }
 
-    pub fn after(&mut self, pause: Duration) -> Vec<Action> {
+    pub fn advance(&mut self, pause: Duration) -> Vec<Action> {
         self.now += pause;
         self.step(Event::Timer)
     }
 
-    pub fn tell(&mut self, n: u64, dispatch: u32, news: DispatchUpdate) -> Vec<Action> {
+    pub fn update_dispatch(
+        &mut self,
+        n: u64,
+        dispatch: u32,
+        update: DispatchUpdate,
+    ) -> Vec<Action> {
         self.step(Event::Endpoint(EndpointEvent {
             id: id(n),
             dispatch,
-            update: news,
+            update,
         }))
     }
 
     pub fn end(&mut self, n: u64) {
-        let news = DispatchUpdate::Ended {
+        let update = DispatchUpdate::Ended {
             prompt: 0,
             cached: 0,
             output: 0,
         };
-        self.tell(n, 1, news);
+        self.update_dispatch(n, 1, update);
     }
 }
 
@@ -171,7 +176,7 @@
             s.split = vec![pool("pool"), pool("second")];
         }
     }
-    let mut edge = Edge::new(edge_settings("a"), all);
+    let mut edge = EdgeScheduler::new(edge_settings("a"), all);
     for (n, draw) in [(1, 0), (2, u32::MAX)] {
         let mut new = request(n, "safe", "free");
         new.draw = draw;
@@ -182,11 +187,11 @@
 
 #[test]
 fn a_request_whose_time_is_up_ends_with_a_true_word() {
-    let mut edge = Edge::new(edge_settings("a"), resources());
+    let mut edge = EdgeScheduler::new(edge_settings("a"), resources());
     let mut new = request(1, "once", "free");
     new.deadline = Some(edge.now + millis(1_000));
     assert_eq!(dispatched(&edge.arrive(new)).len(), 1);
-    let actions = edge.after(millis(1_001));
+    let actions = edge.advance(millis(1_001));
     assert!(matches!(actions[0], Action::Cancel { .. }));
     assert_eq!(
         verdict(&actions),
@@ -196,11 +201,11 @@
 
 #[test]
 fn the_services_time_limit_counts_where_the_caller_names_none() {
-    let mut edge = Edge::new(edge_settings("a"), resources());
+    let mut edge = EdgeScheduler::new(edge_settings("a"), resources());
     edge.arrive(request(1, "safe", "free"));
-    assert_eq!(verdict(&edge.after(millis(4_900))), None);
+    assert_eq!(verdict(&edge.advance(millis(4_900))), None);
     edge.step(Event::ConfigConfirmed(edge.now));
-    let actions = edge.after(millis(101));
+    let actions = edge.advance(millis(101));
     assert_eq!(
         verdict(&actions),
         Some((Outcome::Unknown, Reason::TimedOut))
@@ -209,7 +214,7 @@
 
 #[test]
 fn nothing_is_sent_by_a_configuration_that_may_be_outdated() {
-    let mut edge = Edge::new(edge_settings("a"), resources());
+    let mut edge = EdgeScheduler::new(edge_settings("a"), resources());
     edge.now += millis(3_900);
     let actions = edge.arrive(request(1, "safe", "free"));
     let by = actions.iter().find_map(|a| match a {
@@ -231,16 +236,16 @@
 
 #[test]
 fn a_dispatch_that_lapsed_before_the_write_may_go_to_the_same_endpoint_again() {
-    let mut edge = Edge::new(edge_settings("a"), resources());
+    let mut edge = EdgeScheduler::new(edge_settings("a"), resources());
     let first = dispatched(&edge.arrive(request(1, "once", "free")));
     edge.now += millis(10_000);
-    let stale = edge.tell(1, 1, DispatchUpdate::Lapsed);
+    let stale = edge.update_dispatch(1, 1, DispatchUpdate::Lapsed);
     assert_eq!(verdict(&stale), Some((Outcome::NotRun, Reason::StateStale)));
     edge.step(Event::ConfigConfirmed(edge.now));
-    let mut edge = Edge::new(edge_settings("a"), resources());
+    let mut edge = EdgeScheduler::new(edge_settings("a"), resources());
     edge.arrive(request(1, "once", "free"));
     edge.step(Event::ConfigConfirmed(edge.now + millis(1)));
-    let again = dispatched(&edge.tell(1, 1, DispatchUpdate::Lapsed));
+    let again = dispatched(&edge.update_dispatch(1, 1, DispatchUpdate::Lapsed));
     assert_eq!((first.len(), again.len()), (1, 1));
 }
 
@@ -248,10 +253,10 @@
 fn a_broken_request_runs_at_as_many_endpoints_as_its_service_allows() {
     let mut all = resources();
     all.extend([engine("e3", "pool", 2), engine("e4", "pool", 2)]);
-    let mut edge = Edge::new(edge_settings("a"), all);
+    let mut edge = EdgeScheduler::new(edge_settings("a"), all);
     edge.arrive(request(1, "safe", "free"));
-    assert_eq!(dispatched(&edge.tell(1, 1, BROKE)).len(), 1);
-    let actions = edge.tell(1, 2, BROKE);
+    assert_eq!(dispatched(&edge.update_dispatch(1, 1, BROKE)).len(), 1);
+    let actions = edge.update_dispatch(1, 2, BROKE);
     assert!(dispatched(&actions).is_empty());
     assert_eq!(
         verdict(&actions),
@@ -263,12 +268,12 @@
 fn refusals_that_an_endpoint_gave_are_no_attempts_but_count_as_second_tries() {
     let mut all = resources();
     all.extend((3..40).map(|n| engine(&format!("e{n}"), "pool", 2)));
-    let mut edge = Edge::new(edge_settings("a"), all);
+    let mut edge = EdgeScheduler::new(edge_settings("a"), all);
     edge.step(Event::PeersKnown(0));
     edge.arrive(request(1, "once", "free"));
     let mut sent = 1;
     loop {
-        let actions = edge.tell(1, sent, REFUSED);
+        let actions = edge.update_dispatch(1, sent, REFUSED);
         if dispatched(&actions).is_empty() {
             assert_eq!(
                 verdict(&actions),
@@ -286,30 +291,30 @@
 fn instances_share_the_slack_of_second_tries() {
     let mut all = resources();
     all.extend((3..40).map(|n| engine(&format!("e{n}"), "pool", 2)));
-    let mut edge = Edge::new(edge_settings("a"), all);
+    let mut edge = EdgeScheduler::new(edge_settings("a"), all);
     edge.step(Event::PeersKnown(4));
     edge.arrive(request(1, "once", "free"));
-    assert_eq!(dispatched(&edge.tell(1, 1, REFUSED)).len(), 1);
-    assert_eq!(dispatched(&edge.tell(1, 2, REFUSED)).len(), 1);
-    assert!(dispatched(&edge.tell(1, 3, REFUSED)).is_empty());
+    assert_eq!(dispatched(&edge.update_dispatch(1, 1, REFUSED)).len(), 1);
+    assert_eq!(dispatched(&edge.update_dispatch(1, 2, REFUSED)).len(), 1);
+    assert!(dispatched(&edge.update_dispatch(1, 3, REFUSED)).is_empty());
 }
 
 #[test]
 fn an_endpoint_is_ejected_after_three_broken_dispatches_in_a_row() {
     let mut all = resources();
     all.retain(|r| !matches!(r, Resource::Endpoint(e) if e.name == "e2"));
-    let mut edge = Edge::new(edge_settings("a"), all);
+    let mut edge = EdgeScheduler::new(edge_settings("a"), all);
     for n in 1..=3 {
         assert_eq!(
             dispatched(&edge.arrive(request(n, "once", "free"))).len(),
             1
         );
-        edge.tell(n, 1, BROKE);
+        edge.update_dispatch(n, 1, BROKE);
     }
     assert!(dispatched(&edge.arrive(request(4, "once", "free"))).is_empty());
     let mut all = resources();
     all.retain(|r| !matches!(r, Resource::Endpoint(e) if e.name == "e2"));
-    let mut edge = Edge::new(edge_settings("a"), all);
+    let mut edge = EdgeScheduler::new(edge_settings("a"), all);
     for n in 1..=9 {
         assert_eq!(
             dispatched(&edge.arrive(request(n, "once", "free"))).len(),
@@ -318,14 +323,14 @@
         if n % 3 == 0 {
             edge.end(n);
         } else {
-            edge.tell(n, 1, BROKE);
+            edge.update_dispatch(n, 1, BROKE);
         }
     }
 }
 
 #[test]
 fn a_request_that_cannot_begin_in_time_is_refused_at_once() {
-    let mut edge = Edge::new(edge_settings("a"), resources());
+    let mut edge = EdgeScheduler::new(edge_settings("a"), resources());
     // A pace of about two dispatches a second, with all places taken.
     for n in 0..40 {
         edge.now += millis(500);
@@ -337,7 +342,7 @@
     for n in 100..110 {
         edge.arrive(request(n, "safe", "free"));
     }
-    let actions = edge.after(millis(25));
+    let actions = edge.advance(millis(25));
     assert_eq!(verdict(&actions), Some((Outcome::NotRun, Reason::Overload)));
     let refused = actions
         .iter()
@@ -353,14 +358,14 @@
     let names: Vec<String> = (0..40).map(|n| format!("instance-{n}")).collect();
     let mut sums = [0_u32; 2];
     for me in &names {
-        let mut edge = Edge::new(edge_settings(me), resources());
+        let mut edge = EdgeScheduler::new(edge_settings(me), resources());
         for other in names.iter().filter(|n| *n != me) {
             edge.step(Event::Peer(PeerUpdate {
                 name: other.clone(),
                 ..PeerUpdate::default()
             }));
         }
-        edge.after(millis(300));
+        edge.advance(millis(300));
         let endpoints = &edge.scheduler.tables().endpoints;
         for (sum, name) in sums.iter_mut().zip(["e1", "e2"]) {
             let at = endpoints.find(name).expect("the endpoint");
@@ -379,14 +384,14 @@
             e.backend = EndpointKind::Plain;
         }
     }
-    let mut edge = Edge::new(edge_settings("a"), all);
+    let mut edge = EdgeScheduler::new(edge_settings("a"), all);
     for n in 0..40 {
         edge.step(Event::Peer(PeerUpdate {
             name: format!("instance-{n}"),
             ..PeerUpdate::default()
         }));
     }
-    edge.after(millis(300));
+    edge.advance(millis(300));
     assert_eq!(
         dispatched(&edge.arrive(request(1, "once", "free"))).len(),
         1
@@ -412,7 +417,7 @@
     for n in 0..INSTANCES {
         let mut settings = edge_settings(&format!("i{n}"));
         settings.zone = zone(n);
-        let mut edge = Edge::new(settings, all.clone());
+        let mut edge = EdgeScheduler::new(settings, all.clone());
         edge.step(Event::PeersKnown(INSTANCES - 1));
         for other in (0..INSTANCES).filter(|other| *other != n) {
             edge.step(Event::Peer(PeerUpdate {
@@ -421,7 +426,7 @@
                 ..PeerUpdate::default()
             }));
         }
-        edge.after(millis(300));
+        edge.advance(millis(300));
         for (_, e) in edge.scheduler.tables().endpoints.iter() {
             places += e.budget;
             near += if e.declared.zone == zone(n) {
@@ -441,7 +446,7 @@
 
 #[test]
 fn a_request_whose_time_is_up_before_it_is_looked_at_is_not_sent() {
-    let mut edge = Edge::new(edge_settings("a"), resources());
+    let mut edge = EdgeScheduler::new(edge_settings("a"), resources());
     let mut new = request(1, "once", "free");
     new.deadline = Some(edge.now);
     let actions = edge.arrive(new);
--- a/crates/firdock-policy/tests/policy/failures.rs
+++ b/crates/firdock-policy/tests/policy/failures.rs
@@ -3,21 +3,21 @@
 use firdock_policy::event::{BreakCause, DispatchUpdate};
 use firdock_policy::{Action, Event};
 
-use crate::edge::{Edge, edge_settings, request, resources};
+use crate::edge::{EdgeScheduler, edge_settings, request, resources};
 use crate::fixtures::{id, millis};
 
 const BROKE: DispatchUpdate = DispatchUpdate::Broke { delivered: 0 };
 
 /// The endpoint of a dispatch fails; its answer can be passed on.
-fn fails(edge: &mut Edge, dispatch: u32) -> Vec<Action> {
-    edge.tell(1, dispatch, DispatchUpdate::Failed);
-    edge.tell(1, dispatch, DispatchUpdate::FailureKept);
-    edge.tell(1, dispatch, DispatchUpdate::Breaking(BreakCause::Failed));
-    edge.tell(1, dispatch, BROKE)
+fn fails(edge: &mut EdgeScheduler, dispatch: u32) -> Vec<Action> {
+    edge.update_dispatch(1, dispatch, DispatchUpdate::Failed);
+    edge.update_dispatch(1, dispatch, DispatchUpdate::FailureKept);
+    edge.update_dispatch(1, dispatch, DispatchUpdate::Breaking(BreakCause::Failed));
+    edge.update_dispatch(1, dispatch, BROKE)
 }
 
-fn arrived() -> Edge {
-    let mut edge = Edge::new(edge_settings("a"), resources());
+fn arrived() -> EdgeScheduler {
+    let mut edge = EdgeScheduler::new(edge_settings("a"), resources());
     edge.step(Event::ConfigConfirmed(edge.now));
     edge.arrive(request(1, "safe", "free"));
     edge
@@ -43,8 +43,8 @@
 fn a_failure_before_a_try_that_was_lost_is_not_passed_on() {
     let mut edge = arrived();
     fails(&mut edge, 1);
-    edge.tell(1, 2, DispatchUpdate::Breaking(BreakCause::Closed));
-    let actions = edge.tell(1, 2, BROKE);
+    edge.update_dispatch(1, 2, DispatchUpdate::Breaking(BreakCause::Closed));
+    let actions = edge.update_dispatch(1, 2, BROKE);
     assert!(!is_passed(&actions), "{actions:?}");
 }
 
@@ -52,7 +52,7 @@
 fn a_failure_is_passed_on_to_a_request_whose_time_is_up_before_another_try() {
     let mut alone = resources();
     alone.retain(|r| !format!("{r:?}").contains("\"e2\""));
-    let mut edge = Edge::new(edge_settings("a"), alone);
+    let mut edge = EdgeScheduler::new(edge_settings("a"), alone);
     edge.step(Event::ConfigConfirmed(edge.now));
     edge.arrive(request(1, "safe", "free"));
     let mut actions = fails(&mut edge, 1);
--- a/crates/firdock-policy/tests/policy/fixtures.rs
+++ b/crates/firdock-policy/tests/policy/fixtures.rs
@@ -123,12 +123,12 @@
 }
 
 /// A scheduler that is driven event by event.
-pub struct Driven {
+pub struct TestScheduler {
     pub scheduler: Scheduler,
     pub now: Time,
 }
 
-impl Driven {
+impl TestScheduler {
     /// Starts with the catalog in force.
     pub fn new(settings: PolicySettings) -> Self {
         let mut driven = Self {
@@ -170,7 +170,7 @@
         out
     }
 
-    pub fn after(&mut self, pause: Duration) -> Vec<Action> {
+    pub fn advance(&mut self, pause: Duration) -> Vec<Action> {
         self.now += pause;
         self.step(Event::Timer)
     }
@@ -179,11 +179,16 @@
         self.step(Event::Arrived(new))
     }
 
-    pub fn tell(&mut self, n: u64, dispatch: u32, news: DispatchUpdate) -> Vec<Action> {
+    pub fn update_dispatch(
+        &mut self,
+        n: u64,
+        dispatch: u32,
+        update: DispatchUpdate,
+    ) -> Vec<Action> {
         self.step(Event::Endpoint(EndpointEvent {
             id: id(n),
             dispatch,
-            update: news,
+            update,
         }))
     }
 }
--- a/crates/firdock-policy/tests/policy/golden.rs
+++ b/crates/firdock-policy/tests/policy/golden.rs
@@ -46,7 +46,7 @@
         self
     }
 
-    fn after(&mut self, n: u64) -> &mut Self {
+    fn advance(&mut self, n: u64) -> &mut Self {
         self.now += millis(n);
         self.step(Event::Timer)
     }
@@ -55,12 +55,12 @@
         self.step(Event::Arrived(request(n, service, account)))
     }
 
-    fn tell(&mut self, n: u64, dispatch: u32, news: DispatchUpdate) -> &mut Self {
+    fn update_dispatch(&mut self, n: u64, dispatch: u32, update: DispatchUpdate) -> &mut Self {
         self.now += millis(1);
         self.step(Event::Endpoint(EndpointEvent {
             id: id(n),
             dispatch,
-            update: news,
+            update,
         }))
     }
 
@@ -136,9 +136,11 @@
         s.arrive(3 * n + 2, "guide", if n % 2 == 0 { "shop" } else { "hall" });
         s.arrive(3 * n + 3, "tiles", "hall");
     }
-    s.tell(3, 1, STARTED).tell(3, 1, ENDED);
-    s.tell(1, 1, STARTED).tell(1, 1, ENDED);
-    s.after(1_000).after(2_500);
+    s.update_dispatch(3, 1, STARTED)
+        .update_dispatch(3, 1, ENDED);
+    s.update_dispatch(1, 1, STARTED)
+        .update_dispatch(1, 1, ENDED);
+    s.advance(1_000).advance(2_500);
     s.compare("burst_of_all_tiers");
 }
 
@@ -146,7 +148,7 @@
 fn failing_engines() {
     let mut s = Session::new(settings("a"));
     s.arrive(1, "draft", "shop").arrive(2, "guide", "shop");
-    s.tell(1, 1, STARTED).tell(
+    s.update_dispatch(1, 1, STARTED).update_dispatch(
         1,
         1,
         DispatchUpdate::Tokens {
@@ -154,8 +156,8 @@
             cached: 0,
         },
     );
-    s.tell(1, 1, DispatchUpdate::Broke { delivered: 9 });
-    s.tell(
+    s.update_dispatch(1, 1, DispatchUpdate::Broke { delivered: 9 });
+    s.update_dispatch(
         1,
         1,
         DispatchUpdate::Ended {
@@ -164,8 +166,8 @@
             output: 9,
         },
     );
-    s.tell(2, 1, DispatchUpdate::Refused { unreachable: true });
-    s.after(600);
+    s.update_dispatch(2, 1, DispatchUpdate::Refused { unreachable: true });
+    s.advance(600);
     s.step(Event::Report(LoadReport {
         endpoint: "engine-1".to_owned(),
         age: millis(200),
@@ -177,8 +179,8 @@
         added: vec![1, 2],
         removed: vec![2],
     }));
-    s.arrive(3, "draft", "hall").after(500);
-    s.tell(
+    s.arrive(3, "draft", "hall").advance(500);
+    s.update_dispatch(
         1,
         2,
         DispatchUpdate::Tokens {
@@ -186,9 +188,9 @@
             cached: 128,
         },
     )
-    .tell(1, 2, ENDED);
+    .update_dispatch(1, 2, ENDED);
     s.arrive(4, "orders", "shop")
-        .tell(4, 1, DispatchUpdate::Broke { delivered: 0 });
+        .update_dispatch(4, 1, DispatchUpdate::Broke { delivered: 0 });
     s.step(Event::CallerLeft(id(3)));
     s.compare("failing_engines");
 }
@@ -202,7 +204,8 @@
     s.view(1, 0, &[me()]).log_read(10);
     s.step(Event::Arrived(order(2, 1, at(5))));
     s.step(Event::Arrived(order(3, 1, at(5))));
-    s.tell(2, 1, STARTED).tell(2, 1, ENDED);
+    s.update_dispatch(2, 1, STARTED)
+        .update_dispatch(2, 1, ENDED);
     s.step(Event::Arrived(order(4, 1, at(5))));
     s.view(2, 1_000, &[other()]).log_read(1_010);
     s.step(Event::Arrived(order(5, 2, at(1_020))));
@@ -214,7 +217,7 @@
     s.view(3, 2_000, &[me()]).log_read(2_010);
     s.step(Event::Arrived(order(6, 3, at(3_999))));
     s.step(Event::Arrived(order(7, 4, at(4_000))));
-    s.after(2_000).log_read(4_010);
+    s.advance(2_000).log_read(4_010);
     s.step(Event::Arrived(order(8, 5, at(4_000))));
     s.step(Event::Arrived(order(9, 6, None)));
     s.compare("keys_through_a_takeover");
@@ -235,9 +238,10 @@
     })));
     s.step(Event::HandOver(HandOverEvent::Ended(id(4))));
     for n in [1, 2, 3, 5] {
-        s.tell(n, 1, STARTED).tell(n, 1, ENDED);
+        s.update_dispatch(n, 1, STARTED)
+            .update_dispatch(n, 1, ENDED);
     }
-    s.after(100);
+    s.advance(100);
     s.compare("planned_stop");
 }
 
@@ -253,7 +257,8 @@
     s.arrive(2, "tiles", "shop")
         .arrive(3, "tiles", "shop")
         .arrive(4, "tiles", "shop");
-    s.tell(1, 1, STARTED).tell(1, 1, ENDED);
+    s.update_dispatch(1, 1, STARTED)
+        .update_dispatch(1, 1, ENDED);
     s.step(catalog(
         2,
         resources()
@@ -261,6 +266,7 @@
             .filter(|r| r.key().name != "plain-0")
             .collect(),
     ));
-    s.tell(2, 1, STARTED).tell(2, 1, ENDED);
+    s.update_dispatch(2, 1, STARTED)
+        .update_dispatch(2, 1, ENDED);
     s.compare("leaving_endpoints");
 }
--- a/crates/firdock-policy/tests/policy/limits.rs
+++ b/crates/firdock-policy/tests/policy/limits.rs
@@ -11,12 +11,12 @@
 use firdock_policy::{Action, Event, NewRequest, Verdict, limit_usage};
 use uuid::Uuid;
 
-use crate::edge::{Edge, REFUSED, edge_settings, request, resources, verdict};
+use crate::edge::{EdgeScheduler, REFUSED, edge_settings, request, resources, verdict};
 use crate::fixtures::{LOG_START, dispatched, id, millis, with_key};
 
 #[test]
 fn an_account_is_limited_by_tokens_over_time() {
-    let mut edge = Edge::new(edge_settings("a"), resources());
+    let mut edge = EdgeScheduler::new(edge_settings("a"), resources());
     let mut served = 0;
     for n in 0..400 {
         edge.now += millis(25);
@@ -35,7 +35,7 @@
 }
 
 /// Counts how many requests of two units each pass at one moment.
-fn let_pass_at_once(edge: &mut Edge) -> usize {
+fn let_pass_at_once(edge: &mut EdgeScheduler) -> usize {
     let small = |n| NewRequest {
         prompt_tokens: 1,
         output_tokens: 1,
@@ -48,13 +48,13 @@
 #[test]
 fn instances_that_start_together_let_the_callers_in_that_come_at_once() {
     // 0.4 s of 100 units a second among five instances are 8 units each, and one request more.
-    let mut edge = Edge::unaware(edge_settings("a"), resources());
+    let mut edge = EdgeScheduler::unaware(edge_settings("a"), resources());
     edge.step(Event::PeersKnown(4));
     assert_eq!(let_pass_at_once(&mut edge), 5);
     // It is given once, and only where it is known among how many it is shared.
     edge.step(Event::PeersKnown(3));
     assert_eq!(let_pass_at_once(&mut edge), 0);
-    let mut unaware = Edge::unaware(edge_settings("a"), resources());
+    let mut unaware = EdgeScheduler::unaware(edge_settings("a"), resources());
     assert_eq!(let_pass_at_once(&mut unaware), 1);
 }
 
@@ -70,7 +70,7 @@
 
 /// Counts how many of so many requests are served, of which each comes a `pause` after the one before;
 /// `told` is what the instance hears before each.
-fn served(edge: &mut Edge, count: u64, pause: Duration, told: &[Event]) -> u32 {
+fn served(edge: &mut EdgeScheduler, count: u64, pause: Duration, told: &[Event]) -> u32 {
     let mut served = 0;
     for n in 0..count {
         edge.now += pause;
@@ -97,7 +97,7 @@
 
 #[test]
 fn what_peers_let_pass_counts_against_the_limit() {
-    let mut edge = Edge::new(edge_settings("a"), resources());
+    let mut edge = EdgeScheduler::new(edge_settings("a"), resources());
     // What it used before it was first heard of is not known to be recent.
     edge.step(peer(5_000.0, 1));
     edge.now += millis(1_000);
@@ -125,10 +125,10 @@
 /// that began to send many times its limit passed it meanwhile.
 #[test]
 fn of_many_instances_what_others_let_pass_counts_as_their_leads_tell_it() {
-    let mut edge = Edge::new(edge_settings("a"), resources());
+    let mut edge = EdgeScheduler::new(edge_settings("a"), resources());
     edge.step(Event::PeersKnown(39));
     edge.step(Event::Reach(40));
-    let arrive = |edge: &mut Edge, n: u64, pause: u64| {
+    let arrive = |edge: &mut EdgeScheduler, n: u64, pause: u64| {
         edge.now += millis(pause);
         edge.step(Event::ConfigConfirmed(edge.now));
         edge.step(Event::Reach(40));
@@ -160,7 +160,7 @@
 
 #[test]
 fn a_restarted_peers_totals_begin_anew() {
-    let mut edge = Edge::new(edge_settings("a"), resources());
+    let mut edge = EdgeScheduler::new(edge_settings("a"), resources());
     edge.step(peer(5_000.0, 1));
     edge.now += millis(1_000);
     edge.step(Event::ConfigConfirmed(edge.now));
@@ -171,7 +171,7 @@
 
 #[test]
 fn an_instance_that_hears_nobody_uses_its_even_part_alone() {
-    let mut edge = Edge::new(edge_settings("a"), resources());
+    let mut edge = EdgeScheduler::new(edge_settings("a"), resources());
     edge.step(Event::PeersKnown(4));
     let served = served(&mut edge, 400, millis(50), &[]);
     // 20 s at a fifth of 100 tokens a second, 100 tokens each.
@@ -182,7 +182,7 @@
 /// in which they did not miss the others, and the others with it as well.
 #[test]
 fn of_many_instances_one_that_hears_no_lead_uses_its_even_part_at_once() {
-    let mut edge = Edge::new(edge_settings("a"), resources());
+    let mut edge = EdgeScheduler::new(edge_settings("a"), resources());
     edge.step(Event::PeersKnown(99));
     for n in 0..99 {
         edge.step(Event::Peer(PeerUpdate {
@@ -199,7 +199,7 @@
 
 #[test]
 fn of_many_instances_the_parts_of_those_not_heard_are_left_out() {
-    let mut edge = Edge::new(edge_settings("a"), resources());
+    let mut edge = EdgeScheduler::new(edge_settings("a"), resources());
     edge.step(Event::PeersKnown(39));
     let served = served(&mut edge, 400, millis(25), &[Event::Reach(20)]);
     // 10 s at a half of 100 tokens a second, 100 tokens each.
@@ -220,7 +220,7 @@
     for (secs, passes) in [(1_000, true), (2_000, false)] {
         let mut settings = edge_settings("a");
         settings.member.incarnation = start(2_000);
-        let mut edge = Edge::new(settings, resources());
+        let mut edge = EdgeScheduler::new(settings, resources());
         let peer = start(secs);
         let first = PeerUpdate {
             used: Vec::new(),
@@ -237,7 +237,7 @@
 
 #[test]
 fn an_instance_tells_what_it_let_pass_before_callers_came_again() {
-    let mut edge = Edge::new(edge_settings("a"), resources());
+    let mut edge = EdgeScheduler::new(edge_settings("a"), resources());
     let mut told = Vec::new();
     for (n, pause) in [1_000, 1_000, 4_900, 5_100].into_iter().enumerate() {
         edge.now += millis(pause);
@@ -253,9 +253,9 @@
 /// Many instances that ask for far more than the limit, in rounds of 20 ms; each hears what the others
 /// let pass `lag` rounds late, by the counts of a lead.
 fn let_pass_in_seconds(instances: usize, secs: u64, lag: usize) -> Vec<f64> {
-    let mut edges: Vec<Edge> = (0..instances)
+    let mut edges: Vec<EdgeScheduler> = (0..instances)
         .map(|n| {
-            let mut edge = Edge::new(edge_settings(&format!("node-{n}")), resources());
+            let mut edge = EdgeScheduler::new(edge_settings(&format!("node-{n}")), resources());
             edge.step(Event::PeersKnown(instances - 1));
             edge
         })
@@ -295,7 +295,7 @@
     passed
 }
 
-fn own_use(edge: &Edge) -> PeerUse {
+fn own_use(edge: &EdgeScheduler) -> PeerUse {
     let t = edge.scheduler.tables();
     PeerUse {
         name: t.settings.member.name.clone(),
@@ -321,7 +321,7 @@
 /// heard each other.
 #[test]
 fn an_instance_that_knows_of_no_others_yet_uses_a_small_part_of_a_limit() {
-    let mut edge = Edge::unaware(edge_settings("a"), resources());
+    let mut edge = EdgeScheduler::unaware(edge_settings("a"), resources());
     let served = served(&mut edge, 400, millis(50), &[]);
     // 20 s at 0.15 of 100 tokens a second, 100 tokens each; alone and aware, it would be 20.
     assert!((3..=4).contains(&served), "{served}");
@@ -329,21 +329,21 @@
 
 #[test]
 fn a_request_that_ran_nowhere_is_given_back_to_its_accounts_limit() {
-    let mut edge = Edge::new(edge_settings("a"), resources());
+    let mut edge = EdgeScheduler::new(edge_settings("a"), resources());
     edge.now += millis(1_000);
     edge.step(Event::ConfigConfirmed(edge.now));
     for n in 1..=3 {
         assert_eq!(verdict(&edge.arrive(request(n, "once", "limited"))), None);
-        let first = edge.tell(n, 1, REFUSED);
+        let first = edge.update_dispatch(n, 1, REFUSED);
         assert_eq!(dispatched(&first).len(), 1);
-        let last = edge.tell(n, 2, REFUSED);
+        let last = edge.update_dispatch(n, 2, REFUSED);
         assert!(verdict(&last).is_some_and(|v| v.0 == Outcome::NotRun));
     }
 }
 
 #[test]
 fn a_request_that_only_passes_through_to_its_keys_owner_is_neither_charged_nor_given_back() {
-    let mut edge = Edge::new(edge_settings("a"), resources());
+    let mut edge = EdgeScheduler::new(edge_settings("a"), resources());
     edge.step(Event::View(MemberView {
         since: LOG_START,
         number: 1,
--- a/crates/firdock-policy/tests/policy/notices.rs
+++ b/crates/firdock-policy/tests/policy/notices.rs
@@ -17,7 +17,7 @@
 use firdock_policy::table::endpoint::{EndpointRow, Health};
 use firdock_policy::{Action, Event, Time};
 
-use crate::edge::{Edge, REFUSED, edge_settings, request, resources, verdict};
+use crate::edge::{EdgeScheduler, REFUSED, edge_settings, request, resources, verdict};
 use crate::fixtures::{dispatched, id, millis};
 
 const BROKE: DispatchUpdate = DispatchUpdate::Broke { delivered: 0 };
@@ -31,7 +31,7 @@
     })
 }
 
-fn leaves(edge: &mut Edge, endpoint: &str) -> Vec<Action> {
+fn leaves(edge: &mut EdgeScheduler, endpoint: &str) -> Vec<Action> {
     let notice = Notice {
         leaving: true,
         ..Notice::default()
@@ -40,7 +40,7 @@
 }
 
 /// The endpoint asks for a time without requests.
-fn asks(edge: &mut Edge, endpoint: &str, time: Duration) -> Vec<Action> {
+fn asks(edge: &mut EdgeScheduler, endpoint: &str, time: Duration) -> Vec<Action> {
     let notice = Notice {
         backoff: Some(time),
         ..Notice::default()
@@ -48,11 +48,11 @@
     edge.step(told(endpoint, notice, edge.now))
 }
 
-fn alone() -> Edge {
-    Edge::new(edge_settings("a"), resources())
+fn alone() -> EdgeScheduler {
+    EdgeScheduler::new(edge_settings("a"), resources())
 }
 
-fn apply(edge: &mut Edge, version: u64, resources: Vec<Resource>) -> Vec<Action> {
+fn apply(edge: &mut EdgeScheduler, version: u64, resources: Vec<Resource>) -> Vec<Action> {
     let catalog = Catalog::new(version).with_resources(resources);
     edge.step(Event::Config(Arc::new(catalog)))
 }
@@ -63,13 +63,13 @@
     all
 }
 
-fn row<'a>(edge: &'a Edge, name: &str) -> &'a EndpointRow {
+fn row<'a>(edge: &'a EdgeScheduler, name: &str) -> &'a EndpointRow {
     let endpoints = &edge.scheduler.tables().endpoints;
     endpoints.get(endpoints.find(name).expect("a row"))
 }
 
 /// Where requests go that come at once, each ended as soon as all are here.
-fn reached(edge: &mut Edge, numbers: std::ops::Range<u64>) -> Vec<String> {
+fn reached(edge: &mut EdgeScheduler, numbers: std::ops::Range<u64>) -> Vec<String> {
     edge.step(Event::ConfigConfirmed(edge.now));
     let mut actions: Vec<Action> = Vec::new();
     for n in numbers {
@@ -84,7 +84,7 @@
                 cached: 0,
                 output: 0,
             };
-            actions.extend(edge.tell(of.as_u64_pair().1, 1, news));
+            actions.extend(edge.update_dispatch(of.as_u64_pair().1, 1, news));
         }
     }
     reached
@@ -120,7 +120,7 @@
     assert_eq!(reached(&mut edge, 1..4), ["e2"; 3]);
     // Its entry lapses while the store is away, and comes back as it was before.
     apply(&mut edge, 2, without("e1"));
-    edge.after(millis(30_000));
+    edge.advance(millis(30_000));
     apply(&mut edge, 3, resources());
     assert_eq!(reached(&mut edge, 4..8), ["e2"; 4]);
 }
@@ -140,7 +140,7 @@
 
 #[test]
 fn its_word_ends_with_its_next_start() {
-    let mut edge = Edge::new(edge_settings("a"), started(8));
+    let mut edge = EdgeScheduler::new(edge_settings("a"), started(8));
     let earlier = row(&edge, "e1").start_id.clone();
     leaves(&mut edge, &earlier);
     assert_eq!(reached(&mut edge, 1..5), ["e2"; 4]);
@@ -179,9 +179,9 @@
     let mut edge = alone();
     asks(&mut edge, "e1", millis(3_000));
     assert_eq!(reached(&mut edge, 1..6), ["e2"; 5]);
-    edge.after(millis(2_900));
+    edge.advance(millis(2_900));
     assert_eq!(reached(&mut edge, 6..11), ["e2"; 5]);
-    edge.after(millis(101));
+    edge.advance(millis(101));
     assert!(reached(&mut edge, 11..16).contains(&"e1".to_owned()));
 }
 
@@ -196,9 +196,9 @@
     let read = edge.now.saturating_sub(millis(1_000));
     edge.step(told("e1", notice(3), read));
     edge.step(told("e1", notice(1), read + millis(100)));
-    edge.after(millis(1_900));
+    edge.advance(millis(1_900));
     assert_eq!(reached(&mut edge, 1..4), ["e2"; 3]);
-    edge.after(millis(101));
+    edge.advance(millis(101));
     assert!(reached(&mut edge, 4..9).contains(&"e1".to_owned()));
 }
 
@@ -219,7 +219,7 @@
     assert_eq!(at_e1.len(), 2);
     asks(&mut edge, "e1", millis(3_000));
     for n in at_e1 {
-        edge.tell(n, 1, BROKE);
+        edge.update_dispatch(n, 1, BROKE);
     }
     assert_eq!(
         (row(&edge, "e1").health, row(&edge, "e1").broken),
@@ -256,9 +256,9 @@
     assert!(times.len() > 10, "they come back apart: {times:?}");
     // This one has the time.
     assert_eq!(edge.arrive(request(21, "once", "free")), Vec::new());
-    assert_eq!(dispatched(&edge.after(millis(900))), Vec::new());
+    assert_eq!(dispatched(&edge.advance(millis(900))), Vec::new());
     assert_eq!(
-        dispatched(&edge.after(millis(101))),
+        dispatched(&edge.advance(millis(101))),
         vec![(id(21), "e1".to_owned())]
     );
 }
@@ -273,7 +273,7 @@
     for endpoint in ["e1", "e2"] {
         asks(&mut edge, endpoint, millis(3_000));
     }
-    let actions = edge.tell(1, 1, BROKE);
+    let actions = edge.update_dispatch(1, 1, BROKE);
     assert!(dispatched(&actions).is_empty(), "after {first}");
     assert_eq!(verdict(&actions).map(|v| v.0), Some(Outcome::Unknown));
     assert_ne!(verdict(&actions).map(|v| v.1), Some(Reason::TimedOut));
@@ -294,7 +294,7 @@
     let mut all = without("e1");
     all.retain(|r| !matches!(r, Resource::Endpoint(_)));
     all.extend((0..6).map(endpoint));
-    let mut edge = Edge::new(edge_settings("a"), all);
+    let mut edge = EdgeScheduler::new(edge_settings("a"), all);
     let shuns = |name: &str| matches!(name, "s0" | "s1");
     let began = edge.now;
     let mut asked_at: [Option<Time>; 2] = [None; 2];
@@ -319,7 +319,7 @@
                 cached: 0,
                 output: 0,
             };
-            queue.extend(edge.tell(n, dispatch, news));
+            queue.extend(edge.update_dispatch(n, dispatch, news));
         }
         while let Some(action) = queue.pop() {
             let Action::Dispatch(d) = action else {
@@ -336,7 +336,7 @@
             late += u64::from(in_time.contains(&edge.now));
             let endpoint = d.endpoint.clone();
             queue.extend(asks(&mut edge, &endpoint, millis(3_000)));
-            queue.extend(edge.tell(n, d.dispatch, REFUSED));
+            queue.extend(edge.update_dispatch(n, d.dispatch, REFUSED));
         }
     }
     println!("{served} of {sent} served, {late} sent against the endpoints' word");
--- a/crates/firdock-policy/tests/policy/overload.rs
+++ b/crates/firdock-policy/tests/policy/overload.rs
@@ -4,7 +4,7 @@
 use firdock_policy::NewRequest;
 use firdock_policy::event::DispatchUpdate;
 
-use crate::edge::{Edge, edge_settings, request, resources};
+use crate::edge::{EdgeScheduler, edge_settings, request, resources};
 use crate::fixtures::dispatched;
 
 /// The usual resources, with engines that take so many milliseconds for each token.
@@ -32,10 +32,10 @@
 }
 
 /// Lets answers of so many tokens end, until the service's are known to be as long.
-fn learn(edge: &mut Edge, tokens: u32) {
+fn learn(edge: &mut EdgeScheduler, tokens: u32) {
     for n in 1_000..1_200 {
         edge.arrive(long(n));
-        edge.tell(
+        edge.update_dispatch(
             n,
             1,
             DispatchUpdate::Ended {
@@ -49,7 +49,7 @@
 
 #[test]
 fn a_long_answer_goes_where_it_ends_in_time() {
-    let mut edge = Edge::new(
+    let mut edge = EdgeScheduler::new(
         edge_settings("a"),
         engines(&[("fast", 4.0), ("slow", 16.0)], 8),
     );
@@ -71,7 +71,7 @@
                 e.prefill_rate = rate;
             }
         }
-        let mut edge = Edge::new(edge_settings("a"), all);
+        let mut edge = EdgeScheduler::new(edge_settings("a"), all);
         assert_eq!(dispatched(&edge.arrive(long(1))).len(), 1, "{rate}");
     }
 }
--- a/crates/firdock-policy/tests/policy/pace_reports.rs
+++ b/crates/firdock-policy/tests/policy/pace_reports.rs
@@ -8,7 +8,7 @@
 use firdock_policy::table::reported_pace::ReportedPace;
 use firdock_policy::{Event, NewRequest, Time};
 
-use crate::edge::{Edge, edge_settings, request, resources};
+use crate::edge::{EdgeScheduler, edge_settings, request, resources};
 use crate::fixtures::{dispatched, id, millis};
 
 /// Seconds to a first token of an engine of usual pace.
@@ -20,7 +20,7 @@
     Pace::from_hundredths(hundredths).expect("a pace within its bounds")
 }
 
-fn told(edge: &mut Edge, endpoint: &str, hundredths: u32) {
+fn told(edge: &mut EdgeScheduler, endpoint: &str, hundredths: u32) {
     let read = edge.now;
     edge.step(Event::PaceReported(PaceReport {
         endpoint: endpoint.to_owned(),
@@ -31,11 +31,11 @@
 
 /// A coordinator of a fast engine `e1` and a slow one `e2`, whose service `safe` streams events of seven
 /// tokens and has a gap target of 300 ms, as that of the users' listeners.
-fn uneven() -> Edge {
+fn uneven() -> EdgeScheduler {
     uneven_of(2)
 }
 
-fn uneven_of(slots: u32) -> Edge {
+fn uneven_of(slots: u32) -> EdgeScheduler {
     let mut all = resources();
     for resource in &mut all {
         match resource {
@@ -65,14 +65,14 @@
         ..Service::default()
     };
     all.push(Resource::Service(tags));
-    let mut edge = Edge::new(edge_settings("a").with_coordination(), all);
+    let mut edge = EdgeScheduler::new(edge_settings("a").with_coordination(), all);
     told(&mut edge, "e1", 68);
     told(&mut edge, "e2", 300);
     edge
 }
 
 /// Teaches the pool: answers of both engines, each as long as its pace says.
-fn teach(edge: &mut Edge, answers: u64) {
+fn teach(edge: &mut EdgeScheduler, answers: u64) {
     for n in 0..answers {
         let tokens = 300 + 1_700 * (n % 5) as u32;
         let mut new = asked(1_000 + n, "safe", tokens, 385);
@@ -84,9 +84,9 @@
         let slow = if at == "e1" { 0.68 } else { 3.0 };
         told(edge, &at.clone(), (100.0 * slow) as u32);
         edge.now += Time::from_secs_f64(0.04 + slow * f64::from(tokens) / 56_000.0);
-        edge.tell(1_000 + n, 1, TOKENS);
+        edge.update_dispatch(1_000 + n, 1, TOKENS);
         edge.now += Time::from_secs_f64(slow * 384.0 * 0.008);
-        edge.tell(1_000 + n, 1, ended(tokens, 385));
+        edge.update_dispatch(1_000 + n, 1, ended(tokens, 385));
         edge.step(Event::ConfigConfirmed(edge.now));
     }
 }
@@ -112,7 +112,7 @@
     }
 }
 
-fn place(edge: &mut Edge, new: NewRequest) -> Option<String> {
+fn place(edge: &mut EdgeScheduler, new: NewRequest) -> Option<String> {
     let placed = dispatched(&edge.arrive(new));
     placed.into_iter().next().map(|(_, at)| at)
 }
@@ -195,7 +195,7 @@
         slots: 2,
         ..Endpoint::default()
     }));
-    let mut edge = Edge::new(edge_settings("a").with_coordination(), all);
+    let mut edge = EdgeScheduler::new(edge_settings("a").with_coordination(), all);
     told(&mut edge, "e1", 68);
     told(&mut edge, "e2", 300);
     assert_eq!(
@@ -219,14 +219,14 @@
     for n in 1..=8 {
         let at = place(&mut edge, asked(n, "safe", 1_800, 385));
         assert_eq!(at, Some("e1".to_owned()));
-        edge.tell(n, 1, TOKENS);
+        edge.update_dispatch(n, 1, TOKENS);
     }
     let at = place(&mut edge, asked(9, "tags", 1_800, 21));
     assert_eq!(at, Some("e2".to_owned()));
 }
 
 /// Lets the slow engine have slow moments, as many as are usual where servers share their machines.
-fn noisy(edge: &mut Edge) {
+fn noisy(edge: &mut EdgeScheduler) {
     for n in 0..600 {
         edge.now += millis(100);
         let slow = (n / 5) % 7 == 0;
@@ -255,8 +255,8 @@
         Some("e2".to_owned())
     );
     // It takes what fits as soon as that is free.
-    edge.tell(1, 1, TOKENS);
-    let placed = dispatched(&edge.tell(1, 1, ended(1_800, 385)));
+    edge.update_dispatch(1, 1, TOKENS);
+    let placed = dispatched(&edge.update_dispatch(1, 1, ended(1_800, 385)));
     assert_eq!(placed, vec![(id(3), "e1".to_owned())]);
 }
 
@@ -268,13 +268,13 @@
     for n in 1..=3 {
         place(&mut edge, asked(n, "safe", 1_800, 385));
     }
-    assert!(dispatched(&edge.after(millis(280))).is_empty());
-    let placed = dispatched(&edge.after(millis(30)));
+    assert!(dispatched(&edge.advance(millis(280))).is_empty());
+    let placed = dispatched(&edge.advance(millis(30)));
     assert_eq!(placed, vec![(id(3), "e2".to_owned())]);
 }
 
 /// Lets the slow engine tell a tenth of its pace until nobody believes it.
-fn untrue() -> Edge {
+fn untrue() -> EdgeScheduler {
     let mut edge = uneven();
     teach(&mut edge, 150);
     told(&mut edge, "e2", 10);
@@ -286,9 +286,9 @@
         let slow = if at == "e1" { 0.68 } else { 3.0 };
         told(&mut edge, &at, if at == "e1" { 68 } else { 10 });
         edge.now += Time::from_secs_f64(0.04 + slow * 4_000.0 / 56_000.0);
-        edge.tell(n, 1, TOKENS);
+        edge.update_dispatch(n, 1, TOKENS);
         edge.now += Time::from_secs_f64(slow * 384.0 * 0.008);
-        edge.tell(n, 1, ended(4_000, 385));
+        edge.update_dispatch(n, 1, ended(4_000, 385));
         edge.step(Event::ConfigConfirmed(edge.now));
     }
     edge
@@ -312,7 +312,7 @@
     for n in 901..=904 {
         let new = asked(n, "safe", 1_800, 385);
         assert!(!dispatched(&edge.arrive(new)).is_empty());
-        edge.tell(n, 1, TOKENS);
+        edge.update_dispatch(n, 1, TOKENS);
     }
     assert_eq!(place(&mut edge, asked(905, "safe", 20_000, 385)), None);
     // All moments of the other engine are slow now, so that a long prompt is late there.
@@ -325,14 +325,14 @@
     let Some(n) = (901..=904).find(there) else {
         panic!("the engine is full");
     };
-    let placed = dispatched(&edge.tell(n, 1, ended(1_800, 385)));
+    let placed = dispatched(&edge.update_dispatch(n, 1, ended(1_800, 385)));
     assert_eq!(placed, vec![(id(905), "e1".to_owned())]);
 }
 
 /// Deployments that tell nothing are served as before: nothing waits, and nothing is learned of pools.
 #[test]
 fn where_no_pace_is_told_nothing_changes() {
-    let mut edge = Edge::new(edge_settings("a").with_coordination(), resources());
+    let mut edge = EdgeScheduler::new(edge_settings("a").with_coordination(), resources());
     for n in 1..=4 {
         assert!(place(&mut edge, asked(n, "safe", 1_000, 385)).is_some());
     }
@@ -349,7 +349,7 @@
             e.slots = 1;
         }
     }
-    let mut edge = Edge::new(edge_settings("a"), all);
+    let mut edge = EdgeScheduler::new(edge_settings("a"), all);
     for n in 1..=60 {
         let new = request(n, "safe", "free");
         let at = place(&mut edge, new).expect("a server is free");
--- a/crates/firdock-policy/tests/policy/random.rs
+++ b/crates/firdock-policy/tests/policy/random.rs
@@ -9,7 +9,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestError, TestRng, TestRunner};
 
-use crate::simulation::{Op, World};
+use crate::simulation::{Op, Simulation};
 
 /// Seeds of a run in CI.
 const SEEDS: u64 = 192;
@@ -21,23 +21,23 @@
 fn op() -> impl Strategy<Value = Op> {
     prop_oneof![
         8 => (any::<u8>(), any::<u8>(), any::<u8>())
-            .prop_map(|(node, service, account)| Op::Send { node, service, account }),
-        5 => (any::<u8>(), any::<bool>()).prop_map(|(node, timed)| Op::Order { node, timed }),
-        4 => (any::<u8>(), any::<u8>()).prop_map(|(node, order)| Op::Resend { node, order }),
+            .prop_map(|(instance, service, account)| Op::Send { instance, service, account }),
+        5 => (any::<u8>(), any::<bool>()).prop_map(|(instance, timed)| Op::Order { instance, timed }),
+        4 => (any::<u8>(), any::<u8>()).prop_map(|(instance, order)| Op::Resend { instance, order }),
         1 => any::<u8>().prop_map(|request| Op::Leave { request }),
         8 => (0_u16..1_500).prop_map(|millis| Op::Wait { millis }),
         2 => (any::<u8>(), any::<u8>())
             .prop_map(|(endpoint, fault)| Op::Endpoint { endpoint, fault }),
         1 => (any::<u8>(), any::<bool>())
             .prop_map(|(endpoint, leaving)| Op::Leaving { endpoint, leaving }),
-        1 => any::<u8>().prop_map(|node| Op::Kill { node }),
-        2 => (any::<u8>(), any::<bool>()).prop_map(|(node, paused)| Op::Pause { node, paused }),
-        2 => (any::<u8>(), any::<bool>()).prop_map(|(node, cut)| Op::LogCut { node, cut }),
-        1 => any::<u8>().prop_map(|node| Op::Remove { node }),
-        1 => any::<u8>().prop_map(|node| Op::Drain { node }),
+        1 => any::<u8>().prop_map(|instance| Op::Kill { instance }),
+        2 => (any::<u8>(), any::<bool>()).prop_map(|(instance, paused)| Op::Pause { instance, paused }),
+        2 => (any::<u8>(), any::<bool>()).prop_map(|(instance, cut)| Op::LogCut { instance, cut }),
+        1 => any::<u8>().prop_map(|instance| Op::Remove { instance }),
+        1 => any::<u8>().prop_map(|instance| Op::Drain { instance }),
         2 => any::<u8>().prop_map(|resource| Op::Toggle { resource }),
         2 => (any::<u8>(), any::<bool>())
-            .prop_map(|(node, answers)| Op::Coordinate { node, answers }),
+            .prop_map(|(instance, answers)| Op::Coordinate { instance, answers }),
     ]
 }
 
@@ -63,7 +63,7 @@
     let mut runner = TestRunner::new_with_rng(config, rng);
     let quarantined = Cell::new(0);
     let result = runner.run(&vec(op, OPS..=OPS), |ops| {
-        let mut world = World::new(seed);
+        let mut world = Simulation::new(seed);
         for op in ops {
             world.apply(op);
         }
--- a/crates/firdock-policy/tests/policy/restart.rs
+++ b/crates/firdock-policy/tests/policy/restart.rs
@@ -12,7 +12,9 @@
 use firdock_policy::table::endpoint::{EndpointRow, Health};
 use firdock_policy::{Action, Event, PolicySettings, Scheduler};
 
-use crate::fixtures::{Driven, catalog, dispatched, id, millis, request, resources, settings};
+use crate::fixtures::{
+    TestScheduler, catalog, dispatched, id, millis, request, resources, settings,
+};
 
 const BROKE: DispatchUpdate = DispatchUpdate::Broke { delivered: 0 };
 const REFUSED: DispatchUpdate = DispatchUpdate::Refused { unreachable: false };
@@ -37,8 +39,8 @@
 }
 
 /// An instance with the endpoints of their first starts.
-fn instance(settings: PolicySettings) -> Driven {
-    let mut d = Driven {
+fn instance(settings: PolicySettings) -> TestScheduler {
+    let mut d = TestScheduler {
         scheduler: Scheduler::new(settings),
         now: millis(10_000),
     };
@@ -47,12 +49,12 @@
 }
 
 /// Lists a later start of one endpoint.
-fn restart(d: &mut Driven, name: &str, at: Duration) -> Vec<Action> {
+fn restart(d: &mut TestScheduler, name: &str, at: Duration) -> Vec<Action> {
     let version = d.scheduler.tables().version;
     d.step(catalog(version, with_starts(name, at)))
 }
 
-fn row<'a>(d: &'a Driven, name: &str) -> &'a EndpointRow {
+fn row<'a>(d: &'a TestScheduler, name: &str) -> &'a EndpointRow {
     let endpoints = &d.scheduler.tables().endpoints;
     endpoints.get(endpoints.find(name).expect("it is listed"))
 }
@@ -70,10 +72,10 @@
     let mut d = instance(settings("a"));
     let first = dispatched(&d.arrive(request(1, "draft", "shop")));
     let name = first[0].1.clone();
-    d.tell(1, 1, DispatchUpdate::Started { head_sent: true });
+    d.update_dispatch(1, 1, DispatchUpdate::Started { head_sent: true });
     let actions = restart(&mut d, &name, millis(2_000));
     assert_eq!(given_up(&actions), [(1, 1)]);
-    let again = d.tell(1, 1, DispatchUpdate::Broke { delivered: 12 });
+    let again = d.update_dispatch(1, 1, DispatchUpdate::Broke { delivered: 12 });
     let Some(Action::Dispatch(again)) = again.first() else {
         panic!("{again:?}")
     };
@@ -99,7 +101,7 @@
         ..PeerUpdate::default()
     }));
     restart(&mut d, &name, millis(2_000));
-    let again = dispatched(&d.tell(1, 1, BROKE));
+    let again = dispatched(&d.update_dispatch(1, 1, BROKE));
     assert_eq!(again, [(id(1), name)]);
     let rows = &d.scheduler.tables().requests;
     assert_eq!(rows.get(id(1)).expect("it runs").tried.len(), 2);
@@ -112,7 +114,7 @@
         .1
         .clone();
     assert_eq!(given_up(&restart(&mut d, &name, millis(2_000))), [(1, 1)]);
-    let end = d.tell(1, 1, BROKE);
+    let end = d.update_dispatch(1, 1, BROKE);
     assert!(dispatched(&end).is_empty());
     assert!(
         matches!(&*end, [Action::Answer { verdict, .. }]
@@ -125,9 +127,9 @@
 fn a_request_that_the_earlier_start_refused_did_not_run_and_may_go_to_the_later_one() {
     let mut d = instance(settings("a"));
     let first = dispatched(&d.arrive(request(1, "orders", "shop")));
-    let second = dispatched(&d.tell(1, 1, REFUSED));
+    let second = dispatched(&d.update_dispatch(1, 1, REFUSED));
     restart(&mut d, &first[0].1, millis(2_000));
-    let third = dispatched(&d.tell(1, 2, REFUSED));
+    let third = dispatched(&d.update_dispatch(1, 2, REFUSED));
     assert_ne!(first[0].1, second[0].1);
     assert_eq!(third, first);
 }
@@ -140,7 +142,7 @@
         .clone();
     restart(&mut d, &name, millis(2_000));
     assert_eq!(row(&d, &name).running, 0);
-    d.tell(1, 1, BROKE);
+    d.update_dispatch(1, 1, BROKE);
     let fresh = row(&d, &name);
     assert_eq!(
         (fresh.health, fresh.failures, fresh.broken),
@@ -159,7 +161,7 @@
         .1
         .clone();
     restart(&mut d, &name, millis(2_000));
-    d.tell(1, 1, ENDED);
+    d.update_dispatch(1, 1, ENDED);
     assert_eq!(d.scheduler.tables().stats.outcomes[&Outcome::Answered], 1);
 }
 
@@ -170,7 +172,7 @@
         .1
         .clone();
     d.now += millis(900);
-    d.tell(1, 1, ENDED);
+    d.update_dispatch(1, 1, ENDED);
     d.step(Event::Peer(PeerUpdate {
         name: "b".to_owned(),
         leaving: vec![format!("{name}@1000")],
@@ -222,7 +224,7 @@
     );
     assert_eq!(given_up(&restart(&mut d, &name, began)), [(1, 1)]);
     // It breaks all the same: this start had it, though it was sent before the start was known.
-    let again = dispatched(&d.tell(sent, 1, BROKE));
+    let again = dispatched(&d.update_dispatch(sent, 1, BROKE));
     assert_eq!(again.len(), 1);
     assert_ne!(again[0].1, name);
 }
@@ -286,7 +288,7 @@
     d.step(adopt(3, "engine-0@2000"));
     assert_eq!(row(&d, "engine-0").running, 1);
     // The member tells that the first one broke; the later start is none the worse for it.
-    d.tell(1, 1, BROKE);
+    d.update_dispatch(1, 1, BROKE);
     assert_eq!(
         (row(&d, "engine-0").running, row(&d, "engine-0").failures),
         (1, 0)
--- a/crates/firdock-policy/tests/policy/rollout.rs
+++ b/crates/firdock-policy/tests/policy/rollout.rs
@@ -13,7 +13,7 @@
 use firdock_policy::{Action, Event, PolicySettings};
 use proptest::prelude::*;
 
-use crate::edge::{Edge, edge_settings, request, resources};
+use crate::edge::{EdgeScheduler, edge_settings, request, resources};
 use crate::fixtures::{dispatched, id, millis};
 
 /// Engines of each version.
@@ -66,7 +66,7 @@
 
 /// An instance that leads the site, with engines of the old version only.
 struct Site {
-    edge: Edge,
+    edge: EdgeScheduler,
     next: u64,
     sent: u64,
     exposed: u64,
@@ -75,7 +75,7 @@
 
 impl Site {
     fn new() -> Self {
-        let mut edge = Edge::new(rollout_settings(), resources());
+        let mut edge = EdgeScheduler::new(rollout_settings(), resources());
         edge.step(catalog(ENGINES, 0, &[]));
         edge.step(Event::Decides(true));
         Self {
@@ -130,7 +130,7 @@
                 continue;
             };
             if engine.starts_with("new") && bad(n, service) {
-                self.edge.tell(n, 1, DispatchUpdate::Failed);
+                self.edge.update_dispatch(n, 1, DispatchUpdate::Failed);
             }
             self.edge.end(n);
         }
@@ -260,7 +260,7 @@
             };
             let t = site.edge.scheduler.tables();
             if canary.is_some() && t.endpoints.find(&engine) == canary && n.is_multiple_of(2) {
-                site.edge.tell(n, 1, DispatchUpdate::Failed);
+                site.edge.update_dispatch(n, 1, DispatchUpdate::Failed);
             }
             site.edge.end(n);
         }
@@ -306,14 +306,14 @@
     site.edge.step(Event::PeersKnown(0));
     // All instances are one group here, so that other groups tell nothing new.
     site.edge.step(Event::GroupEvidence(far));
-    site.edge.after(millis(100));
+    site.edge.advance(millis(100));
     assert_eq!(site.stage(), Stage::Watching);
     site.edge.step(Event::Peer(PeerUpdate {
         name: "b".to_owned(),
         seen: vec![seen],
         ..PeerUpdate::default()
     }));
-    site.edge.after(millis(100));
+    site.edge.advance(millis(100));
     assert_eq!(site.stage(), Stage::Halted);
 }
 
@@ -465,7 +465,7 @@
         let mut settings = rollout_settings();
         settings.rollouts = Rollouts { exposure_ratio: ratio, exposure_slack: slack };
         let mut site = Site::new();
-        site.edge = Edge::new(settings, resources());
+        site.edge = EdgeScheduler::new(settings, resources());
         site.edge.step(catalog(ENGINES, 0, &[]));
         site.edge.step(Event::Decides(true));
         site.edge.step(catalog(ENGINES, ENGINES, &[order(NEW, 7)]));
--- a/crates/firdock-policy/tests/policy/rules.rs
+++ b/crates/firdock-policy/tests/policy/rules.rs
@@ -9,8 +9,8 @@
 use uuid::Uuid;
 
 use crate::fixtures::{
-    Driven, LOG_START, catalog, dispatched, endpoint, id, millis, request, resources, settings,
-    with_key,
+    LOG_START, TestScheduler, catalog, dispatched, endpoint, id, millis, request, resources,
+    settings, with_key,
 };
 
 const REFUSED: DispatchUpdate = DispatchUpdate::Refused { unreachable: false };
@@ -31,12 +31,12 @@
 
 #[test]
 fn a_refused_request_goes_to_each_endpoint_once_and_then_did_not_run() {
-    let mut d = Driven::new(settings("a"));
+    let mut d = TestScheduler::new(settings("a"));
     let first = dispatched(&d.arrive(request(1, "orders", "shop")));
-    let second = dispatched(&d.tell(1, 1, REFUSED));
+    let second = dispatched(&d.update_dispatch(1, 1, REFUSED));
     assert_eq!((first.len(), second.len()), (1, 1));
     assert_ne!(first[0].1, second[0].1);
-    let end = d.tell(1, 2, REFUSED);
+    let end = d.update_dispatch(1, 2, REFUSED);
     assert_eq!(
         verdicts(&end),
         [(id(1), Outcome::NotRun, Reason::NoEndpoint)]
@@ -45,9 +45,9 @@
 
 #[test]
 fn an_order_that_broke_is_unknown_and_never_sent_again() {
-    let mut d = Driven::new(settings("a"));
+    let mut d = TestScheduler::new(settings("a"));
     d.arrive(request(1, "orders", "shop"));
-    let end = d.tell(1, 1, BROKE);
+    let end = d.update_dispatch(1, 1, BROKE);
     assert_eq!(
         verdicts(&end),
         [(id(1), Outcome::Unknown, Reason::EndpointLost)]
@@ -57,10 +57,10 @@
 
 #[test]
 fn a_broken_stream_is_resumed_on_another_engine_where_it_stopped() {
-    let mut d = Driven::new(settings("a"));
+    let mut d = TestScheduler::new(settings("a"));
     let first = dispatched(&d.arrive(request(1, "draft", "shop")));
-    d.tell(1, 1, DispatchUpdate::Started { head_sent: true });
-    d.tell(
+    d.update_dispatch(1, 1, DispatchUpdate::Started { head_sent: true });
+    d.update_dispatch(
         1,
         1,
         DispatchUpdate::Tokens {
@@ -68,7 +68,7 @@
             cached: 0,
         },
     );
-    let actions = d.tell(1, 1, DispatchUpdate::Broke { delivered: 12 });
+    let actions = d.update_dispatch(1, 1, DispatchUpdate::Broke { delivered: 12 });
     let Some(Action::Dispatch(again)) = actions.first() else {
         panic!("{actions:?}")
     };
@@ -78,17 +78,17 @@
 
 #[test]
 fn late_news_of_an_earlier_dispatch_is_dropped() {
-    let mut d = Driven::new(settings("a"));
+    let mut d = TestScheduler::new(settings("a"));
     d.arrive(request(1, "draft", "shop"));
-    d.tell(1, 1, BROKE);
-    d.tell(1, 1, ENDED);
+    d.update_dispatch(1, 1, BROKE);
+    d.update_dispatch(1, 1, ENDED);
     assert_eq!(d.scheduler.tables().requests.len(), 1);
     assert_eq!(d.scheduler.tables().stats.stale_news, 1);
 }
 
 #[test]
 fn the_lowest_tier_held_is_shed_first() {
-    let mut d = Driven::new(settings("a"));
+    let mut d = TestScheduler::new(settings("a"));
     // Three go to the engines' slots, six are held.
     for n in 1..=9 {
         d.arrive(request(n, "draft", "shop"));
@@ -110,7 +110,7 @@
 
 #[test]
 fn a_higher_tier_is_not_given_up_for_waiting_while_a_lower_one_is_held() {
-    let mut d = Driven::new(settings("a"));
+    let mut d = TestScheduler::new(settings("a"));
     for n in 1..=3 {
         d.arrive(request(n, "draft", "shop"));
     }
@@ -118,10 +118,10 @@
     d.now += millis(2_000);
     d.arrive(request(5, "draft", "shop"));
     assert!(
-        verdicts(&d.after(millis(1_500))).is_empty(),
+        verdicts(&d.advance(millis(1_500))).is_empty(),
         "the guide request outlived its wait"
     );
-    let ends = d.after(millis(1_500));
+    let ends = d.advance(millis(1_500));
     let expected = [
         (id(5), Outcome::NotRun, Reason::WaitedTooLong),
         (id(4), Outcome::NotRun, Reason::WaitedTooLong),
@@ -131,7 +131,7 @@
 
 #[test]
 fn a_full_instance_hands_a_higher_tier_to_a_peer_that_holds_a_lower_one() {
-    let mut d = Driven::new(settings("a"));
+    let mut d = TestScheduler::new(settings("a"));
     for n in 1..=3 {
         d.arrive(request(n, "draft", "shop"));
     }
@@ -159,7 +159,7 @@
         name: name.to_owned(),
         leaving: true,
     };
-    let mut d = Driven::new(settings("a"));
+    let mut d = TestScheduler::new(settings("a"));
     d.step(Event::Listed(vec![leave("plain-0")]));
     for n in 1..=2 {
         assert_eq!(
@@ -168,13 +168,13 @@
         );
     }
     d.step(Event::Listed(vec![leave("plain-0"), leave("plain-1")]));
-    d.tell(1, 1, ENDED);
+    d.update_dispatch(1, 1, ENDED);
     assert!(dispatched(&d.arrive(request(3, "tiles", "shop"))).is_empty());
 }
 
 #[test]
 fn a_removed_endpoint_gets_nothing_new_and_its_work_ends_in_place() {
-    let mut d = Driven::new(settings("a"));
+    let mut d = TestScheduler::new(settings("a"));
     let first = dispatched(&d.arrive(request(1, "tiles", "shop")));
     let kept: Vec<_> = resources()
         .into_iter()
@@ -183,13 +183,13 @@
     d.step(catalog(2, kept));
     let second = dispatched(&d.arrive(request(2, "tiles", "shop")));
     assert_ne!(first[0].1, second[0].1);
-    d.tell(1, 1, ENDED);
+    d.update_dispatch(1, 1, ENDED);
     assert_eq!(d.scheduler.tables().stats.outcomes[&Outcome::Answered], 1);
 }
 
 #[test]
 fn an_older_configuration_never_comes_back() {
-    let mut d = Driven::new(settings("a"));
+    let mut d = TestScheduler::new(settings("a"));
     let more = endpoint("plain-2", EndpointKind::Plain, &["tiles"], 1);
     d.step(catalog(5, resources().into_iter().chain([more]).collect()));
     d.step(catalog(4, resources()));
@@ -199,7 +199,7 @@
 
 #[test]
 fn a_resent_key_gets_the_kept_answer_or_is_told_to_wait() {
-    let mut d = Driven::new(settings("a"));
+    let mut d = TestScheduler::new(settings("a"));
     d.own_all_keys();
     let minted = Some(LOG_START + millis(1));
     d.arrive(with_key(request(1, "orders", "shop"), 42, minted));
@@ -208,7 +208,7 @@
         verdicts(&twin),
         [(id(2), Outcome::Unknown, Reason::KeyInUse)]
     );
-    d.tell(1, 1, ENDED);
+    d.update_dispatch(1, 1, ENDED);
     let late = d.arrive(with_key(request(3, "orders", "shop"), 42, minted));
     assert_eq!(
         late,
@@ -221,7 +221,7 @@
 
 #[test]
 fn an_owner_since_a_change_never_runs_keys_minted_before_its_grace() {
-    let mut d = Driven::new(settings("a"));
+    let mut d = TestScheduler::new(settings("a"));
     let me = d.scheduler.tables().settings.member.clone();
     let other = Member {
         name: "b".to_owned(),
@@ -246,7 +246,7 @@
 
 #[test]
 fn without_the_log_an_owner_runs_keys_minted_up_to_its_grace_only() {
-    let mut d = Driven::new(settings("a"));
+    let mut d = TestScheduler::new(settings("a"));
     d.own_all_keys();
     d.now += Duration::from_secs(30);
     let known = Some(LOG_START + millis(1_999));
@@ -276,11 +276,11 @@
 fn a_full_key_table_refuses_new_keys_rather_than_forgetting_old_ones() {
     let mut s = settings("a");
     s.max_keys = 1;
-    let mut d = Driven::new(s);
+    let mut d = TestScheduler::new(s);
     d.own_all_keys();
     let minted = Some(LOG_START + millis(1));
     d.arrive(with_key(request(1, "orders", "shop"), 1, minted));
-    d.tell(1, 1, ENDED);
+    d.update_dispatch(1, 1, ENDED);
     let ends = d.arrive(with_key(request(2, "orders", "shop"), 2, minted));
     assert_eq!(
         verdicts(&ends),
@@ -290,7 +290,7 @@
 
 #[test]
 fn a_peers_request_that_is_shed_goes_back_to_the_peer() {
-    let mut d = Driven::new(settings("a"));
+    let mut d = TestScheduler::new(settings("a"));
     for n in 1..=9 {
         d.arrive(request(n, "guide", "shop"));
     }
@@ -305,7 +305,7 @@
 
 #[test]
 fn an_account_that_floods_is_shed_before_others_of_its_tier() {
-    let mut d = Driven::new(settings("a"));
+    let mut d = TestScheduler::new(settings("a"));
     for n in 1..=3 {
         d.arrive(request(n, "draft", "hall"));
     }
@@ -323,18 +323,18 @@
 
 #[test]
 fn second_tries_have_a_budget() {
-    let mut d = Driven::new(settings("a"));
+    let mut d = TestScheduler::new(settings("a"));
     let mut unknown = 0;
     for n in 1..=40 {
         let first = dispatched(&d.arrive(request(n, "tiles", "shop")));
         if first.is_empty() {
-            d.after(Duration::from_secs(40));
+            d.advance(Duration::from_secs(40));
         }
         let mut tries = 0;
         while d.scheduler.tables().requests.get(id(n)).is_some() {
             tries += 1;
-            unknown += verdicts(&d.tell(n, tries, BROKE)).len();
-            d.after(Duration::from_secs(40));
+            unknown += verdicts(&d.update_dispatch(n, tries, BROKE)).len();
+            d.advance(Duration::from_secs(40));
         }
     }
     assert!(
@@ -347,7 +347,7 @@
 
 #[test]
 fn an_account_that_was_taken_out_of_force_leaves_nothing_behind() {
-    let mut d = Driven::new(settings("a"));
+    let mut d = TestScheduler::new(settings("a"));
     for n in 1..=3 {
         d.arrive(request(n, "draft", "shop"));
     }
@@ -357,7 +357,7 @@
     }
     // The queue never empties, so the lane of `hall` stays behind once its request has gone.
     for n in [1, 2, 4] {
-        d.tell(n, 1, ENDED);
+        d.update_dispatch(n, 1, ENDED);
     }
     assert!(d.scheduler.tables().requests.get(id(4)).is_none());
     let kept = || {
@@ -376,7 +376,7 @@
 
 #[test]
 fn a_hand_over_to_a_peer_that_fell_silent_ends() {
-    let mut d = Driven::new(settings("a"));
+    let mut d = TestScheduler::new(settings("a"));
     let other = Member {
         name: "b".to_owned(),
         incarnation: Uuid::from_u64_pair(2, 0),
@@ -385,8 +385,8 @@
     d.read_log(LOG_START);
     let handed = d.arrive(with_key(request(1, "orders", "shop"), 1, Some(LOG_START)));
     assert!(matches!(&*handed, [Action::HandOver { .. }]), "{handed:?}");
-    assert!(d.after(Duration::from_secs(9)).is_empty());
-    let ends = d.after(Duration::from_secs(2));
+    assert!(d.advance(Duration::from_secs(9)).is_empty());
+    let ends = d.advance(Duration::from_secs(2));
     assert!(
         matches!(&ends[0], Action::CancelHandOver { .. }),
         "{ends:?}"
--- a/crates/firdock-policy/tests/policy/shares.rs
+++ b/crates/firdock-policy/tests/policy/shares.rs
@@ -11,7 +11,7 @@
 use firdock_core::{Outcome, Reason};
 use firdock_policy::{AccountShares, Action, Event, NewRequest, Verdict, work_report};
 
-use crate::edge::{Edge, edge_settings, request, resources};
+use crate::edge::{EdgeScheduler, edge_settings, request, resources};
 use crate::fixtures::{dispatched, id, millis};
 use load::{Load, Wish, secs};
 
@@ -240,14 +240,14 @@
 }
 
 /// A coordinator whose accounts have shares.
-fn coordinator() -> Edge {
+fn coordinator() -> EdgeScheduler {
     let mut settings = edge_settings("a").with_coordination();
     settings.account_shares = AccountShares::ByTier;
-    Edge::new(settings, resources())
+    EdgeScheduler::new(settings, resources())
 }
 
 /// Sums what accounts asked for and had done.
-fn work(edge: &Edge) -> (f64, f64) {
+fn work(edge: &EdgeScheduler) -> (f64, f64) {
     let told = work_report(edge.scheduler.tables(), edge.now);
     let asked = told.iter().map(|w| w.asked).sum();
     let done = told.iter().map(|w| w.done).sum();
--- a/crates/firdock-policy/tests/policy/shares/load.rs
+++ b/crates/firdock-policy/tests/policy/shares/load.rs
@@ -9,7 +9,7 @@
 use firdock_policy::event::{AccountWork, DispatchUpdate, EndpointEvent, GroupWork};
 use firdock_policy::{AccountShares, Action, Event, NewRequest, Time, work_report};
 
-use crate::edge::{Edge, edge_settings, request, resources};
+use crate::edge::{EdgeScheduler, edge_settings, request, resources};
 use crate::fixtures::millis;
 
 /// Pause between two steps, as in a daemon.
@@ -76,7 +76,7 @@
 
 /// A coordinator under load.
 pub struct Load {
-    edge: Edge,
+    edge: EdgeScheduler,
     begun: Time,
     wishes: Vec<Wish>,
     /// Parts of requests that are due, by account.
@@ -135,10 +135,10 @@
 }
 
 /// An instance of the group whose coordinator answers.
-pub fn member(wishes: &[Wish]) -> Edge {
+pub fn member(wishes: &[Wish]) -> EdgeScheduler {
     let mut settings = edge_settings("a");
     settings.account_shares = AccountShares::OverTiers;
-    let mut edge = Edge::new(settings, catalog(wishes));
+    let mut edge = EdgeScheduler::new(settings, catalog(wishes));
     edge.step(Event::Coordinated(true));
     edge
 }
@@ -160,7 +160,7 @@
     fn with_shares(wishes: &[Wish], shares: AccountShares) -> Self {
         let mut settings = edge_settings("a").with_coordination();
         settings.account_shares = shares;
-        let edge = Edge::new(settings, catalog(wishes));
+        let edge = EdgeScheduler::new(settings, catalog(wishes));
         Self {
             begun: edge.now,
             edge,
@@ -186,7 +186,7 @@
         while self.edge.now < until {
             self.end_what_is_done();
             self.send();
-            let actions = self.edge.after(STEP);
+            let actions = self.edge.advance(STEP);
             self.note(&actions);
             self.check_no_place_is_empty();
         }
@@ -225,7 +225,7 @@
 
     fn end_what_is_done(&mut self) {
         while let Some((_, id, dispatch)) = self.running.pop_front_if(|r| r.0 <= self.edge.now) {
-            let news = DispatchUpdate::Ended {
+            let update = DispatchUpdate::Ended {
                 prompt: 90,
                 cached: 0,
                 output: 10,
@@ -233,7 +233,7 @@
             let actions = self.edge.step(Event::Endpoint(EndpointEvent {
                 id,
                 dispatch,
-                update: news,
+                update,
             }));
             self.note(&actions);
         }
@@ -321,7 +321,7 @@
         self.accounts.insert(id, account.to_owned());
         self.services.insert(id, "safe");
         let mut actions = self.edge.arrive(new);
-        actions.extend(self.edge.after(STEP));
+        actions.extend(self.edge.advance(STEP));
         self.note(&actions);
         let refused = |a: &Action| matches!(a, Action::Answer { id: of, .. } if *of == id);
         actions.iter().any(refused)
--- a/crates/firdock-policy/tests/policy/simulation.rs
+++ b/crates/firdock-policy/tests/policy/simulation.rs
@@ -24,7 +24,7 @@
 use crate::fixtures::{LOG_START, catalog, id, millis, request, resources, settings, with_key};
 
 /// Instances of the world.
-pub const NODES: usize = 3;
+pub const INSTANCES: usize = 3;
 const ENDPOINTS: [&str; 4] = ["engine-0", "engine-1", "plain-0", "plain-1"];
 const SERVICES: [&str; 4] = ["tiles", "orders", "guide", "draft"];
 /// Resources that operators take out of force and put back.
@@ -37,11 +37,15 @@
 #[derive(Debug, Clone, Copy)]
 pub enum Op {
     /// A caller sends a request.
-    Send { node: u8, service: u8, account: u8 },
+    Send {
+        instance: u8,
+        service: u8,
+        account: u8,
+    },
     /// A caller sends an order under a new key; `timed` keys carry their minting time.
-    Order { node: u8, timed: bool },
+    Order { instance: u8, timed: bool },
     /// A caller sends an earlier order again.
-    Resend { node: u8, order: u8 },
+    Resend { instance: u8, order: u8 },
     /// A caller goes away.
     Leave { request: u8 },
     /// Time passes.
@@ -52,19 +56,19 @@
     /// The instance list shows an endpoint as leaving, or not.
     Leaving { endpoint: u8, leaving: bool },
     /// An instance is killed and starts again with empty tables.
-    Kill { node: u8 },
+    Kill { instance: u8 },
     /// An instance is paused or goes on.
-    Pause { node: u8, paused: bool },
+    Pause { instance: u8, paused: bool },
     /// An instance is out of reach of the log, or back.
-    LogCut { node: u8, cut: bool },
+    LogCut { instance: u8, cut: bool },
     /// The log gets a record that removes a member.
-    Remove { node: u8 },
+    Remove { instance: u8 },
     /// An instance is to stop.
-    Drain { node: u8 },
+    Drain { instance: u8 },
     /// Operators take a resource out of force, or put it back.
     Toggle { resource: u8 },
     /// An instance's coordinator answers from now on, or falls silent.
-    Coordinate { node: u8, answers: bool },
+    Coordinate { instance: u8, answers: bool },
     /// An endpoint starts again under its name.
     Restart { endpoint: u8 },
 }
@@ -82,7 +86,7 @@
     EndpointDone(usize, Uuid, Dispatch),
 }
 
-struct Node {
+struct Instance {
     scheduler: Scheduler,
     member: Member,
     paused: bool,
@@ -92,18 +96,18 @@
 }
 
 /// What is known of a request.
-struct Told {
-    node: usize,
+struct CallerRecord {
+    instance: usize,
     key: Option<u64>,
     repeatable: bool,
-    ends: Vec<(Duration, &'static str)>,
-    gone: bool,
+    results: Vec<(Duration, &'static str)>,
+    disconnected: bool,
 }
 
-pub struct World {
+pub struct Simulation {
     rng: StdRng,
     now: Duration,
-    nodes: Vec<Node>,
+    instances: Vec<Instance>,
     queue: BTreeMap<(Duration, u64), Message>,
     sequence: u64,
     views: Vec<MemberView>,
@@ -111,10 +115,10 @@
     leaving: [bool; ENDPOINTS.len()],
     absent: [bool; TOGGLED.len()],
     version: u64,
-    told: BTreeMap<RequestId, Told>,
+    callers: BTreeMap<RequestId, CallerRecord>,
     requests: BTreeMap<RequestId, NewRequest>,
     /// Instance that a handed-over request is with, and the one that handed it over.
-    handed: BTreeMap<(usize, RequestId), usize>,
+    handed_over: BTreeMap<(usize, RequestId), usize>,
     /// When an owner refused a request that was handed to it, before its caller was told.
     refused: BTreeMap<RequestId, Duration>,
     dispatched: BTreeSet<(RequestId, String)>,
@@ -126,19 +130,19 @@
     cancelled: BTreeSet<(Uuid, RequestId, u32)>,
     /// Dispatches that an instance gave back since their endpoint wants nothing new.
     withheld: BTreeSet<(Uuid, RequestId, u32)>,
-    runs: Vec<(Duration, RequestId, Option<u64>)>,
+    executions: Vec<(Duration, RequestId, Option<u64>)>,
     /// How often a request came into quarantine at an instance.
     pub quarantined: u64,
     orders: Vec<(u64, Option<Duration>)>,
-    minted: u64,
+    last_id: u64,
 }
 
-impl World {
+impl Simulation {
     pub fn new(seed: u64) -> Self {
         let mut world = Self {
             rng: StdRng::seed_from_u64(seed),
             now: START,
-            nodes: Vec::new(),
+            instances: Vec::new(),
             queue: BTreeMap::new(),
             sequence: 0,
             views: Vec::new(),
@@ -146,42 +150,42 @@
             leaving: [false; ENDPOINTS.len()],
             absent: [false; TOGGLED.len()],
             version: 1,
-            told: BTreeMap::new(),
+            callers: BTreeMap::new(),
             requests: BTreeMap::new(),
-            handed: BTreeMap::new(),
+            handed_over: BTreeMap::new(),
             refused: BTreeMap::new(),
             dispatched: BTreeSet::new(),
             starts: [0; ENDPOINTS.len()],
             cancelled: BTreeSet::new(),
             withheld: BTreeSet::new(),
             given_up: BTreeSet::new(),
-            runs: Vec::new(),
+            executions: Vec::new(),
             quarantined: 0,
             orders: Vec::new(),
-            minted: 0,
+            last_id: 0,
         };
-        for i in 0..NODES {
-            let node = world.make_node(i);
-            world.nodes.push(node);
+        for i in 0..INSTANCES {
+            let instance = world.start_instance(i);
+            world.instances.push(instance);
         }
-        let members = world.nodes.iter().map(|n| n.member.clone()).collect();
+        let members = world.instances.iter().map(|n| n.member.clone()).collect();
         world.append_view(members);
         world.tick();
         world
     }
 
-    fn mint(&mut self) -> Uuid {
-        self.minted += 1;
-        id(self.minted)
+    fn next_id(&mut self) -> Uuid {
+        self.last_id += 1;
+        id(self.last_id)
     }
 
-    fn make_node(&mut self, i: usize) -> Node {
+    fn start_instance(&mut self, i: usize) -> Instance {
         let mut s = settings(&format!("node-{i}"));
-        s.member.incarnation = self.mint();
+        s.member.incarnation = self.next_id();
         let member = s.member.clone();
         let mut scheduler = Scheduler::new(s);
         scheduler.step(self.now, self.catalog(), &mut Vec::new());
-        Node {
+        Instance {
             scheduler,
             member,
             paused: false,
@@ -232,25 +236,25 @@
             .insert((self.now + delay, self.sequence), message);
     }
 
-    fn lag(&mut self) -> Duration {
+    fn random_delay(&mut self) -> Duration {
         millis(self.rng.random_range(1..30))
     }
 
     pub fn apply(&mut self, op: Op) {
         match op {
             Op::Send {
-                node,
+                instance,
                 service,
                 account,
-            } => self.send_request(node, service, account),
-            Op::Order { node, timed } => {
+            } => self.send_request(instance, service, account),
+            Op::Order { instance, timed } => {
                 let minted = timed.then(|| self.log_now());
-                self.minted += 1;
-                self.orders.push((self.minted, minted));
-                self.send_order(node, self.orders.len() - 1);
+                self.last_id += 1;
+                self.orders.push((self.last_id, minted));
+                self.send_order(instance, self.orders.len() - 1);
             }
-            Op::Resend { node, order } if !self.orders.is_empty() => {
-                self.send_order(node, usize::from(order) % self.orders.len());
+            Op::Resend { instance, order } if !self.orders.is_empty() => {
+                self.send_order(instance, usize::from(order) % self.orders.len());
             }
             Op::Leave { request } => self.leave(request),
             Op::Wait { millis: n } => self.run_until(self.now + millis(u64::from(n))),
@@ -260,11 +264,17 @@
             Op::Leaving { endpoint, leaving } => {
                 self.leaving[usize::from(endpoint) % ENDPOINTS.len()] = leaving;
             }
-            Op::Kill { node } => self.kill(usize::from(node) % NODES),
-            Op::Pause { node, paused } => self.nodes[usize::from(node) % NODES].paused = paused,
-            Op::LogCut { node, cut } => self.nodes[usize::from(node) % NODES].log_cut = cut,
-            Op::Remove { node } => {
-                let name = &self.nodes[usize::from(node) % NODES].member.name;
+            Op::Kill { instance } => self.kill(usize::from(instance) % INSTANCES),
+            Op::Pause { instance, paused } => {
+                self.instances[usize::from(instance) % INSTANCES].paused = paused
+            }
+            Op::LogCut { instance, cut } => {
+                self.instances[usize::from(instance) % INSTANCES].log_cut = cut
+            }
+            Op::Remove { instance } => {
+                let name = &self.instances[usize::from(instance) % INSTANCES]
+                    .member
+                    .name;
                 let last = self.views.last().expect("there is always a view");
                 let members = last
                     .members
@@ -279,19 +289,22 @@
                 *absent = !*absent;
                 self.version += 1;
             }
-            Op::Coordinate { node, answers } => {
-                self.step(usize::from(node) % NODES, Event::Coordinated(answers));
+            Op::Coordinate { instance, answers } => {
+                self.step(
+                    usize::from(instance) % INSTANCES,
+                    Event::Coordinated(answers),
+                );
             }
             Op::Restart { endpoint } => {
                 self.starts[usize::from(endpoint) % ENDPOINTS.len()] += 1;
                 self.version += 1;
             }
-            Op::Drain { node } => self.step(usize::from(node) % NODES, Event::Drain),
+            Op::Drain { instance } => self.step(usize::from(instance) % INSTANCES, Event::Drain),
             Op::Resend { .. } => {}
         }
     }
 
-    fn send_request(&mut self, node: u8, service: u8, account: u8) {
+    fn send_request(&mut self, instance: u8, service: u8, account: u8) {
         let service = SERVICES[usize::from(service) % SERVICES.len()];
         let account = if account.is_multiple_of(2) {
             "shop"
@@ -299,82 +312,82 @@
             "hall"
         };
         let mut new = request(0, service, account);
-        new.id = self.mint();
-        new.content = Some(content(service, account, self.minted % CONTENTS));
-        self.arrive(usize::from(node) % NODES, new, service != "orders");
+        new.id = self.next_id();
+        new.content = Some(content(service, account, self.last_id % CONTENTS));
+        self.arrive(usize::from(instance) % INSTANCES, new, service != "orders");
     }
 
-    fn send_order(&mut self, node: u8, order: usize) {
+    fn send_order(&mut self, instance: u8, order: usize) {
         let (key, minted) = self.orders[order];
         let mut new = with_key(request(0, "orders", "shop"), key, minted);
-        new.id = self.mint();
+        new.id = self.next_id();
         new.content = Some(content("orders", "shop", key));
-        self.arrive(usize::from(node) % NODES, new, false);
+        self.arrive(usize::from(instance) % INSTANCES, new, false);
     }
 
-    fn arrive(&mut self, node: usize, new: NewRequest, repeatable: bool) {
+    fn arrive(&mut self, instance: usize, new: NewRequest, repeatable: bool) {
         let key = new.key.map(|k| k.hash);
-        let told = Told {
-            node,
+        let caller = CallerRecord {
+            instance,
             key,
             repeatable,
-            ends: Vec::new(),
-            gone: false,
+            results: Vec::new(),
+            disconnected: false,
         };
-        self.told.insert(new.id, told);
+        self.callers.insert(new.id, caller);
         self.requests.insert(new.id, new.clone());
-        let incarnation = self.nodes[node].member.incarnation;
-        let delay = self.lag();
+        let incarnation = self.instances[instance].member.incarnation;
+        let delay = self.random_delay();
         self.send(
             delay,
-            Message::Event(node, incarnation, Event::Arrived(new)),
+            Message::Event(instance, incarnation, Event::Arrived(new)),
         );
     }
 
     fn leave(&mut self, request: u8) {
         let open: Vec<RequestId> = self
-            .told
+            .callers
             .iter()
-            .filter(|(_, t)| t.ends.is_empty())
+            .filter(|(_, t)| t.results.is_empty())
             .map(|(id, _)| *id)
             .collect();
         let Some(id) = open.get(usize::from(request) % open.len().max(1)).copied() else {
             return;
         };
-        let Some(told) = self.told.get_mut(&id) else {
+        let Some(caller) = self.callers.get_mut(&id) else {
             return;
         };
-        told.gone = true;
-        let node = told.node;
-        let incarnation = self.nodes[node].member.incarnation;
-        let delay = self.lag();
+        caller.disconnected = true;
+        let instance = caller.instance;
+        let incarnation = self.instances[instance].member.incarnation;
+        let delay = self.random_delay();
         self.send(
             delay,
-            Message::Event(node, incarnation, Event::CallerLeft(id)),
+            Message::Event(instance, incarnation, Event::CallerLeft(id)),
         );
     }
 
     /// Kills an instance: its callers and peers see their connections break.
     fn kill(&mut self, i: usize) {
-        for told in self.told.values_mut().filter(|t| t.node == i) {
-            told.gone = true;
+        for caller in self.callers.values_mut().filter(|t| t.instance == i) {
+            caller.disconnected = true;
         }
         let broken: Vec<(RequestId, usize)> = self
-            .handed
+            .handed_over
             .iter()
             .filter(|((with, _), _)| *with == i)
             .map(|((_, id), from)| (*id, *from))
             .collect();
         for (id, from) in broken {
-            self.handed.remove(&(i, id));
-            let incarnation = self.nodes[from].member.incarnation;
+            self.handed_over.remove(&(i, id));
+            let incarnation = self.instances[from].member.incarnation;
             let event = Event::HandOver(HandOverEvent::Broke(id));
-            let delay = self.lag();
+            let delay = self.random_delay();
             self.send(delay, Message::Event(from, incarnation, event));
         }
-        let node = self.make_node(i);
-        let member = node.member.clone();
-        self.nodes[i] = node;
+        let instance = self.start_instance(i);
+        let member = instance.member.clone();
+        self.instances[i] = instance;
         let mut members = self
             .views
             .last()
@@ -396,7 +409,7 @@
                 }
                 let ((at, _), message) = entry.remove_entry();
                 self.now = self.now.max(at);
-                self.take(message);
+                self.handle_message(message);
             }
             self.now = next_tick;
             self.tick();
@@ -405,18 +418,18 @@
 
     /// Lets every instance that is not paused read the log and hear its peers.
     fn tick(&mut self) {
-        for i in 0..NODES {
-            if self.nodes[i].paused {
+        for i in 0..INSTANCES {
+            if self.instances[i].paused {
                 continue;
             }
-            if !self.nodes[i].log_cut {
-                let views = self.views[self.nodes[i].seen_views..].to_vec();
-                self.nodes[i].seen_views = self.views.len();
+            if !self.instances[i].log_cut {
+                let views = self.views[self.instances[i].seen_views..].to_vec();
+                self.instances[i].seen_views = self.views.len();
                 for view in views {
                     self.step(i, Event::View(view));
                 }
-                if self.nodes[i].seen_version < self.version {
-                    self.nodes[i].seen_version = self.version;
+                if self.instances[i].seen_version < self.version {
+                    self.instances[i].seen_version = self.version;
                     self.step(i, self.catalog());
                 }
                 let reading = LogReading {
@@ -431,15 +444,15 @@
                 leaving,
             });
             self.step(i, Event::Listed(rows.collect()));
-            self.beat(i);
+            self.send_heartbeats(i);
             self.step(i, Event::Timer);
         }
     }
 
-    fn beat(&mut self, from: usize) {
-        let t = self.nodes[from].scheduler.tables();
-        let news = PeerUpdate {
-            name: self.nodes[from].member.name.clone(),
+    fn send_heartbeats(&mut self, from: usize) {
+        let t = self.instances[from].scheduler.tables();
+        let update = PeerUpdate {
+            name: self.instances[from].member.name.clone(),
             zone: "zone".to_owned(),
             held: t.requests.held_by_rank().to_vec(),
             demand: Vec::new(),
@@ -447,9 +460,9 @@
             suspects: t.suspects.reports(self.now, 0),
             ..PeerUpdate::default()
         };
-        for to in (0..NODES).filter(|to| *to != from) {
-            if !self.nodes[to].paused {
-                self.step(to, Event::Peer(news.clone()));
+        for to in (0..INSTANCES).filter(|to| *to != from) {
+            if !self.instances[to].paused {
+                self.step(to, Event::Peer(update.clone()));
             }
         }
     }
@@ -461,11 +474,11 @@
     Arc::new(Content::new(account, "POST", service, &body))
 }
 
-fn endpoint_event(dispatch: &Dispatch, news: DispatchUpdate) -> Event {
+fn endpoint_event(dispatch: &Dispatch, update: DispatchUpdate) -> Event {
     Event::Endpoint(EndpointEvent {
         id: dispatch.id,
         dispatch: dispatch.dispatch,
-        update: news,
+        update,
     })
 }
 
@@ -476,7 +489,7 @@
         .expect("an endpoint of the world")
 }
 
-fn node_index(name: &str) -> usize {
+fn instance_index(name: &str) -> usize {
     name.trim_start_matches("node-")
         .parse()
         .expect("an instance of the world")
--- a/crates/firdock-policy/tests/policy/simulation/message.rs
+++ b/crates/firdock-policy/tests/policy/simulation/message.rs
@@ -11,25 +11,25 @@
 use rand::Rng as _;
 use uuid::Uuid;
 
-use super::{ENDPOINTS, Message, World, endpoint_event, endpoint_index, node_index};
+use super::{ENDPOINTS, Message, Simulation, endpoint_event, endpoint_index, instance_index};
 use crate::fixtures::millis;
 
 /// Time that a look at an endpoint takes.
-const LOOK: std::time::Duration = std::time::Duration::from_millis(2);
+const LIVENESS_CHECK_TIME: std::time::Duration = std::time::Duration::from_millis(2);
 
-impl World {
-    pub(super) fn take(&mut self, message: Message) {
+impl Simulation {
+    pub(super) fn handle_message(&mut self, message: Message) {
         match message {
             Message::Event(i, incarnation, event) => {
-                if self.alive(i, incarnation)
-                    && !self.held_back(i, &Message::Event(i, incarnation, event.clone()))
+                if self.is_current(i, incarnation)
+                    && !self.defer_if_paused(i, &Message::Event(i, incarnation, event.clone()))
                 {
                     self.step(i, event);
                 }
             }
             Message::Write(i, incarnation, dispatch) => {
                 let message = Message::Write(i, incarnation, dispatch.clone());
-                if self.alive(i, incarnation) && !self.held_back(i, &message) {
+                if self.is_current(i, incarnation) && !self.defer_if_paused(i, &message) {
                     self.write(i, incarnation, dispatch);
                 }
             }
@@ -47,36 +47,36 @@
                     delivered: dispatch.resume_from + 1,
                 };
                 let closed = DispatchUpdate::Breaking(BreakCause::Closed);
-                let news = if broken {
+                let updates = if broken {
                     vec![closed, broke]
                 } else {
                     vec![ended]
                 };
-                let delay = self.lag();
-                for news in news {
-                    let event = endpoint_event(&dispatch, news);
+                let delay = self.random_delay();
+                for update in updates {
+                    let event = endpoint_event(&dispatch, update);
                     self.send(delay, Message::Event(i, incarnation, event));
                 }
             }
         }
     }
 
-    pub(super) fn alive(&self, i: usize, incarnation: Uuid) -> bool {
-        self.nodes[i].member.incarnation == incarnation
+    pub(super) fn is_current(&self, i: usize, incarnation: Uuid) -> bool {
+        self.instances[i].member.incarnation == incarnation
     }
 
     /// Puts a paused instance's messages off.
-    pub(super) fn held_back(&mut self, i: usize, message: &Message) -> bool {
-        if self.nodes[i].paused {
+    pub(super) fn defer_if_paused(&mut self, i: usize, message: &Message) -> bool {
+        if self.instances[i].paused {
             self.send(millis(20), message.clone());
         }
-        self.nodes[i].paused
+        self.instances[i].paused
     }
 
     /// Looks at the key's confirmation one last time and writes.
     pub(super) fn write(&mut self, i: usize, incarnation: Uuid, dispatch: Dispatch) {
         if dispatch.confirm_by.is_some_and(|until| until <= self.now) {
-            self.tell(i, incarnation, &dispatch, DispatchUpdate::Lapsed);
+            self.update_dispatch(i, incarnation, &dispatch, DispatchUpdate::Lapsed);
             return;
         }
         let run = (incarnation, dispatch.id, dispatch.dispatch);
@@ -85,17 +85,17 @@
             return;
         }
         if self.given_up.contains(&run) {
-            let news = DispatchUpdate::Refused { unreachable: true };
-            self.tell(i, incarnation, &dispatch, news);
+            let update = DispatchUpdate::Refused { unreachable: true };
+            self.update_dispatch(i, incarnation, &dispatch, update);
             return;
         }
         if self.withheld.contains(&run) {
             let start = self.start_of(i, &dispatch.endpoint);
             self.dispatched.remove(&(dispatch.id, start));
-            self.tell(i, incarnation, &dispatch, DispatchUpdate::Withheld);
+            self.update_dispatch(i, incarnation, &dispatch, DispatchUpdate::Withheld);
             return;
         }
-        let endpoints = &self.nodes[i].scheduler.tables().endpoints;
+        let endpoints = &self.instances[i].scheduler.tables().endpoints;
         let known = endpoints.find(&dispatch.endpoint);
         let notices = known.map(|at| &endpoints.get(at).notices);
         assert!(
@@ -105,19 +105,19 @@
             dispatch.endpoint
         );
         let content = self.requests[&dispatch.id].content.as_ref();
-        let suspects = &self.nodes[i].scheduler.tables().suspects;
+        let suspects = &self.instances[i].scheduler.tables().suspects;
         assert!(
             content.is_none_or(|content| !suspects.is_quarantined(content.id)),
             "{} is written to {}, and in quarantine",
             dispatch.id,
             dispatch.endpoint
         );
-        let delay = self.lag();
+        let delay = self.random_delay();
         self.send(delay, Message::AtEndpoint(i, incarnation, dispatch));
     }
 
     fn start_of(&self, i: usize, endpoint: &str) -> String {
-        let endpoints = &self.nodes[i].scheduler.tables().endpoints;
+        let endpoints = &self.instances[i].scheduler.tables().endpoints;
         let at = endpoints.find(endpoint).expect("it is known");
         endpoints.get(at).start_id.clone()
     }
@@ -126,10 +126,10 @@
     /// means for the request.
     fn notice(&mut self, i: usize, incarnation: Uuid, endpoint: &str) {
         let fault = self.faults[endpoint_index(endpoint)];
-        if !matches!(fault, 5 | 6) || !self.alive(i, incarnation) {
+        if !matches!(fault, 5 | 6) || !self.is_current(i, incarnation) {
             return;
         }
-        let told = NoticeReport {
+        let report = NoticeReport {
             endpoint: self.start_of(i, endpoint),
             member: String::new(),
             notice: Notice {
@@ -138,7 +138,7 @@
             },
             read: self.now,
         };
-        let event = Event::NoticeReported(told);
+        let event = Event::NoticeReported(report);
         self.send(millis(0), Message::Event(i, incarnation, event));
     }
 
@@ -146,20 +146,20 @@
         let fault = self.faults[endpoint_index(&dispatch.endpoint)];
         self.notice(i, incarnation, &dispatch.endpoint);
         match fault {
-            1 => self.tell(
+            1 => self.update_dispatch(
                 i,
                 incarnation,
                 &dispatch,
                 DispatchUpdate::Refused { unreachable: true },
             ),
-            2 | 5 => self.tell(
+            2 | 5 => self.update_dispatch(
                 i,
                 incarnation,
                 &dispatch,
                 DispatchUpdate::Refused { unreachable: false },
             ),
             _ => {
-                self.note_run(&dispatch);
+                self.record_run(&dispatch);
                 if fault == 4 {
                     let broke = DispatchUpdate::Broke {
                         delivered: dispatch.resume_from,
@@ -169,7 +169,7 @@
                     return;
                 }
                 let head_sent = self.rng.random_bool(0.5);
-                self.tell(
+                self.update_dispatch(
                     i,
                     incarnation,
                     &dispatch,
@@ -181,22 +181,22 @@
         }
     }
 
-    pub(super) fn note_run(&mut self, dispatch: &Dispatch) {
+    pub(super) fn record_run(&mut self, dispatch: &Dispatch) {
         let key = self.requests[&dispatch.id].key.map(|k| k.hash);
-        self.runs.push((self.now, dispatch.id, key));
+        self.executions.push((self.now, dispatch.id, key));
     }
 
-    pub(super) fn tell(
+    pub(super) fn update_dispatch(
         &mut self,
         i: usize,
         incarnation: Uuid,
         dispatch: &Dispatch,
-        news: DispatchUpdate,
+        update: DispatchUpdate,
     ) {
-        let delay = self.lag();
+        let delay = self.random_delay();
         self.send(
             delay,
-            Message::Event(i, incarnation, endpoint_event(dispatch, news)),
+            Message::Event(i, incarnation, endpoint_event(dispatch, update)),
         );
     }
 
@@ -207,27 +207,32 @@
             _ => None,
         };
         let now = self.now;
-        let node = &mut self.nodes[i];
-        let lived = ended.is_some_and(|id| node.scheduler.tables().requests.get(id).is_some());
+        let instance = &mut self.instances[i];
+        let lived = ended.is_some_and(|id| instance.scheduler.tables().requests.get(id).is_some());
         let mut out = Vec::new();
-        node.scheduler.step(now, event, &mut out);
-        node.scheduler.check_invariants(now);
+        instance.scheduler.step(now, event, &mut out);
+        instance.scheduler.check_invariants(now);
         if let Some(id) = ended.filter(|_| lived) {
-            let gone = self.nodes[i].scheduler.tables().requests.get(id).is_none();
+            let gone = self.instances[i]
+                .scheduler
+                .tables()
+                .requests
+                .get(id)
+                .is_none();
             if gone {
-                self.end(i, id, "answered", None);
+                self.record_result(i, id, "answered", None);
             }
         }
         for action in out {
-            self.carry_out(i, action);
+            self.execute(i, action);
         }
     }
 
-    pub(super) fn carry_out(&mut self, i: usize, action: Action) {
-        let incarnation = self.nodes[i].member.incarnation;
+    pub(super) fn execute(&mut self, i: usize, action: Action) {
+        let incarnation = self.instances[i].member.incarnation;
         match action {
             Action::Dispatch(dispatch) => {
-                let endpoints = &self.nodes[i].scheduler.tables().endpoints;
+                let endpoints = &self.instances[i].scheduler.tables().endpoints;
                 let at = endpoints.find(&dispatch.endpoint).expect("it is known");
                 let pair = (dispatch.id, endpoints.get(at).start_id.clone());
                 assert!(
@@ -236,7 +241,7 @@
                     dispatch.id,
                     dispatch.endpoint
                 );
-                let delay = self.lag();
+                let delay = self.random_delay();
                 self.send(delay, Message::Write(i, incarnation, dispatch));
             }
             Action::Withhold { id, dispatch } => {
@@ -244,13 +249,13 @@
             }
             Action::GiveUpDispatch { id, dispatch } => {
                 self.given_up.insert((incarnation, id, dispatch));
-                let news = DispatchUpdate::Broke { delivered: 0 };
+                let update = DispatchUpdate::Broke { delivered: 0 };
                 let event = Event::Endpoint(EndpointEvent {
                     id,
                     dispatch,
-                    update: news,
+                    update,
                 });
-                let delay = self.lag();
+                let delay = self.random_delay();
                 self.send(delay, Message::Event(i, incarnation, event));
             }
             Action::CheckLiveness { endpoint, start } => {
@@ -267,28 +272,28 @@
                     Liveness::Open
                 };
                 let event = Event::LivenessChecked(LivenessResult { start, found });
-                self.send(LOOK, Message::Event(i, incarnation, event));
+                self.send(LIVENESS_CHECK_TIME, Message::Event(i, incarnation, event));
             }
             Action::Quarantine(_) => self.quarantined += 1,
-            Action::Ask { id } => self.place(i, id),
+            Action::Ask { id } => self.answer_placement(i, id),
             Action::HandOver { id, peer, .. } => self.hand_over(i, id, &peer),
             Action::CancelHandOver { id, peer } => {
-                let to = node_index(&peer);
-                self.handed.remove(&(to, id));
-                let there = self.nodes[to].member.incarnation;
-                let delay = self.lag();
+                let to = instance_index(&peer);
+                self.handed_over.remove(&(to, id));
+                let there = self.instances[to].member.incarnation;
+                let delay = self.random_delay();
                 self.send(delay, Message::Event(to, there, Event::CallerLeft(id)));
             }
             Action::Answer { id, verdict } => {
-                let word = if verdict.outcome == Outcome::NotRun {
+                let result = if verdict.outcome == Outcome::NotRun {
                     "not-run"
                 } else {
                     "unknown"
                 };
-                self.end(i, id, word, Some(verdict));
+                self.record_result(i, id, result, Some(verdict));
             }
             Action::RefuseHandOver { id, verdict, tried } => {
-                let Some(from) = self.handed.remove(&(i, id)) else {
+                let Some(from) = self.handed_over.remove(&(i, id)) else {
                     return;
                 };
                 self.refused.insert(id, self.now);
@@ -299,19 +304,19 @@
                 };
                 self.deliver(from, Event::HandOver(HandOverEvent::Refused(refusal)));
             }
-            Action::Cut { id, .. } => self.end(i, id, "cut", None),
-            Action::PassFailure { id } => self.end(i, id, "failed", None),
+            Action::Cut { id, .. } => self.record_result(i, id, "cut", None),
+            Action::PassFailure { id } => self.record_result(i, id, "failed", None),
             Action::Replay { id, earlier } => {
                 assert!(
-                    self.runs.iter().any(|(_, ran, _)| *ran == earlier),
+                    self.executions.iter().any(|(_, ran, _)| *ran == earlier),
                     "replay of nothing"
                 );
-                self.end(i, id, "replayed", None);
+                self.record_result(i, id, "replayed", None);
             }
             Action::TransferKeys { peer, transfer } => {
                 // Some transfers are lost, as when a link breaks.
                 if self.rng.random_bool(0.8) {
-                    self.deliver(node_index(&peer), Event::KeyTransfer(transfer));
+                    self.deliver(instance_index(&peer), Event::KeyTransfer(transfer));
                 }
             }
             Action::Cancel { id, dispatch, .. } => {
@@ -323,9 +328,9 @@
 
     /// Answers as a coordinator might that knows little: a place anywhere, one or two of them, a
     /// refusal, or a word that is lost.
-    fn place(&mut self, i: usize, id: RequestId) {
-        let words = self.rng.random_range(0..4);
-        if words == 3 {
+    fn answer_placement(&mut self, i: usize, id: RequestId) {
+        let count = self.rng.random_range(0..4);
+        if count == 3 {
             let verdict = Verdict {
                 outcome: Outcome::NotRun,
                 reason: Reason::Overload,
@@ -334,7 +339,7 @@
             self.deliver(i, Event::NotGranted(id, verdict));
             return;
         }
-        for _ in 0..words {
+        for _ in 0..count {
             let endpoint = ENDPOINTS[self.rng.random_range(0..ENDPOINTS.len())].to_owned();
             self.deliver(
                 i,
@@ -348,13 +353,13 @@
     }
 
     pub(super) fn deliver(&mut self, i: usize, event: Event) {
-        let incarnation = self.nodes[i].member.incarnation;
-        let delay = self.lag();
+        let incarnation = self.instances[i].member.incarnation;
+        let delay = self.random_delay();
         self.send(delay, Message::Event(i, incarnation, event));
     }
 
     pub(super) fn hand_over(&mut self, from: usize, id: RequestId, peer: &str) {
-        let to = node_index(peer);
+        let to = instance_index(peer);
         if self.rng.random_bool(0.2) {
             let refusal = HandOverRefusal {
                 id,
@@ -365,23 +370,23 @@
             return;
         }
         let mut new = self.requests[&id].clone();
-        new.origin = Origin::Peer(self.nodes[from].member.name.clone());
-        let row = self.nodes[from].scheduler.tables().requests.get(id);
+        new.origin = Origin::Peer(self.instances[from].member.name.clone());
+        let row = self.instances[from].scheduler.tables().requests.get(id);
         new.tried = row.map(|r| r.tried.clone()).unwrap_or_default();
-        self.handed.insert((to, id), from);
+        self.handed_over.insert((to, id), from);
         self.deliver(to, Event::Arrived(new));
     }
 
     /// Takes it that a request ended at an instance, for its caller or the peer it came from.
-    pub(super) fn end(
+    pub(super) fn record_result(
         &mut self,
         i: usize,
         id: RequestId,
-        word: &'static str,
+        result: &'static str,
         verdict: Option<Verdict>,
     ) {
-        if let Some(from) = self.handed.remove(&(i, id)) {
-            let event = match (word, verdict) {
+        if let Some(from) = self.handed_over.remove(&(i, id)) {
+            let event = match (result, verdict) {
                 ("answered" | "replayed", _) => HandOverEvent::Ended(id),
                 ("cut", _) | (_, None) => HandOverEvent::Broke(id),
                 (_, Some(verdict)) => HandOverEvent::Unknown(id, verdict),
@@ -389,8 +394,8 @@
             self.deliver(from, Event::HandOver(event));
             return;
         }
-        if let Some(told) = self.told.get_mut(&id).filter(|t| t.node == i) {
-            told.ends.push((self.now, word));
+        if let Some(caller) = self.callers.get_mut(&id).filter(|t| t.instance == i) {
+            caller.results.push((self.now, result));
         }
     }
 }
--- a/crates/firdock-policy/tests/policy/suspects.rs
+++ b/crates/firdock-policy/tests/policy/suspects.rs
@@ -17,7 +17,7 @@
 use firdock_policy::event::{BreakCause, DispatchUpdate, Liveness, LivenessResult};
 use firdock_policy::{Action, Event, NewRequest, Time};
 
-use crate::edge::{Edge, edge_settings, request, resources};
+use crate::edge::{EdgeScheduler, edge_settings, request, resources};
 use crate::fixtures::{dispatched, id, millis};
 
 const BROKE: DispatchUpdate = DispatchUpdate::Broke { delivered: 0 };
@@ -55,25 +55,26 @@
     all
 }
 
-fn before(count: u32) -> Edge {
-    Edge::new(edge_settings("a"), endpoints(count))
+fn before(count: u32) -> EdgeScheduler {
+    EdgeScheduler::new(edge_settings("a"), endpoints(count))
 }
 
 /// The connection of a run ends early.
-fn breaks(edge: &mut Edge, n: u64, dispatch: u32) -> Vec<Action> {
-    let mut actions = edge.tell(n, dispatch, DispatchUpdate::Breaking(BreakCause::Closed));
-    actions.extend(edge.tell(n, dispatch, BROKE));
+fn breaks(edge: &mut EdgeScheduler, n: u64, dispatch: u32) -> Vec<Action> {
+    let mut actions =
+        edge.update_dispatch(n, dispatch, DispatchUpdate::Breaking(BreakCause::Closed));
+    actions.extend(edge.update_dispatch(n, dispatch, BROKE));
     actions
 }
 
-fn found(edge: &mut Edge, start: &str, found: Liveness) -> Vec<Action> {
+fn found(edge: &mut EdgeScheduler, start: &str, found: Liveness) -> Vec<Action> {
     let start = start.to_owned();
     edge.step(Event::LivenessChecked(LivenessResult { start, found }))
 }
 
 /// Endpoints, of which those that ended refuse connections.
 struct Pool {
-    edge: Edge,
+    edge: EdgeScheduler,
     ended: Vec<String>,
 }
 
@@ -97,7 +98,7 @@
             }
             let n = dispatch.id.as_u64_pair().1;
             let refused = DispatchUpdate::Refused { unreachable: true };
-            actions = self.edge.tell(n, dispatch.dispatch, refused);
+            actions = self.edge.update_dispatch(n, dispatch.dispatch, refused);
         }
     }
 
@@ -176,7 +177,9 @@
         dispatch,
     };
     assert!(actions.contains(&withheld), "{actions:?}");
-    let actions = pool.edge.tell(4, dispatch, DispatchUpdate::Withheld);
+    let actions = pool
+        .edge
+        .update_dispatch(4, dispatch, DispatchUpdate::Withheld);
     assert!(dispatched(&actions).is_empty());
     let verdict = answer(&actions, 4);
     assert_eq!(verdict.map(|v| v.outcome), Some(Outcome::NotRun));
@@ -196,13 +199,13 @@
     assert_eq!(pool.ended.len(), 3, "{:?}", pool.ended);
 }
 
-fn is_quarantined(edge: &Edge, body: &str) -> bool {
+fn is_quarantined(edge: &EdgeScheduler, body: &str) -> bool {
     let suspects = &edge.scheduler.tables().suspects;
     suspects.is_quarantined(content(body).id)
 }
 
 /// Gives how many ends count against a request.
-fn ends_against(edge: &Edge, body: &str) -> usize {
+fn ends_against(edge: &EdgeScheduler, body: &str) -> usize {
     let suspect = edge.scheduler.tables().suspects.get(content(body).id);
     suspect.map_or(0, |s| s.counted().len())
 }
@@ -217,7 +220,7 @@
         .expect("it is sent");
     assert_eq!(pool.arrives(with_body(3, "once", "deadly")), None);
     assert!(pool.arrives(with_body(4, "once", "other")).is_some());
-    let actions = pool.edge.tell(2, running.0, ENDED);
+    let actions = pool.edge.update_dispatch(2, running.0, ENDED);
     assert_eq!(dispatched(&actions).len(), 1, "it goes on: {actions:?}");
     assert_eq!(ends_against(&pool.edge, "deadly"), 0);
 }
@@ -288,7 +291,7 @@
         for (_, n, dispatch, endpoint) in over {
             if !deadly(n) {
                 day.served += 1;
-                queue.extend(edge.tell(n, dispatch, ENDED));
+                queue.extend(edge.update_dispatch(n, dispatch, ENDED));
                 continue;
             }
             day.ended += 1;
@@ -312,7 +315,7 @@
                 .any(|(name, due)| *name == d.endpoint && due.is_zero());
             if !up {
                 let refused = DispatchUpdate::Refused { unreachable: true };
-                queue.extend(edge.tell(n, d.dispatch, refused));
+                queue.extend(edge.update_dispatch(n, d.dispatch, refused));
                 continue;
             }
             let time = if deadly(n) { RUN } else { millis(200) };
--- a/crates/firdock-policy/tests/policy/suspects/evidence.rs
+++ b/crates/firdock-policy/tests/policy/suspects/evidence.rs
@@ -13,7 +13,7 @@
     BROKE, ENDED, Pool, RUN, before, breaks, endpoints, ends_against, found, is_quarantined,
     with_body,
 };
-use crate::edge::{Edge, edge_settings};
+use crate::edge::{EdgeScheduler, edge_settings};
 use crate::fixtures::{dispatched, id, millis};
 
 /// A request runs on each of several endpoints at once: so many tries of it.
@@ -49,7 +49,7 @@
         let (dispatch, _) = pool
             .arrives(with_body(first + 9, "once", "hot"))
             .expect("it is sent");
-        pool.edge.tell(first + 9, dispatch, ENDED);
+        pool.edge.update_dispatch(first + 9, dispatch, ENDED);
         assert_eq!(ends_against(&pool.edge, "hot"), 0);
         // The rack is back.
         pool = Pool {
@@ -71,7 +71,7 @@
         let (dispatch, _) = pool
             .arrives(with_body(10 * n + 1, "once", "hot"))
             .expect("it is sent");
-        pool.edge.tell(10 * n + 1, dispatch, ENDED);
+        pool.edge.update_dispatch(10 * n + 1, dispatch, ENDED);
         assert_eq!(ends_against(&pool.edge, "hot"), 0);
     }
 }
@@ -85,13 +85,14 @@
     let (dispatch, _) = pool
         .arrives(with_body(2, "once", "hot"))
         .expect("it is sent");
-    pool.edge.tell(2, dispatch, DispatchUpdate::Unproven);
-    pool.edge.tell(2, dispatch, ENDED);
+    pool.edge
+        .update_dispatch(2, dispatch, DispatchUpdate::Unproven);
+    pool.edge.update_dispatch(2, dispatch, ENDED);
     assert_eq!(ends_against(&pool.edge, "hot"), 1);
     let (dispatch, _) = pool
         .arrives(with_body(3, "once", "hot"))
         .expect("it is sent");
-    pool.edge.tell(3, dispatch, ENDED);
+    pool.edge.update_dispatch(3, dispatch, ENDED);
     assert_eq!(ends_against(&pool.edge, "hot"), 0);
 }
 
@@ -135,8 +136,8 @@
         let sent = dispatched(&edge.arrive(with_body(n, "once", "hot")));
         edge.now += RUN;
         if n.is_multiple_of(3) {
-            edge.tell(n, 1, DispatchUpdate::Breaking(BreakCause::Foreign));
-            edge.tell(n, 1, BROKE);
+            edge.update_dispatch(n, 1, DispatchUpdate::Breaking(BreakCause::Foreign));
+            edge.update_dispatch(n, 1, BROKE);
             // Another request's look finds it ended a moment later.
             edge.now += millis(10);
             found(&mut edge, &sent[0].1, Liveness::Ended);
@@ -175,14 +176,14 @@
         }
         pool.ends(first, (dispatch, endpoint));
         for (n, dispatch) in elsewhere {
-            pool.edge.tell(n, dispatch, ENDED);
+            pool.edge.update_dispatch(n, dispatch, ENDED);
         }
         for (of, _) in beside {
             n += 1;
             let (dispatch, _) = pool
                 .arrives(with_body(n, "once", &format!("b{of}")))
                 .expect("it is sent at once");
-            pool.edge.tell(n, dispatch, ENDED);
+            pool.edge.update_dispatch(n, dispatch, ENDED);
             assert_eq!(ends_against(&pool.edge, &format!("b{of}")), 0);
         }
         n += 1;
@@ -290,11 +291,11 @@
 #[test]
 fn a_later_start_under_the_name_tells_of_an_end_unless_the_entry_went_before() {
     for (removed, ends) in [(false, 1), (true, 0)] {
-        let mut edge = Edge::new(edge_settings("a"), with_start(Some(8)));
+        let mut edge = EdgeScheduler::new(edge_settings("a"), with_start(Some(8)));
         edge.arrive(with_body(1, "once", "deadly"));
         edge.now += RUN;
         let mut version = 2;
-        let mut apply = |edge: &mut Edge, start: Option<u64>| {
+        let mut apply = |edge: &mut EdgeScheduler, start: Option<u64>| {
             let catalog = Catalog::new(version).with_resources(with_start(start));
             version += 1;
             edge.step(Event::Config(Arc::new(catalog)))
@@ -309,8 +310,8 @@
             dispatch: 1,
         };
         assert!(actions.contains(&given_up));
-        edge.tell(1, 1, DispatchUpdate::Breaking(BreakCause::Restarted));
-        edge.tell(1, 1, BROKE);
+        edge.update_dispatch(1, 1, DispatchUpdate::Breaking(BreakCause::Restarted));
+        edge.update_dispatch(1, 1, BROKE);
         assert_eq!(ends_against(&edge, "deadly"), ends, "removed: {removed}");
     }
 }
--- a/crates/firdock-policy/tests/policy/suspects/reports.rs
+++ b/crates/firdock-policy/tests/policy/suspects/reports.rs
@@ -12,7 +12,7 @@
     BROKE, Pool, RUN, answer, before, breaks, content, endpoints, ends_against, found,
     is_quarantined, with_body,
 };
-use crate::edge::{Edge, edge_settings};
+use crate::edge::{EdgeScheduler, edge_settings};
 use crate::fixtures::{dispatched, id, millis};
 
 pub fn told_of(body: &str, account: &str, starts: &[(&str, u64)]) -> SuspectReport {
@@ -43,7 +43,7 @@
 #[test]
 fn a_coordinator_places_one_try_of_a_suspect_at_a_time() {
     let settings = edge_settings("a").with_coordination();
-    let mut edge = Edge::new(settings, endpoints(8));
+    let mut edge = EdgeScheduler::new(settings, endpoints(8));
     let words = vec![told_of("deadly", "free", &[("x1", 900)])];
     edge.step(peer("p", words));
     let from = |member: &str, n: u64, body: &str| NewRequest {
@@ -53,7 +53,7 @@
     assert_eq!(dispatched(&edge.arrive(from("m1", 1, "deadly"))).len(), 1);
     assert_eq!(dispatched(&edge.arrive(from("m2", 2, "deadly"))).len(), 0);
     assert_eq!(dispatched(&edge.arrive(from("m2", 3, "other"))).len(), 1);
-    let next = dispatched(&edge.tell(1, 1, BROKE));
+    let next = dispatched(&edge.update_dispatch(1, 1, BROKE));
     assert_eq!(next.iter().map(|(of, _)| *of).collect::<Vec<_>>(), [id(2)]);
 }
 
