--- a/crates/firdock-policy/tests/policy/allowance.rs
+++ b/crates/firdock-policy/tests/policy/allowance.rs
@@ -6,18 +6,18 @@
 use firdock_policy::rollout::allowance::{Progress, may_move_all, watched_ratio};
 
 /// Pause between two looks at the evidence.
-const LOOK: Duration = Duration::from_millis(50);
+const EVALUATION_INTERVAL: Duration = Duration::from_millis(50);
 /// Time of the order.
-const TIME: Duration = Duration::from_secs(6);
+const ROLLOUT_TIME: Duration = Duration::from_secs(6);
 /// How long after the read before the order was read.
-const UNSURE: Duration = Duration::from_millis(200);
+const UNCERTAINTY: Duration = Duration::from_millis(200);
 /// Least time that has to be left when everything moves: two looks, and a call to the store with its
 /// answer.
-const LEAST_LEFT: Duration = Duration::from_millis(125);
+const MIN_TIME_LEFT: Duration = Duration::from_millis(125);
 
 /// How a trial went.
 #[derive(Debug)]
-struct Trial {
+struct RolloutResult {
     /// Time that was left when everything moved.
     left: Duration,
     /// Requests that the version had by the end.
@@ -34,34 +34,34 @@
 }
 
 /// Plays the trial of a version at the rates given for each third of its time, in requests a second.
-fn play(rates: [f64; 3]) -> Trial {
+fn simulate_rollout(rates: [f64; 3]) -> RolloutResult {
     let (mut sent, mut exposed) = (0.0, 0.0);
     let mut elapsed = Duration::ZERO;
-    while elapsed < TIME {
+    while elapsed < ROLLOUT_TIME {
         let progress = Progress {
             elapsed,
-            uncertainty: UNSURE,
-            time: TIME,
+            uncertainty: UNCERTAINTY,
+            time: ROLLOUT_TIME,
             sent: sent as u64,
             exposed: exposed as u64,
         };
-        let left = TIME.saturating_sub(elapsed);
-        let third = (elapsed.as_secs_f64() / TIME.as_secs_f64() * 3.0) as usize;
+        let left = ROLLOUT_TIME.saturating_sub(elapsed);
+        let third = (elapsed.as_secs_f64() / ROLLOUT_TIME.as_secs_f64() * 3.0) as usize;
         let rate = rates[third.min(2)];
         if may_move_all(progress, bounds()) {
             let end = rate * left.as_secs_f64();
-            return Trial {
+            return RolloutResult {
                 left,
                 exposed: exposed + end,
                 all: sent + end,
             };
         }
-        let new = rate * LOOK.as_secs_f64();
+        let new = rate * EVALUATION_INTERVAL.as_secs_f64();
         exposed += watched_ratio(progress, bounds()) * new;
         sent += new;
-        elapsed += LOOK;
+        elapsed += EVALUATION_INTERVAL;
     }
-    Trial {
+    RolloutResult {
         left: Duration::ZERO,
         exposed,
         all: sent,
@@ -80,9 +80,9 @@
         [100.0, 60.0, 140.0],
         [20.0, 100.0, 500.0],
     ] {
-        let trial = play(rates);
-        assert!(trial.left >= LEAST_LEFT, "{rates:?}: {trial:?}");
-        let most = bounds().exposure_ratio * trial.all + bounds().exposure_slack;
-        assert!(trial.exposed <= most, "{rates:?}: {trial:?}");
+        let result = simulate_rollout(rates);
+        assert!(result.left >= MIN_TIME_LEFT, "{rates:?}: {result:?}");
+        let max_exposed = bounds().exposure_ratio * result.all + bounds().exposure_slack;
+        assert!(result.exposed <= max_exposed, "{rates:?}: {result:?}");
     }
 }
--- a/crates/firdock-policy/tests/policy/attempts.rs
+++ b/crates/firdock-policy/tests/policy/attempts.rs
@@ -23,7 +23,7 @@
     }
 }
 
-fn tries(edge: &EdgeScheduler) -> BTreeMap<(bool, AttemptOutcome), u64> {
+fn attempt_counts(edge: &EdgeScheduler) -> BTreeMap<(bool, AttemptOutcome), u64> {
     let all = &edge.scheduler.tables().stats.attempts;
     let short = |(key, n): (&AttemptKey, &u64)| ((key.returned, key.end), *n);
     all.iter().map(short).collect()
@@ -45,7 +45,7 @@
         ((true, AttemptOutcome::InTime), 1),
         ((true, AttemptOutcome::Late), 1),
     ]);
-    assert_eq!(tries(&edge), expected);
+    assert_eq!(attempt_counts(&edge), expected);
 }
 
 #[test]
@@ -59,7 +59,7 @@
     }
     edge.arrive(with_left(&edge, 9, "limited", 2_500));
     let refused = |returned| {
-        tries(&edge)
+        attempt_counts(&edge)
             .get(&(returned, AttemptOutcome::NotRun))
             .copied()
     };
--- a/crates/firdock-policy/tests/policy/buffers.rs
+++ b/crates/firdock-policy/tests/policy/buffers.rs
@@ -18,7 +18,7 @@
     Duration::from_hours(1) + Duration::from_millis(millis)
 }
 
-fn opened(budget: usize, answers: &[(BufferId, &str)]) -> AnswerBuffers {
+fn buffers_with(budget: usize, answers: &[(BufferId, &str)]) -> AnswerBuffers {
     let mut buffers = AnswerBuffers::new(budget);
     for (id, account) in answers {
         buffers.open(at(0), *id, (*account).to_owned());
@@ -55,7 +55,7 @@
 /// A caller stopped reading one answer long ago; another account's answer comes in one large burst.
 #[test]
 fn the_caller_who_holds_most_for_longest_is_cut_first() {
-    let mut buffers = opened(1_000, &[(1, "a"), (2, "a"), (3, "a")]);
+    let mut buffers = buffers_with(1_000, &[(1, "a"), (2, "a"), (3, "a")]);
     assert!(buffers.hold(at(0), 1, 300).is_empty());
     assert!(buffers.hold(at(9_000), 2, 500).is_empty());
     assert_eq!(buffers.hold(at(10_000), 3, 300), [1]);
@@ -64,7 +64,7 @@
 
 #[test]
 fn an_account_with_many_slow_callers_pays_for_them_itself() {
-    let mut buffers = opened(1_000, &[(1, "small"), (2, "large"), (3, "large")]);
+    let mut buffers = buffers_with(1_000, &[(1, "small"), (2, "large"), (3, "large")]);
     buffers.hold(at(0), 1, 400);
     buffers.hold(at(5_000), 2, 300);
     assert_eq!(
@@ -76,7 +76,7 @@
 
 #[test]
 fn an_answer_that_is_whole_is_kept_as_long_as_others_can_be_cut() {
-    let mut buffers = opened(1_000, &[(1, "a"), (2, "a")]);
+    let mut buffers = buffers_with(1_000, &[(1, "a"), (2, "a")]);
     buffers.hold(at(0), 1, 900);
     buffers.mark_complete(1);
     let cut = buffers.hold(at(20_000), 2, 200);
@@ -86,7 +86,7 @@
 
 #[test]
 fn a_caller_who_has_caught_up_begins_anew() {
-    let mut buffers = opened(1_000, &[(1, "a"), (2, "a"), (3, "a")]);
+    let mut buffers = buffers_with(1_000, &[(1, "a"), (2, "a"), (3, "a")]);
     buffers.hold(at(0), 1, 400);
     buffers.hold(at(4_000), 2, 350);
     buffers.consume(at(5_000), 1, 400);
@@ -96,7 +96,7 @@
 
 #[test]
 fn a_caller_who_stops_reading_for_good_is_cut_though_there_is_room() {
-    let mut buffers = opened(BUDGET, &[(1, "a"), (2, "a"), (3, "a")]);
+    let mut buffers = buffers_with(BUDGET, &[(1, "a"), (2, "a"), (3, "a")]);
     buffers.hold(at(0), 1, 100);
     buffers.mark_complete(1);
     buffers.hold(at(0), 2, 100);
@@ -116,7 +116,7 @@
 /// then, the endpoint might work for nobody.
 #[test]
 fn a_caller_is_late_once_when_it_is_behind_a_whole_answer() {
-    let mut buffers = opened(BUDGET, &[(1, "a"), (2, "a")]);
+    let mut buffers = buffers_with(BUDGET, &[(1, "a"), (2, "a")]);
     buffers.hold(at(0), 1, 100);
     buffers.hold(at(0), 2, 100);
     assert!(buffers.became_late(at(5_000)).is_empty());
@@ -127,7 +127,7 @@
 
 #[test]
 fn what_ended_counts_no_more() {
-    let mut buffers = opened(1_000, &[(1, "a")]);
+    let mut buffers = buffers_with(1_000, &[(1, "a")]);
     buffers.hold(at(0), 1, 700);
     buffers.close(1);
     assert!(buffers.hold(at(1), 1, 700).is_empty(), "a late part");
@@ -138,7 +138,7 @@
 
 /// What is known of an answer in the property below, kept apart from the accounting.
 #[derive(Debug, Clone)]
-struct Seen {
+struct AnswerModel {
     account: usize,
     bytes: usize,
     since: u64,
@@ -164,14 +164,14 @@
 }
 
 /// Checks that what was cut is what the order says: each beside all that were left at that moment.
-fn check_cut(seen: &mut BTreeMap<BufferId, Seen>, cut: &[BufferId], now: u64) {
+fn check_cut(seen: &mut BTreeMap<BufferId, AnswerModel>, cut: &[BufferId], now: u64) {
     for id in cut {
         let gone = seen[id].clone();
         let total = |account: usize| -> usize {
             let rows = seen.values().filter(|s| s.account == account);
             rows.map(|s| s.bytes).sum()
         };
-        let weight = |s: &Seen| s.bytes as u64 * (now - s.since);
+        let weight = |s: &AnswerModel| s.bytes as u64 * (now - s.since);
         assert!(gone.bytes > 0);
         for left in seen.values().filter(|s| s.bytes > 0) {
             if gone.whole {
@@ -197,7 +197,7 @@
         for id in 0..12 {
             let account = (id % 3) as usize;
             buffers.open(at(0), id, format!("account-{account}"));
-            seen.insert(id, Seen { account, bytes: 0, since: 0, whole: false });
+            seen.insert(id, AnswerModel { account, bytes: 0, since: 0, whole: false });
         }
         let mut now = 0;
         for (id, pause, step) in steps {
--- a/crates/firdock-policy/tests/policy/coordinate.rs
+++ b/crates/firdock-policy/tests/policy/coordinate.rs
@@ -35,9 +35,9 @@
     }
 }
 
-fn asks(actions: &[Action]) -> usize {
-    let asks = actions.iter().filter(|a| matches!(a, Action::Ask { .. }));
-    asks.count()
+fn count_asks(actions: &[Action]) -> usize {
+    let count_asks = actions.iter().filter(|a| matches!(a, Action::Ask { .. }));
+    count_asks.count()
 }
 
 fn declined(actions: &[Action]) -> Vec<Grant> {
@@ -61,8 +61,8 @@
     let mut edge = member();
     let actions = edge.arrive(request(1, "once", "free"));
     assert!(dispatched(&actions).is_empty());
-    assert_eq!(asks(&actions), 1);
-    assert_eq!(asks(&edge.advance(millis(50))), 0);
+    assert_eq!(count_asks(&actions), 1);
+    assert_eq!(count_asks(&edge.advance(millis(50))), 0);
     let actions = edge.step(Event::Granted(grant(1, "e2")));
     assert_eq!(dispatched(&actions), vec![(id(1), "e2".to_owned())]);
 }
@@ -107,7 +107,7 @@
     let actions = edge.step(Event::Granted(grant(1, "e1")));
     assert!(dispatched(&actions).is_empty());
     assert_eq!(declined(&actions), vec![grant(1, "e1")]);
-    assert_eq!(asks(&actions), 1);
+    assert_eq!(count_asks(&actions), 1);
     let row = edge.scheduler.tables().requests.get(id(1));
     assert_eq!(row.expect("it is held").declined, vec!["e1".to_owned()]);
 }
@@ -148,7 +148,7 @@
     let mut edge = member();
     edge.arrive(request(1, "safe", "free"));
     edge.step(Event::Granted(grant(1, "e1")));
-    assert_eq!(asks(&edge.update_dispatch(1, 1, BROKE)), 1);
+    assert_eq!(count_asks(&edge.update_dispatch(1, 1, BROKE)), 1);
     // The engine that it ran on is no place for it.
     let again = edge.step(Event::Granted(grant(1, "e1")));
     assert!(dispatched(&again).is_empty() && declined(&again).len() == 1);
@@ -183,11 +183,11 @@
     edge.arrive(request(1, "once", "free"));
     edge.arrive(request(2, "low", "free"));
     assert!(edge.step(Event::NotGranted(id(1), refusal())).is_empty());
-    let told = |actions: &[Action]| verdict(actions).map(|v| v.0);
+    let answered = |actions: &[Action]| verdict(actions).map(|v| v.0);
     let low = edge.step(Event::NotGranted(id(2), refusal()));
-    assert_eq!(told(&low), Some(Outcome::NotRun));
+    assert_eq!(answered(&low), Some(Outcome::NotRun));
     let high = edge.step(Event::NotGranted(id(1), refusal()));
-    assert_eq!(told(&high), Some(Outcome::NotRun));
+    assert_eq!(answered(&high), Some(Outcome::NotRun));
 }
 
 #[test]
@@ -322,7 +322,7 @@
     let (left, home) = places("west", 30.0, 10.0);
     assert_eq!(own, 30);
     assert_eq!(left, 0);
-    assert_eq!(far + home, 30, "each place is given to one of them");
+    assert_eq!(far + home, 30, "each slot is assigned once");
     assert!((13..=17).contains(&far), "a half of the west's: {far}");
 }
 
--- a/crates/firdock-policy/tests/policy/failures.rs
+++ b/crates/firdock-policy/tests/policy/failures.rs
@@ -9,7 +9,7 @@
 const BROKE: DispatchUpdate = DispatchUpdate::Broke { delivered: 0 };
 
 /// The endpoint of a dispatch fails; its answer can be passed on.
-fn fails(edge: &mut EdgeScheduler, dispatch: u32) -> Vec<Action> {
+fn fail_dispatch(edge: &mut EdgeScheduler, dispatch: u32) -> Vec<Action> {
     edge.update_dispatch(1, dispatch, DispatchUpdate::Failed);
     edge.update_dispatch(1, dispatch, DispatchUpdate::FailureKept);
     edge.update_dispatch(1, dispatch, DispatchUpdate::Breaking(BreakCause::Failed));
@@ -23,7 +23,7 @@
     edge
 }
 
-fn is_passed(actions: &[Action]) -> bool {
+fn is_forwarded(actions: &[Action]) -> bool {
     actions
         .iter()
         .any(|a| matches!(a, Action::PassFailure { id: of } if *of == id(1)))
@@ -32,20 +32,20 @@
 #[test]
 fn the_last_endpoints_failure_is_passed_on_once_no_other_one_is_tried() {
     let mut edge = arrived();
-    let actions = fails(&mut edge, 1);
-    assert!(!is_passed(&actions), "another endpoint is tried first");
-    let actions = fails(&mut edge, 2);
-    assert!(is_passed(&actions), "{actions:?}");
+    let actions = fail_dispatch(&mut edge, 1);
+    assert!(!is_forwarded(&actions), "another endpoint is tried first");
+    let actions = fail_dispatch(&mut edge, 2);
+    assert!(is_forwarded(&actions), "{actions:?}");
 }
 
 // Guards against an outcome that is told known where a later try may still have run.
 #[test]
 fn a_failure_before_a_try_that_was_lost_is_not_passed_on() {
     let mut edge = arrived();
-    fails(&mut edge, 1);
+    fail_dispatch(&mut edge, 1);
     edge.update_dispatch(1, 2, DispatchUpdate::Breaking(BreakCause::Closed));
     let actions = edge.update_dispatch(1, 2, BROKE);
-    assert!(!is_passed(&actions), "{actions:?}");
+    assert!(!is_forwarded(&actions), "{actions:?}");
 }
 
 #[test]
@@ -55,11 +55,11 @@
     let mut edge = EdgeScheduler::new(edge_settings("a"), alone);
     edge.step(Event::ConfigConfirmed(edge.now));
     edge.arrive(request(1, "safe", "free"));
-    let mut actions = fails(&mut edge, 1);
+    let mut actions = fail_dispatch(&mut edge, 1);
     for _ in 0..600 {
         edge.now += millis(10);
         edge.step(Event::ConfigConfirmed(edge.now));
         actions.extend(edge.step(Event::Timer));
     }
-    assert!(is_passed(&actions), "{actions:?}");
+    assert!(is_forwarded(&actions), "{actions:?}");
 }
--- a/crates/firdock-policy/tests/policy/limits.rs
+++ b/crates/firdock-policy/tests/policy/limits.rs
@@ -35,7 +35,7 @@
 }
 
 /// Counts how many requests of two units each pass at one moment.
-fn let_pass_at_once(edge: &mut EdgeScheduler) -> usize {
+fn count_admitted_at_once(edge: &mut EdgeScheduler) -> usize {
     let small = |n| NewRequest {
         prompt_tokens: 1,
         output_tokens: 1,
@@ -50,12 +50,12 @@
     // 0.4 s of 100 units a second among five instances are 8 units each, and one request more.
     let mut edge = EdgeScheduler::unaware(edge_settings("a"), resources());
     edge.step(Event::PeersKnown(4));
-    assert_eq!(let_pass_at_once(&mut edge), 5);
+    assert_eq!(count_admitted_at_once(&mut edge), 5);
     // It is given once, and only where it is known among how many it is shared.
     edge.step(Event::PeersKnown(3));
-    assert_eq!(let_pass_at_once(&mut edge), 0);
+    assert_eq!(count_admitted_at_once(&mut edge), 0);
     let mut unaware = EdgeScheduler::unaware(edge_settings("a"), resources());
-    assert_eq!(let_pass_at_once(&mut unaware), 1);
+    assert_eq!(count_admitted_at_once(&mut unaware), 1);
 }
 
 /// Use of the account `limited`, of which everything that was asked for was let pass.
@@ -70,12 +70,12 @@
 
 /// Counts how many of so many requests are served, of which each comes a `pause` after the one before;
 /// `told` is what the instance hears before each.
-fn served(edge: &mut EdgeScheduler, count: u64, pause: Duration, told: &[Event]) -> u32 {
+fn count_admitted(edge: &mut EdgeScheduler, count: u64, pause: Duration, reports: &[Event]) -> u32 {
     let mut served = 0;
     for n in 0..count {
         edge.now += pause;
         edge.step(Event::ConfigConfirmed(edge.now));
-        for event in told {
+        for event in reports {
             edge.step(event.clone());
         }
         if verdict(&edge.arrive(request(n, "safe", "limited"))).is_none() {
@@ -112,7 +112,7 @@
 }
 
 /// A lead's counts of what all let pass.
-fn counted(count: f64, beginning: u128) -> Event {
+fn lead_report(count: f64, beginning: u128) -> Event {
     Event::SiteUseReported(UseCounts {
         lead: "lead".to_owned(),
         began: Uuid::from_u128(beginning),
@@ -135,26 +135,26 @@
         verdict(&edge.arrive(request(n, "safe", "limited")))
     };
     // What was counted before the first word is not known to be recent.
-    edge.step(counted(5_000.0, 1));
+    edge.step(lead_report(5_000.0, 1));
     assert_eq!(arrive(&mut edge, 1, 1_000), None);
     // This instance's own use is among what is counted next, and counts no second time; another's does.
-    edge.step(counted(5_100.0, 1));
+    edge.step(lead_report(5_100.0, 1));
     assert_eq!(arrive(&mut edge, 2, 1_100), None);
-    edge.step(counted(5_500.0, 1));
+    edge.step(lead_report(5_500.0, 1));
     let refused = Some((Outcome::NotRun, Reason::RateLimited));
     assert_eq!(arrive(&mut edge, 3, 1_100), refused);
     // Told again, and late, it counts no second time: 300 units are made up for in 3 s.
-    edge.step(counted(5_500.0, 1));
-    edge.step(counted(5_300.0, 1));
+    edge.step(lead_report(5_500.0, 1));
+    edge.step(lead_report(5_300.0, 1));
     assert_eq!(arrive(&mut edge, 4, 3_000), None);
     // By a word of itself, a peer's use does not count once more.
     edge.step(peer(5_000.0, 1));
     edge.step(peer(9_000.0, 1));
     assert_eq!(arrive(&mut edge, 5, 1_100), None);
     // Of counts that began anew, the first word says nothing, and the next one does.
-    edge.step(counted(50_000.0, 2));
+    edge.step(lead_report(50_000.0, 2));
     assert_eq!(arrive(&mut edge, 6, 1_100), None);
-    edge.step(counted(51_000.0, 2));
+    edge.step(lead_report(51_000.0, 2));
     assert_eq!(arrive(&mut edge, 7, 1_100), refused);
 }
 
@@ -173,7 +173,7 @@
 fn an_instance_that_hears_nobody_uses_its_even_part_alone() {
     let mut edge = EdgeScheduler::new(edge_settings("a"), resources());
     edge.step(Event::PeersKnown(4));
-    let served = served(&mut edge, 400, millis(50), &[]);
+    let served = count_admitted(&mut edge, 400, millis(50), &[]);
     // 20 s at a fifth of 100 tokens a second, 100 tokens each.
     assert!((4..=5).contains(&served), "{served}");
 }
@@ -191,7 +191,7 @@
         }));
     }
     edge.step(Event::Reach(100));
-    let served = served(&mut edge, 250, millis(20), &[]);
+    let served = count_admitted(&mut edge, 250, millis(20), &[]);
     // Heartbeats go missing after five of 250 ms; from then on a hundredth of 100 tokens a second,
     // 100 tokens each.
     assert!((1..=2).contains(&served), "{served}");
@@ -201,7 +201,7 @@
 fn of_many_instances_the_parts_of_those_not_heard_are_left_out() {
     let mut edge = EdgeScheduler::new(edge_settings("a"), resources());
     edge.step(Event::PeersKnown(39));
-    let served = served(&mut edge, 400, millis(25), &[Event::Reach(20)]);
+    let served = count_admitted(&mut edge, 400, millis(25), &[Event::Reach(20)]);
     // 10 s at a half of 100 tokens a second, 100 tokens each.
     assert!((5..=6).contains(&served), "{served}");
 }
@@ -211,7 +211,7 @@
 #[test]
 fn what_an_older_peer_let_pass_before_it_told_of_an_account_is_not_recent() {
     let start = |secs: u64| Uuid::new_v7(uuid::Timestamp::from_unix(uuid::NoContext, secs, 0));
-    let told = |incarnation: Uuid, used: f64| PeerUpdate {
+    let reports = |incarnation: Uuid, used: f64| PeerUpdate {
         name: "b".to_owned(),
         incarnation,
         used: limited(used),
@@ -224,12 +224,12 @@
         let peer = start(secs);
         let first = PeerUpdate {
             used: Vec::new(),
-            ..told(peer, 0.0)
+            ..reports(peer, 0.0)
         };
         edge.step(Event::Peer(first));
         edge.now += millis(1_000);
         edge.step(Event::ConfigConfirmed(edge.now));
-        edge.step(Event::Peer(told(peer, 900_000.0)));
+        edge.step(Event::Peer(reports(peer, 900_000.0)));
         let new = verdict(&edge.arrive(request(1, "safe", "limited")));
         assert_eq!(new.is_none(), passes, "began at {secs} s");
     }
@@ -238,21 +238,21 @@
 #[test]
 fn an_instance_tells_what_it_let_pass_before_callers_came_again() {
     let mut edge = EdgeScheduler::new(edge_settings("a"), resources());
-    let mut told = Vec::new();
+    let mut reports = Vec::new();
     for (n, pause) in [1_000, 1_000, 4_900, 5_100].into_iter().enumerate() {
         edge.now += millis(pause);
         edge.step(Event::ConfigConfirmed(edge.now));
         edge.arrive(request(n as u64, "safe", "limited"));
         let used = limit_usage(edge.scheduler.tables(), edge.now);
-        told.push((used[0].units, used[0].before.units));
+        reports.push((used[0].units, used[0].before.units));
     }
     let expected = [(100.0, 0.0), (200.0, 0.0), (300.0, 0.0), (400.0, 300.0)];
-    assert_eq!(told, expected);
+    assert_eq!(reports, expected);
 }
 
 /// Many instances that ask for far more than the limit, in rounds of 20 ms; each hears what the others
 /// let pass `lag` rounds late, by the counts of a lead.
-fn let_pass_in_seconds(instances: usize, secs: u64, lag: usize) -> Vec<f64> {
+fn units_admitted_by_second(instances: usize, secs: u64, lag: usize) -> Vec<f64> {
     let mut edges: Vec<EdgeScheduler> = (0..instances)
         .map(|n| {
             let mut edge = EdgeScheduler::new(edge_settings(&format!("node-{n}")), resources());
@@ -262,7 +262,7 @@
         .collect();
     let mut lead = UseAggregator::default();
     lead.start(|| Uuid::from_u128(1));
-    let mut told: Vec<Event> = Vec::new();
+    let mut reports: Vec<Event> = Vec::new();
     let mut passed = vec![0.0; secs as usize];
     for round in 0..secs * 50 {
         for (n, edge) in edges.iter_mut().enumerate() {
@@ -285,10 +285,14 @@
         for edge in &edges {
             lead.add_member_report(edge.now, &own_use(edge));
         }
-        told.extend(lead.report_for_group("lead").map(Event::SiteUseReported));
-        if let Some(word) = told.len().checked_sub(lag + 1).map(|at| told[at].clone()) {
+        reports.extend(lead.report_for_group("lead").map(Event::SiteUseReported));
+        if let Some(report) = reports
+            .len()
+            .checked_sub(lag + 1)
+            .map(|at| reports[at].clone())
+        {
             for edge in &mut edges {
-                edge.step(word.clone());
+                edge.step(report.clone());
             }
         }
     }
@@ -309,11 +313,11 @@
 #[test]
 fn instances_that_hear_each_other_late_do_not_swing_around_a_limit() {
     // 20 instances ask for 10 requests of 4 tokens a second each, eight times the limit.
-    let passed = let_pass_in_seconds(20, 16, 30);
+    let passed = units_admitted_by_second(20, 16, 30);
     let late = &passed[8..];
-    let most = late.iter().copied().fold(0.0, f64::max);
+    let max_late = late.iter().copied().fold(0.0, f64::max);
     let mean = late.iter().sum::<f64>() / late.len() as f64;
-    assert!(most <= 200.0, "in one second: {passed:?}");
+    assert!(max_late <= 200.0, "in one second: {passed:?}");
     assert!((70.0..=110.0).contains(&mean), "{passed:?}");
 }
 
@@ -322,7 +326,7 @@
 #[test]
 fn an_instance_that_knows_of_no_others_yet_uses_a_small_part_of_a_limit() {
     let mut edge = EdgeScheduler::unaware(edge_settings("a"), resources());
-    let served = served(&mut edge, 400, millis(50), &[]);
+    let served = count_admitted(&mut edge, 400, millis(50), &[]);
     // 20 s at 0.15 of 100 tokens a second, 100 tokens each; alone and aware, it would be 20.
     assert!((3..=4).contains(&served), "{served}");
 }
--- a/crates/firdock-policy/tests/policy/linear_fit.rs
+++ b/crates/firdock-policy/tests/policy/linear_fit.rs
@@ -13,34 +13,34 @@
 
 #[test]
 fn what_short_prompts_teach_does_not_make_long_ones_appear_slow() {
-    let mut line = assumed();
+    let mut fit = assumed();
     for n in 0..60 {
         let tokens = f64::from(200 + 97 * (n % 30));
-        line.learn(tokens, observed(tokens));
+        fit.learn(tokens, observed(tokens));
     }
-    let long = line.at(30_000.0);
+    let long = fit.at(30_000.0);
     assert!((long / observed(30_000.0) - 1.0).abs() < 0.2, "{long} s");
 }
 
 #[test]
 fn samples_of_one_size_move_the_line_there_and_keep_it_rising() {
-    let mut line = assumed();
+    let mut fit = assumed();
     for _ in 0..40 {
-        line.learn(1_000.0, observed(1_000.0));
+        fit.learn(1_000.0, observed(1_000.0));
     }
-    assert!((line.at(1_000.0) - observed(1_000.0)).abs() < 0.01);
-    assert!(line.at(20_000.0) > line.at(1_000.0));
+    assert!((fit.at(1_000.0) - observed(1_000.0)).abs() < 0.01);
+    assert!(fit.at(20_000.0) > fit.at(1_000.0));
 }
 
 #[test]
 fn an_engine_that_turns_slow_is_known_after_some_samples() {
-    let mut line = assumed();
+    let mut fit = assumed();
     for slow in [1.0, 4.0] {
         for n in 0..30 {
             let tokens = f64::from(500 + 401 * (n % 10));
-            line.learn(tokens, slow * observed(tokens));
+            fit.learn(tokens, slow * observed(tokens));
         }
-        let at = line.at(2_000.0);
+        let at = fit.at(2_000.0);
         assert!(
             (at / (slow * observed(2_000.0)) - 1.0).abs() < 0.25,
             "{at} s"
@@ -50,10 +50,10 @@
 
 #[test]
 fn one_sample_far_above_the_line_says_little() {
-    let mut line = assumed();
+    let mut fit = assumed();
     for _ in 0..30 {
-        line.learn(1_000.0, 0.06);
+        fit.learn(1_000.0, 0.06);
     }
-    line.learn(1_000.0, 30.0);
-    assert!(line.at(1_000.0) < 0.1);
+    fit.learn(1_000.0, 30.0);
+    assert!(fit.at(1_000.0) < 0.1);
 }
--- a/crates/firdock-policy/tests/policy/notices.rs
+++ b/crates/firdock-policy/tests/policy/notices.rs
@@ -22,7 +22,7 @@
 
 const BROKE: DispatchUpdate = DispatchUpdate::Broke { delivered: 0 };
 
-fn told(endpoint: &str, notice: Notice, read: Time) -> Event {
+fn report_notice(endpoint: &str, notice: Notice, read: Time) -> Event {
     Event::NoticeReported(NoticeReport {
         endpoint: endpoint.to_owned(),
         member: String::new(),
@@ -31,24 +31,24 @@
     })
 }
 
-fn leaves(edge: &mut EdgeScheduler, endpoint: &str) -> Vec<Action> {
+fn report_leaving(edge: &mut EdgeScheduler, endpoint: &str) -> Vec<Action> {
     let notice = Notice {
         leaving: true,
         ..Notice::default()
     };
-    edge.step(told(endpoint, notice, edge.now))
+    edge.step(report_notice(endpoint, notice, edge.now))
 }
 
 /// The endpoint asks for a time without requests.
-fn asks(edge: &mut EdgeScheduler, endpoint: &str, time: Duration) -> Vec<Action> {
+fn report_backoff(edge: &mut EdgeScheduler, endpoint: &str, time: Duration) -> Vec<Action> {
     let notice = Notice {
         backoff: Some(time),
         ..Notice::default()
     };
-    edge.step(told(endpoint, notice, edge.now))
+    edge.step(report_notice(endpoint, notice, edge.now))
 }
 
-fn alone() -> EdgeScheduler {
+fn single_instance() -> EdgeScheduler {
     EdgeScheduler::new(edge_settings("a"), resources())
 }
 
@@ -69,7 +69,7 @@
 }
 
 /// Where requests go that come at once, each ended as soon as all are here.
-fn reached(edge: &mut EdgeScheduler, numbers: std::ops::Range<u64>) -> Vec<String> {
+fn dispatched_endpoints(edge: &mut EdgeScheduler, numbers: std::ops::Range<u64>) -> Vec<String> {
     edge.step(Event::ConfigConfirmed(edge.now));
     let mut actions: Vec<Action> = Vec::new();
     for n in numbers {
@@ -79,12 +79,12 @@
     while !actions.is_empty() {
         for (of, endpoint) in dispatched(&std::mem::take(&mut actions)) {
             reached.push(endpoint);
-            let news = DispatchUpdate::Ended {
+            let update = DispatchUpdate::Ended {
                 prompt: 0,
                 cached: 0,
                 output: 0,
             };
-            actions.extend(edge.update_dispatch(of.as_u64_pair().1, 1, news));
+            actions.extend(edge.update_dispatch(of.as_u64_pair().1, 1, update));
         }
     }
     reached
@@ -92,15 +92,15 @@
 
 #[test]
 fn an_endpoint_that_said_it_leaves_gets_nothing_new() {
-    let mut edge = alone();
-    leaves(&mut edge, "e1");
-    assert_eq!(reached(&mut edge, 1..6), ["e2"; 5]);
+    let mut edge = single_instance();
+    report_leaving(&mut edge, "e1");
+    assert_eq!(dispatched_endpoints(&mut edge, 1..6), ["e2"; 5]);
 }
 
 #[test]
 fn its_word_outlasts_older_words_of_others_and_its_own_row() {
-    let mut edge = alone();
-    leaves(&mut edge, "e1");
+    let mut edge = single_instance();
+    report_leaving(&mut edge, "e1");
     let ready = vec![ListedInstance {
         name: "e1".to_owned(),
         leaving: false,
@@ -117,12 +117,12 @@
         added: Vec::new(),
         removed: Vec::new(),
     }));
-    assert_eq!(reached(&mut edge, 1..4), ["e2"; 3]);
+    assert_eq!(dispatched_endpoints(&mut edge, 1..4), ["e2"; 3]);
     // Its entry lapses while the store is away, and comes back as it was before.
     apply(&mut edge, 2, without("e1"));
     edge.advance(millis(30_000));
     apply(&mut edge, 3, resources());
-    assert_eq!(reached(&mut edge, 4..8), ["e2"; 4]);
+    assert_eq!(dispatched_endpoints(&mut edge, 4..8), ["e2"; 4]);
 }
 
 /// The catalog with `e1` as it started at a second.
@@ -142,26 +142,26 @@
 fn its_word_ends_with_its_next_start() {
     let mut edge = EdgeScheduler::new(edge_settings("a"), started(8));
     let earlier = row(&edge, "e1").start_id.clone();
-    leaves(&mut edge, &earlier);
-    assert_eq!(reached(&mut edge, 1..5), ["e2"; 4]);
+    report_leaving(&mut edge, &earlier);
+    assert_eq!(dispatched_endpoints(&mut edge, 1..5), ["e2"; 4]);
     apply(&mut edge, 2, started(9));
     // A late word of the earlier start changes nothing of the later one.
-    leaves(&mut edge, &earlier);
-    asks(&mut edge, &earlier, millis(3_000));
-    let open = reached(&mut edge, 5..10);
+    report_leaving(&mut edge, &earlier);
+    report_backoff(&mut edge, &earlier, millis(3_000));
+    let open = dispatched_endpoints(&mut edge, 5..10);
     assert!(open.contains(&"e1".to_owned()), "{open:?}");
 }
 
 #[test]
 fn a_place_on_an_endpoint_that_said_it_leaves_is_given_back() {
     for backoff in [false, true] {
-        let mut edge = alone();
+        let mut edge = single_instance();
         edge.step(Event::Coordinated(true));
         edge.arrive(request(1, "once", "free"));
         if backoff {
-            asks(&mut edge, "e1", millis(3_000));
+            report_backoff(&mut edge, "e1", millis(3_000));
         } else {
-            leaves(&mut edge, "e1");
+            report_leaving(&mut edge, "e1");
         }
         let grant = Grant {
             id: id(1),
@@ -176,37 +176,37 @@
 
 #[test]
 fn an_endpoint_that_asked_for_a_time_gets_nothing_until_its_end() {
-    let mut edge = alone();
-    asks(&mut edge, "e1", millis(3_000));
-    assert_eq!(reached(&mut edge, 1..6), ["e2"; 5]);
+    let mut edge = single_instance();
+    report_backoff(&mut edge, "e1", millis(3_000));
+    assert_eq!(dispatched_endpoints(&mut edge, 1..6), ["e2"; 5]);
     edge.advance(millis(2_900));
-    assert_eq!(reached(&mut edge, 6..11), ["e2"; 5]);
+    assert_eq!(dispatched_endpoints(&mut edge, 6..11), ["e2"; 5]);
     edge.advance(millis(101));
-    assert!(reached(&mut edge, 11..16).contains(&"e1".to_owned()));
+    assert!(dispatched_endpoints(&mut edge, 11..16).contains(&"e1".to_owned()));
 }
 
 #[test]
 fn the_time_runs_from_the_receipt_and_its_latest_end_counts() {
-    let mut edge = alone();
+    let mut edge = single_instance();
     let notice = |secs| Notice {
         backoff: Some(Duration::from_secs(secs)),
         ..Notice::default()
     };
     // The answer was read a second ago, while the process stood still.
     let read = edge.now.saturating_sub(millis(1_000));
-    edge.step(told("e1", notice(3), read));
-    edge.step(told("e1", notice(1), read + millis(100)));
+    edge.step(report_notice("e1", notice(3), read));
+    edge.step(report_notice("e1", notice(1), read + millis(100)));
     edge.advance(millis(1_900));
-    assert_eq!(reached(&mut edge, 1..4), ["e2"; 3]);
+    assert_eq!(dispatched_endpoints(&mut edge, 1..4), ["e2"; 3]);
     edge.advance(millis(101));
-    assert!(reached(&mut edge, 4..9).contains(&"e1".to_owned()));
+    assert!(dispatched_endpoints(&mut edge, 4..9).contains(&"e1".to_owned()));
 }
 
 /// A server that wants a pause is well: neither what it refuses nor what it fails meanwhile counts
 /// against it, and it is whole again at the end of its time.
 #[test]
 fn a_time_that_was_asked_for_is_no_failure() {
-    let mut edge = alone();
+    let mut edge = single_instance();
     for n in 1..=4 {
         edge.arrive(request(n, "safe", "free"));
     }
@@ -217,7 +217,7 @@
         })
         .collect();
     assert_eq!(at_e1.len(), 2);
-    asks(&mut edge, "e1", millis(3_000));
+    report_backoff(&mut edge, "e1", millis(3_000));
     for n in at_e1 {
         edge.update_dispatch(n, 1, BROKE);
     }
@@ -230,9 +230,9 @@
 /// Requests wait for the first end, within their callers' time; the others hear at once when to come.
 #[test]
 fn when_all_ask_for_a_time_some_wait_and_the_rest_is_told_when_to_come_back() {
-    let mut edge = alone();
-    asks(&mut edge, "e1", millis(1_000));
-    asks(&mut edge, "e2", millis(3_000));
+    let mut edge = single_instance();
+    report_backoff(&mut edge, "e1", millis(1_000));
+    report_backoff(&mut edge, "e2", millis(3_000));
     let mut times = Vec::new();
     for n in 1..=20 {
         let mut new = request(n, "once", "free");
@@ -266,12 +266,12 @@
 /// A request that may have run is not told that it has not, though it waits for an endpoint's time.
 #[test]
 fn a_repeat_that_cannot_wait_is_told_the_truth() {
-    let mut edge = alone();
+    let mut edge = single_instance();
     let mut new = request(1, "safe", "free");
     new.deadline = Some(edge.now + millis(700));
     let first = dispatched(&edge.arrive(new))[0].1.clone();
     for endpoint in ["e1", "e2"] {
-        asks(&mut edge, endpoint, millis(3_000));
+        report_backoff(&mut edge, endpoint, millis(3_000));
     }
     let actions = edge.update_dispatch(1, 1, BROKE);
     assert!(dispatched(&actions).is_empty(), "after {first}");
@@ -314,12 +314,12 @@
         let over: Vec<_> = running.extract_if(.., |(at, ..)| *at <= edge.now).collect();
         for (_, n, dispatch) in over {
             served += 1;
-            let news = DispatchUpdate::Ended {
+            let update = DispatchUpdate::Ended {
                 prompt: 0,
                 cached: 0,
                 output: 0,
             };
-            queue.extend(edge.update_dispatch(n, dispatch, news));
+            queue.extend(edge.update_dispatch(n, dispatch, update));
         }
         while let Some(action) = queue.pop() {
             let Action::Dispatch(d) = action else {
@@ -335,11 +335,11 @@
             let in_time = *since + millis(500)..*since + millis(3_000);
             late += u64::from(in_time.contains(&edge.now));
             let endpoint = d.endpoint.clone();
-            queue.extend(asks(&mut edge, &endpoint, millis(3_000)));
+            queue.extend(report_backoff(&mut edge, &endpoint, millis(3_000)));
             queue.extend(edge.update_dispatch(n, d.dispatch, REFUSED));
         }
     }
-    println!("{served} of {sent} served, {late} sent against the endpoints' word");
+    println!("{served} of {sent} served, {late} sent to endpoints that asked for none");
     assert_eq!(late, 0);
     assert_eq!(served, sent);
 }
--- a/crates/firdock-policy/tests/policy/pace_reports.rs
+++ b/crates/firdock-policy/tests/policy/pace_reports.rs
@@ -12,7 +12,7 @@
 use crate::fixtures::{dispatched, id, millis};
 
 /// Seconds to a first token of an engine of usual pace.
-fn usual(tokens: f64) -> f64 {
+fn usual_first_token_secs(tokens: f64) -> f64 {
     0.04 + tokens / 56_000.0
 }
 
@@ -20,7 +20,7 @@
     Pace::from_hundredths(hundredths).expect("a pace within its bounds")
 }
 
-fn told(edge: &mut EdgeScheduler, endpoint: &str, hundredths: u32) {
+fn report_pace(edge: &mut EdgeScheduler, endpoint: &str, hundredths: u32) {
     let read = edge.now;
     edge.step(Event::PaceReported(PaceReport {
         endpoint: endpoint.to_owned(),
@@ -31,11 +31,11 @@
 
 /// A coordinator of a fast engine `e1` and a slow one `e2`, whose service `safe` streams events of seven
 /// tokens and has a gap target of 300 ms, as that of the users' listeners.
-fn uneven() -> EdgeScheduler {
-    uneven_of(2)
+fn fast_and_slow_engines() -> EdgeScheduler {
+    fast_and_slow_engines_with_slots(2)
 }
 
-fn uneven_of(slots: u32) -> EdgeScheduler {
+fn fast_and_slow_engines_with_slots(slots: u32) -> EdgeScheduler {
     let mut all = resources();
     for resource in &mut all {
         match resource {
@@ -66,23 +66,23 @@
     };
     all.push(Resource::Service(tags));
     let mut edge = EdgeScheduler::new(edge_settings("a").with_coordination(), all);
-    told(&mut edge, "e1", 68);
-    told(&mut edge, "e2", 300);
+    report_pace(&mut edge, "e1", 68);
+    report_pace(&mut edge, "e2", 300);
     edge
 }
 
 /// Teaches the pool: answers of both engines, each as long as its pace says.
-fn teach(edge: &mut EdgeScheduler, answers: u64) {
+fn learn_latencies(edge: &mut EdgeScheduler, answers: u64) {
     for n in 0..answers {
         let tokens = 300 + 1_700 * (n % 5) as u32;
-        let mut new = asked(1_000 + n, "safe", tokens, 385);
+        let mut new = request_with_tokens(1_000 + n, "safe", tokens, 385);
         new.deadline = None;
         let placed = dispatched(&edge.arrive(new));
         let Some((_, at)) = placed.first() else {
             panic!("an engine is free");
         };
         let slow = if at == "e1" { 0.68 } else { 3.0 };
-        told(edge, &at.clone(), (100.0 * slow) as u32);
+        report_pace(edge, &at.clone(), (100.0 * slow) as u32);
         edge.now += Time::from_secs_f64(0.04 + slow * f64::from(tokens) / 56_000.0);
         edge.update_dispatch(1_000 + n, 1, TOKENS);
         edge.now += Time::from_secs_f64(slow * 384.0 * 0.008);
@@ -104,7 +104,7 @@
     }
 }
 
-fn asked(n: u64, service: &str, prompt: u32, output: u32) -> NewRequest {
+fn request_with_tokens(n: u64, service: &str, prompt: u32, output: u32) -> NewRequest {
     NewRequest {
         prompt_tokens: prompt,
         output_tokens: output,
@@ -145,20 +145,24 @@
         let slow = (n / 5) % 7 == 0;
         let figure = pace(if slow { 250 } else { 100 });
         let before = seen.update(figure, at);
-        let own = seen.baseline().expect("a figure was told");
+        let own = seen.baseline().expect("a pace was reported");
         pool.learn_pace(figure, at, own, before);
     }
     let now = millis(1_000 + 100 * 1_999 + 50);
     seen.update(pace(250), now);
     let over = |secs: f64, later: u64| {
         seen.mean_over(now + millis(later), secs, &pool)
-            .expect("told")
+            .expect("a pace was reported")
     };
     assert!(over(0.05, 0) > 2.2, "{}", over(0.05, 0));
-    let usual = pool.slow_phases.mean_factor();
-    assert!((1.1..1.4).contains(&usual), "{usual}");
-    assert!(over(8.0, 0) < usual + 0.2, "{}", over(8.0, 0));
-    assert!(over(0.05, 2_000) < usual + 0.1, "{}", over(0.05, 2_000));
+    let mean_factor = pool.slow_phases.mean_factor();
+    assert!((1.1..1.4).contains(&mean_factor), "{mean_factor}");
+    assert!(over(8.0, 0) < mean_factor + 0.2, "{}", over(8.0, 0));
+    assert!(
+        over(0.05, 2_000) < mean_factor + 0.1,
+        "{}",
+        over(0.05, 2_000)
+    );
 }
 
 /// A pool's engines teach one line: four times as slow ones and slow moments change nothing in it.
@@ -172,7 +176,7 @@
         pool.learn_first(tokens, pace, Time::from_secs_f64(secs));
     }
     for (tokens, pace) in [(6_600.0, 0.68), (6_600.0, 3.0), (40_000.0, 1.0)] {
-        let expected = 0.04 + pace * (usual(tokens) - 0.04);
+        let expected = 0.04 + pace * (usual_first_token_secs(tokens) - 0.04);
         let got = pool.first_token_secs(tokens, pace);
         assert!((got / expected - 1.0).abs() < 0.2, "{got} for {expected}");
     }
@@ -181,10 +185,10 @@
 /// 47,000 prompt tokens take 2.5 s on a slow engine, whose caller leaves after 3.2 s.
 #[test]
 fn a_giant_prompt_goes_to_a_fast_engine_and_never_to_one_that_told_nothing_yet() {
-    let mut edge = uneven();
-    teach(&mut edge, 30);
+    let mut edge = fast_and_slow_engines();
+    learn_latencies(&mut edge, 30);
     assert_eq!(
-        place(&mut edge, asked(1, "safe", 47_000, 385)),
+        place(&mut edge, request_with_tokens(1, "safe", 47_000, 385)),
         Some("e1".to_owned())
     );
     // Of two engines, the one that told nothing may be a slow one.
@@ -196,15 +200,15 @@
         ..Endpoint::default()
     }));
     let mut edge = EdgeScheduler::new(edge_settings("a").with_coordination(), all);
-    told(&mut edge, "e1", 68);
-    told(&mut edge, "e2", 300);
+    report_pace(&mut edge, "e1", 68);
+    report_pace(&mut edge, "e2", 300);
     assert_eq!(
-        place(&mut edge, asked(1, "safe", 47_000, 10)),
+        place(&mut edge, request_with_tokens(1, "safe", 47_000, 10)),
         Some("e1".to_owned())
     );
     // A short one tells which it is.
     assert_ne!(
-        place(&mut edge, asked(2, "safe", 90, 10)),
+        place(&mut edge, request_with_tokens(2, "safe", 90, 10)),
         Some("e1".to_owned())
     );
 }
@@ -213,45 +217,48 @@
 /// 300 ms; one of 21 tokens is over before.
 #[test]
 fn long_answers_take_fast_engines_and_short_ones_leave_them_those() {
-    let mut edge = uneven_of(9);
-    teach(&mut edge, 30);
-    noisy(&mut edge);
+    let mut edge = fast_and_slow_engines_with_slots(9);
+    learn_latencies(&mut edge, 30);
+    add_slow_phases(&mut edge);
     for n in 1..=8 {
-        let at = place(&mut edge, asked(n, "safe", 1_800, 385));
+        let at = place(&mut edge, request_with_tokens(n, "safe", 1_800, 385));
         assert_eq!(at, Some("e1".to_owned()));
         edge.update_dispatch(n, 1, TOKENS);
     }
-    let at = place(&mut edge, asked(9, "tags", 1_800, 21));
+    let at = place(&mut edge, request_with_tokens(9, "tags", 1_800, 21));
     assert_eq!(at, Some("e2".to_owned()));
 }
 
 /// Lets the slow engine have slow moments, as many as are usual where servers share their machines.
-fn noisy(edge: &mut EdgeScheduler) {
+fn add_slow_phases(edge: &mut EdgeScheduler) {
     for n in 0..600 {
         edge.now += millis(100);
         let slow = (n / 5) % 7 == 0;
-        told(edge, "e2", if slow { 750 } else { 300 });
+        report_pace(edge, "e2", if slow { 750 } else { 300 });
     }
     edge.now += millis(1);
-    told(edge, "e1", 68);
-    told(edge, "e2", 300);
+    report_pace(edge, "e1", 68);
+    report_pace(edge, "e2", 300);
     edge.step(Event::ConfigConfirmed(edge.now));
 }
 
 #[test]
 fn an_answer_waits_for_a_place_that_fits_and_is_passed_by_those_that_fit_elsewhere() {
-    let mut edge = uneven();
-    teach(&mut edge, 30);
-    noisy(&mut edge);
+    let mut edge = fast_and_slow_engines();
+    learn_latencies(&mut edge, 30);
+    add_slow_phases(&mut edge);
     for n in 1..=2 {
         assert_eq!(
-            place(&mut edge, asked(n, "safe", 1_800, 385)),
+            place(&mut edge, request_with_tokens(n, "safe", 1_800, 385)),
             Some("e1".to_owned())
         );
     }
-    assert_eq!(place(&mut edge, asked(3, "safe", 1_800, 385)), None);
     assert_eq!(
-        place(&mut edge, asked(4, "tags", 1_800, 21)),
+        place(&mut edge, request_with_tokens(3, "safe", 1_800, 385)),
+        None
+    );
+    assert_eq!(
+        place(&mut edge, request_with_tokens(4, "tags", 1_800, 21)),
         Some("e2".to_owned())
     );
     // It takes what fits as soon as that is free.
@@ -262,11 +269,11 @@
 
 #[test]
 fn an_answer_that_waited_a_part_of_its_target_takes_what_is_free() {
-    let mut edge = uneven();
-    teach(&mut edge, 30);
-    noisy(&mut edge);
+    let mut edge = fast_and_slow_engines();
+    learn_latencies(&mut edge, 30);
+    add_slow_phases(&mut edge);
     for n in 1..=3 {
-        place(&mut edge, asked(n, "safe", 1_800, 385));
+        place(&mut edge, request_with_tokens(n, "safe", 1_800, 385));
     }
     assert!(dispatched(&edge.advance(millis(280))).is_empty());
     let placed = dispatched(&edge.advance(millis(30)));
@@ -274,17 +281,17 @@
 }
 
 /// Lets the slow engine tell a tenth of its pace until nobody believes it.
-fn untrue() -> EdgeScheduler {
-    let mut edge = uneven();
-    teach(&mut edge, 150);
-    told(&mut edge, "e2", 10);
+fn with_false_paces() -> EdgeScheduler {
+    let mut edge = fast_and_slow_engines();
+    learn_latencies(&mut edge, 150);
+    report_pace(&mut edge, "e2", 10);
     for n in 0..40_u64 {
-        let new = asked(n, "safe", 4_000, 385);
+        let new = request_with_tokens(n, "safe", 4_000, 385);
         let Some(at) = place(&mut edge, new) else {
             panic!("an engine is free");
         };
         let slow = if at == "e1" { 0.68 } else { 3.0 };
-        told(&mut edge, &at, if at == "e1" { 68 } else { 10 });
+        report_pace(&mut edge, &at, if at == "e1" { 68 } else { 10 });
         edge.now += Time::from_secs_f64(0.04 + slow * 4_000.0 / 56_000.0);
         edge.update_dispatch(n, 1, TOKENS);
         edge.now += Time::from_secs_f64(slow * 384.0 * 0.008);
@@ -297,9 +304,9 @@
 /// A server that tells a tenth of its pace would draw all long prompts.
 #[test]
 fn a_server_whose_figures_are_untrue_is_reckoned_by_its_answers() {
-    let mut edge = untrue();
+    let mut edge = with_false_paces();
     assert_eq!(
-        place(&mut edge, asked(900, "safe", 47_000, 385)),
+        place(&mut edge, request_with_tokens(900, "safe", 47_000, 385)),
         Some("e1".to_owned())
     );
 }
@@ -308,15 +315,18 @@
 /// an answer fits there; nobody waits for it.
 #[test]
 fn nobody_waits_for_a_full_engine_whose_figures_are_untrue() {
-    let mut edge = untrue();
+    let mut edge = with_false_paces();
     for n in 901..=904 {
-        let new = asked(n, "safe", 1_800, 385);
+        let new = request_with_tokens(n, "safe", 1_800, 385);
         assert!(!dispatched(&edge.arrive(new)).is_empty());
         edge.update_dispatch(n, 1, TOKENS);
     }
-    assert_eq!(place(&mut edge, asked(905, "safe", 20_000, 385)), None);
+    assert_eq!(
+        place(&mut edge, request_with_tokens(905, "safe", 20_000, 385)),
+        None
+    );
     // All moments of the other engine are slow now, so that a long prompt is late there.
-    told(&mut edge, "e1", 750);
+    report_pace(&mut edge, "e1", 750);
     let t = edge.scheduler.tables();
     let there = |n: &u64| {
         let row = t.requests.get(id(*n));
@@ -334,7 +344,7 @@
 fn where_no_pace_is_told_nothing_changes() {
     let mut edge = EdgeScheduler::new(edge_settings("a").with_coordination(), resources());
     for n in 1..=4 {
-        assert!(place(&mut edge, asked(n, "safe", 1_000, 385)).is_some());
+        assert!(place(&mut edge, request_with_tokens(n, "safe", 1_000, 385)).is_some());
     }
     assert!(edge.scheduler.tables().pool_latencies.get("pool").is_none());
 }
@@ -354,7 +364,7 @@
         let new = request(n, "safe", "free");
         let at = place(&mut edge, new).expect("a server is free");
         edge.now += millis(20);
-        told(&mut edge, &at, 100);
+        report_pace(&mut edge, &at, 100);
         edge.end(n);
         edge.step(Event::ConfigConfirmed(edge.now));
     }
--- a/crates/firdock-policy/tests/policy/random.rs
+++ b/crates/firdock-policy/tests/policy/random.rs
@@ -80,14 +80,14 @@
     quarantined.get()
 }
 
-fn number(name: &str) -> Option<u64> {
+fn env_number(name: &str) -> Option<u64> {
     std::env::var(name).ok()?.parse().ok()
 }
 
 fn seeds(count: u64) -> std::ops::Range<u64> {
-    match number("FIRDOCK_SEED") {
+    match env_number("FIRDOCK_SEED") {
         Some(seed) => seed..seed + 1,
-        None => 0..number("FIRDOCK_SEEDS").unwrap_or(count),
+        None => 0..env_number("FIRDOCK_SEEDS").unwrap_or(count),
     }
 }
 
@@ -102,6 +102,6 @@
 fn every_promise_is_kept_while_endpoints_start_again_under_their_names() {
     let seeds = seeds(SEEDS_WITH_RESTARTS);
     let quarantined: u64 = seeds.map(|seed| run_seed(seed, op_with_restarts())).sum();
-    let one_seed = number("FIRDOCK_SEED").is_some();
+    let one_seed = env_number("FIRDOCK_SEED").is_some();
     assert!(quarantined > 0 || one_seed, "no request ended endpoints");
 }
--- a/crates/firdock-policy/tests/policy/rollout.rs
+++ b/crates/firdock-policy/tests/policy/rollout.rs
@@ -21,8 +21,8 @@
 const OLD: &str = "v1";
 const NEW: &str = "v2";
 /// Pause between two requests.
-const PAUSE: Duration = Duration::from_millis(10);
-const TIME: Duration = Duration::from_secs(12);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(10);
+const ROLLOUT_TIME: Duration = Duration::from_secs(12);
 
 fn engine(name: &str, version: &str) -> Resource {
     Resource::Endpoint(Endpoint {
@@ -38,7 +38,7 @@
     Rollout {
         pool: "pool".to_owned(),
         version: version.to_owned(),
-        time_millis: TIME.as_millis() as u64,
+        time_millis: ROLLOUT_TIME.as_millis() as u64,
         order,
     }
 }
@@ -65,7 +65,7 @@
 }
 
 /// An instance that leads the site, with engines of the old version only.
-struct Site {
+struct RolloutSite {
     edge: EdgeScheduler,
     next: u64,
     sent: u64,
@@ -73,7 +73,7 @@
     records: Vec<RolloutRecord>,
 }
 
-impl Site {
+impl RolloutSite {
     fn new() -> Self {
         let mut edge = EdgeScheduler::new(rollout_settings(), resources());
         edge.step(catalog(ENGINES, 0, &[]));
@@ -94,7 +94,7 @@
         site
     }
 
-    fn note(&mut self, actions: &[Action]) {
+    fn record_actions(&mut self, actions: &[Action]) {
         let records = actions.iter().filter_map(|a| match a {
             Action::Record(record) => Some(record.clone()),
             _ => None,
@@ -114,13 +114,13 @@
     }
 
     /// Lets a second's requests come, each answered at once, as `bad` tells for the new version.
-    fn second(&mut self, bad: impl Fn(u64, &str) -> bool) {
+    fn run_second(&mut self, bad: impl Fn(u64, &str) -> bool) {
         for _ in 0..100 {
-            self.edge.now += PAUSE;
+            self.edge.now += REQUEST_INTERVAL;
             let fresh = Event::ConfigConfirmed(self.edge.now);
             self.edge.step(fresh);
             let actions = self.edge.step(Event::Timer);
-            self.note(&actions);
+            self.record_actions(&actions);
             let service = if self.next.is_multiple_of(4) {
                 "once"
             } else {
@@ -154,7 +154,7 @@
     }
 }
 
-fn word(stage: Stage, age: Duration) -> Event {
+fn peer_status(stage: Stage, age: Duration) -> Event {
     Event::Rollout(RolloutStatus {
         pool: "pool".to_owned(),
         order: 7,
@@ -166,24 +166,24 @@
 
 #[test]
 fn a_good_version_gets_little_until_the_end_and_everything_then() {
-    let mut site = Site::ordered();
+    let mut site = RolloutSite::ordered();
     for second in 1..=11 {
-        site.second(|_, _| false);
-        let most = 0.08 * site.sent as f64 + 25.0;
+        site.run_second(|_, _| false);
+        let max_exposed = 0.08 * site.sent as f64 + 25.0;
         assert!(
-            (site.exposed as f64) < most,
+            (site.exposed as f64) < max_exposed,
             "{} in second {second}",
             site.exposed
         );
     }
     assert!(site.exposed > 20, "it is tried: {}", site.exposed);
-    site.second(|_, _| false);
+    site.run_second(|_, _| false);
     let last = site.records.last().expect("a record");
     assert_eq!(last.stage, Stage::Completed);
-    assert!(last.age < TIME, "{:?}", last.age);
-    let most = 0.1 * site.sent as f64 + 50.0;
+    assert!(last.age < ROLLOUT_TIME, "{:?}", last.age);
+    let max_exposed = 0.1 * site.sent as f64 + 50.0;
     assert!(
-        (site.exposed as f64) < most,
+        (site.exposed as f64) < max_exposed,
         "{} of {}",
         site.exposed,
         site.sent
@@ -192,8 +192,8 @@
 
 #[test]
 fn an_order_is_told_to_run_as_soon_as_it_is_known() {
-    let mut site = Site::ordered();
-    site.second(|_, _| false);
+    let mut site = RolloutSite::ordered();
+    site.run_second(|_, _| false);
     assert_eq!(site.records[0].stage, Stage::Watching);
     assert_eq!((site.records[0].order, &*site.records[0].version), (7, NEW));
     assert_eq!(site.records.len(), 1, "a record is asked for once");
@@ -201,9 +201,9 @@
 
 #[test]
 fn a_version_that_fails_gets_nothing_any_more_and_is_rolled_back() {
-    let mut site = Site::ordered();
+    let mut site = RolloutSite::ordered();
     while site.stage() == Stage::Watching {
-        site.second(|n, _| n.is_multiple_of(2));
+        site.run_second(|n, _| n.is_multiple_of(2));
         assert!(site.sent < 1_200, "its failures were not seen");
     }
     let exposed = site.exposed;
@@ -212,34 +212,34 @@
         Stage::RolledBack
     );
     assert!(!site.records.last().expect("a record").reason.is_empty());
-    site.second(|_, _| true);
+    site.run_second(|_, _| true);
     assert_eq!(site.exposed, exposed);
     site.record(Stage::RolledBack);
-    site.second(|_, _| true);
+    site.run_second(|_, _| true);
     assert_eq!(site.exposed, exposed);
 }
 
 #[test]
 fn a_version_that_fails_one_services_requests_is_found() {
-    let mut site = Site::ordered();
+    let mut site = RolloutSite::ordered();
     for _ in 0..11 {
-        site.second(|n, service| service == "once" && n.is_multiple_of(8));
+        site.run_second(|n, service| service == "once" && n.is_multiple_of(8));
     }
     assert_eq!(site.stage(), Stage::Halted, "{} tried", site.exposed);
 }
 
 #[test]
 fn a_version_that_turns_bad_later_is_found() {
-    let mut site = Site::ordered();
+    let mut site = RolloutSite::ordered();
     for second in 0..11 {
-        site.second(|n, _| second >= 6 && n.is_multiple_of(2));
+        site.run_second(|n, _| second >= 6 && n.is_multiple_of(2));
     }
     assert_eq!(site.stage(), Stage::Halted, "{} tried", site.exposed);
 }
 
 #[test]
 fn an_endpoint_that_fails_alone_is_no_verdict_on_its_version() {
-    let mut site = Site::ordered();
+    let mut site = RolloutSite::ordered();
     for _ in 0..8 {
         // The engine whose requests fail is told by the request's answer: one of two canaries at most.
         let canary = site
@@ -250,11 +250,11 @@
             .of("pool")
             .and_then(|r| r.canaries.first().copied());
         for _ in 0..100 {
-            site.edge.now += PAUSE;
+            site.edge.now += REQUEST_INTERVAL;
             let fresh = Event::ConfigConfirmed(site.edge.now);
             site.edge.step(fresh);
             let actions = site.edge.step(Event::Timer);
-            site.note(&actions);
+            site.record_actions(&actions);
             let Some((n, engine)) = site.send("safe") else {
                 continue;
             };
@@ -270,23 +270,23 @@
 
 #[test]
 fn only_the_instance_that_leads_decides() {
-    let mut site = Site::ordered();
+    let mut site = RolloutSite::ordered();
     site.edge.step(Event::Decides(false));
     for _ in 0..12 {
-        site.second(|n, _| n.is_multiple_of(2));
+        site.run_second(|n, _| n.is_multiple_of(2));
     }
     assert_eq!(site.stage(), Stage::Watching);
     assert!(site.records.is_empty());
-    site.edge.step(word(Stage::Halted, Duration::ZERO));
+    site.edge.step(peer_status(Stage::Halted, Duration::ZERO));
     assert_eq!(site.stage(), Stage::Halted);
     let exposed = site.exposed;
-    site.second(|_, _| false);
-    assert_eq!(site.exposed, exposed, "a peer's word stops it as well");
+    site.run_second(|_, _| false);
+    assert_eq!(site.exposed, exposed, "a peer's status stops it as well");
 }
 
 #[test]
 fn what_other_instances_and_groups_saw_counts() {
-    let mut site = Site::ordered();
+    let mut site = RolloutSite::ordered();
     let mut seen = Evidence::new("pool".to_owned(), 7);
     seen.sent = 1_000;
     seen.exposed = 40;
@@ -319,11 +319,11 @@
 
 #[test]
 fn a_peer_that_knew_the_order_earlier_tells_its_age() {
-    let mut site = Site::ordered();
+    let mut site = RolloutSite::ordered();
     site.edge
-        .step(word(Stage::Watching, Duration::from_secs(11)));
-    site.second(|_, _| false);
-    site.second(|_, _| false);
+        .step(peer_status(Stage::Watching, Duration::from_secs(11)));
+    site.run_second(|_, _| false);
+    site.run_second(|_, _| false);
     let last = site.records.last().expect("a record");
     assert_eq!(last.stage, Stage::Completed, "{last:?}");
 }
@@ -335,13 +335,13 @@
         (Stage::Completed, Stage::RolledBack),
         (Stage::RolledBack, Stage::Completed),
     ] {
-        let mut site = Site::ordered();
+        let mut site = RolloutSite::ordered();
         site.record(recorded);
-        site.edge.step(word(other, Duration::ZERO));
+        site.edge.step(peer_status(other, Duration::ZERO));
         site.record(other);
         assert_eq!(site.stage(), recorded);
         let exposed = site.exposed;
-        site.second(|_, _| false);
+        site.run_second(|_, _| false);
         let all = site.exposed - exposed;
         assert_eq!(all, if recorded == Stage::Completed { 100 } else { 0 });
     }
@@ -349,24 +349,24 @@
 
 #[test]
 fn nothing_moves_while_the_new_version_has_too_few_endpoints() {
-    let mut site = Site::new();
+    let mut site = RolloutSite::new();
     site.edge.step(catalog(ENGINES, 3, &[order(NEW, 7)]));
     for _ in 0..14 {
-        site.second(|_, _| false);
+        site.run_second(|_, _| false);
     }
     assert_eq!(site.stage(), Stage::Watching);
     site.edge.step(catalog(ENGINES, ENGINES, &[order(NEW, 7)]));
-    site.second(|_, _| false);
+    site.run_second(|_, _| false);
     assert_eq!(site.stage(), Stage::Moving, "late is better than never");
 }
 
 #[test]
 fn endpoints_of_a_new_version_wait_until_no_order_can_be_missing() {
-    let mut site = Site::new();
-    site.second(|_, _| false);
+    let mut site = RolloutSite::new();
+    site.run_second(|_, _| false);
     site.edge.step(catalog(ENGINES, 3, &[]));
     for _ in 0..50 {
-        site.edge.now += PAUSE;
+        site.edge.now += REQUEST_INTERVAL;
         let sent = site.send("safe").expect("it is sent");
         assert!(sent.1.starts_with("old"), "{}", sent.1);
         site.edge.end(sent.0);
@@ -382,14 +382,14 @@
 
 #[test]
 fn an_order_that_is_read_again_changes_nothing_and_a_later_one_begins_anew() {
-    let mut site = Site::ordered();
+    let mut site = RolloutSite::ordered();
     site.record(Stage::RolledBack);
     site.edge.step(catalog(ENGINES, ENGINES, &[order(NEW, 7)]));
     assert_eq!(site.stage(), Stage::RolledBack);
     site.edge.step(catalog(ENGINES, ENGINES, &[order(NEW, 9)]));
     assert_eq!(site.stage(), Stage::Watching);
-    site.second(|_, _| false);
-    site.second(|_, _| false);
+    site.run_second(|_, _| false);
+    site.run_second(|_, _| false);
     assert!(
         site.exposed > 0,
         "what was given up is tried again by order"
@@ -398,11 +398,11 @@
 
 #[test]
 fn an_order_back_to_the_old_version_takes_the_traffic_back_at_once() {
-    let mut site = Site::ordered();
-    site.second(|_, _| false);
+    let mut site = RolloutSite::ordered();
+    site.run_second(|_, _| false);
     site.edge.step(catalog(ENGINES, ENGINES, &[order(OLD, 9)]));
     let exposed = site.exposed;
-    site.second(|_, _| false);
+    site.run_second(|_, _| false);
     assert_eq!(site.exposed, exposed);
     assert_eq!(
         site.records.last().expect("a record").stage,
@@ -412,8 +412,8 @@
 
 #[test]
 fn an_order_to_a_third_version_leaves_the_second_without_work() {
-    let mut site = Site::ordered();
-    site.second(|_, _| false);
+    let mut site = RolloutSite::ordered();
+    site.run_second(|_, _| false);
     site.edge.step(catalog(ENGINES, ENGINES, &[order("v3", 9)]));
     let exposed = site.exposed;
     // More than the first version's engines have places for.
@@ -425,10 +425,10 @@
 
 #[test]
 fn an_order_to_the_version_that_all_endpoints_have_is_completed() {
-    let mut site = Site::new();
+    let mut site = RolloutSite::new();
     site.edge.step(catalog(ENGINES, 0, &[order(OLD, 7)]));
     for _ in 0..5 {
-        site.second(|_, _| false);
+        site.run_second(|_, _| false);
     }
     assert_eq!(
         site.records.last().expect("a record").stage,
@@ -438,10 +438,10 @@
 
 #[test]
 fn a_place_on_a_version_that_was_given_up_is_not_used() {
-    let mut site = Site::ordered();
+    let mut site = RolloutSite::ordered();
     site.edge.step(Event::Coordinated(true));
     site.edge.arrive(request(1, "once", "free"));
-    site.edge.step(word(Stage::Halted, Duration::ZERO));
+    site.edge.step(peer_status(Stage::Halted, Duration::ZERO));
     let grant = firdock_policy::event::Grant {
         id: id(1),
         endpoint: "new-0".to_owned(),
@@ -464,16 +464,16 @@
     ) {
         let mut settings = rollout_settings();
         settings.rollouts = Rollouts { exposure_ratio: ratio, exposure_slack: slack };
-        let mut site = Site::new();
+        let mut site = RolloutSite::new();
         site.edge = EdgeScheduler::new(settings, resources());
         site.edge.step(catalog(ENGINES, 0, &[]));
         site.edge.step(Event::Decides(true));
         site.edge.step(catalog(ENGINES, ENGINES, &[order(NEW, 7)]));
         for second in 0..12 {
             let every = (1.0 / spoiled.max(0.01)) as u64;
-            site.second(|n, _| second >= from && n.is_multiple_of(every.max(1)));
+            site.run_second(|n, _| second >= from && n.is_multiple_of(every.max(1)));
         }
-        let most = ratio * site.sent as f64 + slack + 1.0;
-        prop_assert!(site.exposed as f64 <= most, "{} of {}, {most}", site.exposed, site.sent);
+        let max_exposed = ratio * site.sent as f64 + slack + 1.0;
+        prop_assert!(site.exposed as f64 <= max_exposed, "{} of {}, {max_exposed}", site.exposed, site.sent);
     }
 }
--- a/crates/firdock-policy/tests/policy/rules.rs
+++ b/crates/firdock-policy/tests/policy/rules.rs
@@ -330,10 +330,10 @@
         if first.is_empty() {
             d.advance(Duration::from_secs(40));
         }
-        let mut tries = 0;
+        let mut attempts = 0;
         while d.scheduler.tables().requests.get(id(n)).is_some() {
-            tries += 1;
-            unknown += verdicts(&d.update_dispatch(n, tries, BROKE)).len();
+            attempts += 1;
+            unknown += verdicts(&d.update_dispatch(n, attempts, BROKE)).len();
             d.advance(Duration::from_secs(40));
         }
     }
--- a/crates/firdock-policy/tests/policy/shares.rs
+++ b/crates/firdock-policy/tests/policy/shares.rs
@@ -13,75 +13,82 @@
 
 use crate::edge::{EdgeScheduler, edge_settings, request, resources};
 use crate::fixtures::{dispatched, id, millis};
-use load::{Load, Wish, secs};
+use load::{AccountDemand, LoadGenerator, secs};
 
 /// Part of its share that an account is to keep whatever others ask for.
-const KEPT: f64 = 0.9;
+const MIN_SHARE_RATIO: f64 = 0.9;
 
 /// Eight accounts, of which the first asks for ten times its share.
-fn flood() -> Vec<Wish> {
-    let mut wishes: Vec<Wish> = (0..8).map(|n| Wish::new(&format!("a{n}"), 14.0)).collect();
-    wishes[0].rate = 140.0;
-    wishes
+fn flood() -> Vec<AccountDemand> {
+    let mut demands: Vec<AccountDemand> = (0..8)
+        .map(|n| AccountDemand::new(&format!("a{n}"), 14.0))
+        .collect();
+    demands[0].rate = 140.0;
+    demands
 }
 
 #[test]
 fn a_flood_at_equal_rank_takes_nothing_from_the_shares_of_others() {
-    let mut load = Load::new(&flood());
+    let mut load = LoadGenerator::new(&flood());
     load.run(secs(8));
     let even = load.served_all(secs(4)) / 8.0;
     for n in 0..8 {
         let got = load.served(&format!("a{n}"), secs(4));
-        assert!(got >= KEPT * even, "a{n} got {got} of {even}");
+        assert!(got >= MIN_SHARE_RATIO * even, "a{n} got {got} of {even}");
     }
     assert!(load.refused("a0") > 4 * load.refused("a1"));
 }
 
 #[test]
 fn no_account_has_less_than_half_of_its_share_over_any_four_seconds() {
-    let mut wishes = flood();
-    for (n, wish) in wishes.iter_mut().enumerate() {
+    let mut demands = flood();
+    for (n, demand) in demands.iter_mut().enumerate() {
         // Waves that meet, and bursts of two seconds.
-        wish.swing = 0.6;
-        wish.burst = (n % 3 == 0).then_some((secs(3), 4.0));
+        demand.swing = 0.6;
+        demand.burst = (n % 3 == 0).then_some((secs(3), 4.0));
     }
-    let mut load = Load::new(&wishes);
+    let mut load = LoadGenerator::new(&demands);
     for _ in 0..10 {
         load.run(secs(1));
         if load.age() < secs(4) {
             continue;
         }
         let even = load.served_all(secs(4)) / 8.0;
-        for wish in &wishes {
-            let asked = load.asked(&wish.account, secs(4));
-            let got = load.served(&wish.account, secs(4));
+        for demand in &demands {
+            let asked = load.sent(&demand.account, secs(4));
+            let got = load.served(&demand.account, secs(4));
             let fair = even.min(asked);
-            assert!(got >= fair / 2.0, "{}: {got} of {fair}", wish.account);
+            assert!(got >= fair / 2.0, "{}: {got} of {fair}", demand.account);
         }
     }
 }
 
 #[test]
 fn accounts_have_what_is_done_by_their_weights() {
-    let mut wishes: Vec<Wish> = (0..4).map(|n| Wish::new(&format!("a{n}"), 100.0)).collect();
-    wishes[0].weight = 3.0;
-    let mut load = Load::new(&wishes);
+    let mut demands: Vec<AccountDemand> = (0..4)
+        .map(|n| AccountDemand::new(&format!("a{n}"), 100.0))
+        .collect();
+    demands[0].weight = 3.0;
+    let mut load = LoadGenerator::new(&demands);
     load.run(secs(8));
     let part = load.served_all(secs(4)) / 6.0;
     let heavy = load.served("a0", secs(4)) / part;
     assert!((2.7..=3.3).contains(&heavy), "{heavy}");
     for light in ["a1", "a2", "a3"] {
         let got = load.served(light, secs(4)) / part;
-        assert!((KEPT..=1.1).contains(&got), "{light}: {got}");
+        assert!((MIN_SHARE_RATIO..=1.1).contains(&got), "{light}: {got}");
     }
 }
 
 /// Work counts, not requests: an account of short answers is not put behind one of long ones.
 #[test]
 fn accounts_have_shares_of_work_and_not_of_requests() {
-    let mut wishes = vec![Wish::new("long", 150.0), Wish::new("short", 150.0)];
-    wishes[0].prompt_tokens = 900;
-    let mut load = Load::new(&wishes);
+    let mut demands = vec![
+        AccountDemand::new("long", 150.0),
+        AccountDemand::new("short", 150.0),
+    ];
+    demands[0].prompt_tokens = 900;
+    let mut load = LoadGenerator::new(&demands);
     load.run(secs(8));
     // Of 4,000 prompt tokens a second: 0.23 s and some 0.03 s, and 0.25 s of answer each.
     let (long, short) = (load.served("long", secs(4)), load.served("short", secs(4)));
@@ -91,18 +98,21 @@
 
 #[test]
 fn an_account_that_asks_alone_has_everything() {
-    let mut load = Load::new(&[Wish::new("only", 300.0), Wish::new("idle", 0.0)]);
+    let mut load = LoadGenerator::new(&[
+        AccountDemand::new("only", 300.0),
+        AccountDemand::new("idle", 0.0),
+    ]);
     load.run(secs(6));
     assert!(load.served("only", secs(4)) >= 4.0 * 75.0);
 }
 
 #[test]
 fn what_was_lent_comes_back_within_a_second() {
-    let mut wishes = flood();
-    for wish in &mut wishes[1..] {
-        wish.from = secs(4);
+    let mut demands = flood();
+    for demand in &mut demands[1..] {
+        demand.from = secs(4);
     }
-    let mut load = Load::new(&wishes);
+    let mut load = LoadGenerator::new(&demands);
     load.run(secs(4));
     assert!(load.served("a0", secs(2)) >= 2.0 * 75.0);
     load.run(secs(1));
@@ -110,29 +120,29 @@
     let even = load.served_all(secs(1)) / 8.0;
     for n in 1..8 {
         let got = load.served(&format!("a{n}"), secs(1));
-        assert!(got >= KEPT * even, "a{n}: {got} of {even}");
+        assert!(got >= MIN_SHARE_RATIO * even, "a{n}: {got} of {even}");
     }
 }
 
 #[test]
 fn an_account_that_comes_for_the_first_time_has_its_share_at_once() {
-    let mut wishes = flood();
-    wishes[7].from = secs(5);
-    let mut load = Load::new(&wishes);
+    let mut demands = flood();
+    demands[7].from = secs(5);
+    let mut load = LoadGenerator::new(&demands);
     load.run(secs(6));
     let even = load.served_all(secs(1)) / 8.0;
-    assert!(load.served("a7", secs(1)) >= KEPT * even);
+    assert!(load.served("a7", secs(1)) >= MIN_SHARE_RATIO * even);
 }
 
 #[test]
 fn a_higher_rank_goes_first_whoever_floods_it() {
-    let mut wishes = flood();
-    wishes[0].rank = 0;
-    wishes[0].rate = 50.0;
-    for wish in &mut wishes[1..] {
-        wish.rank = 1;
+    let mut demands = flood();
+    demands[0].rank = 0;
+    demands[0].rate = 50.0;
+    for demand in &mut demands[1..] {
+        demand.rank = 1;
     }
-    let mut load = Load::new(&wishes);
+    let mut load = LoadGenerator::new(&demands);
     load.run(secs(8));
     assert!(load.served("a0", secs(4)) >= 4.0 * 48.0);
     assert_eq!(load.refused("a0"), 0, "the higher rank is within the room");
@@ -140,17 +150,21 @@
     let rest = load.served_all(secs(4)) - load.served("a0", secs(4));
     for n in 1..8 {
         let got = load.served(&format!("a{n}"), secs(4));
-        assert!(got >= KEPT * rest / 7.0, "a{n}: {got} of {}", rest / 7.0);
+        assert!(
+            got >= MIN_SHARE_RATIO * rest / 7.0,
+            "a{n}: {got} of {}",
+            rest / 7.0
+        );
     }
 }
 
 #[test]
 fn a_refusal_says_whether_the_account_was_over_its_share() {
-    let mut wishes = flood();
-    for wish in &mut wishes[1..] {
-        wish.rate = 4.0;
+    let mut demands = flood();
+    for demand in &mut demands[1..] {
+        demand.rate = 4.0;
     }
-    let mut load = Load::new(&wishes);
+    let mut load = LoadGenerator::new(&demands);
     load.run(secs(8));
     assert!(load.over_share("a0") > 100);
     for n in 1..8 {
@@ -159,41 +173,46 @@
 }
 
 /// Eight accounts with requests of two tiers; the first floods the higher one.
-fn tiers() -> Vec<Wish> {
-    let mut wishes: Vec<Wish> = (0..8).map(|n| Wish::new(&format!("a{n}"), 4.0)).collect();
-    wishes[0].rate = 70.0;
+fn tiers() -> Vec<AccountDemand> {
+    let mut demands: Vec<AccountDemand> = (0..8)
+        .map(|n| AccountDemand::new(&format!("a{n}"), 4.0))
+        .collect();
+    demands[0].rate = 70.0;
     for n in 0..8 {
-        let mut low = Wish::new(&format!("a{n}"), 10.0);
+        let mut low = AccountDemand::new(&format!("a{n}"), 10.0);
         low.service = "low";
-        wishes.push(low);
+        demands.push(low);
     }
-    wishes
+    demands
 }
 
 /// Without a share over all tiers, the higher goes first whoever asks for it: others have all that they
 /// ask of it, and the flood the rest of the 80 a second.
 #[test]
 fn each_tier_is_shared_by_itself_unless_the_share_is_over_all() {
-    let mut load = Load::by_tier(&tiers());
+    let mut load = LoadGenerator::by_tier(&tiers());
     load.run(secs(8));
     for n in 1..8 {
         let high = load.served_high(&format!("a{n}"), secs(4));
         assert!(high >= 15.0, "a{n}: {high} of 16");
     }
     let flood = load.served_high("a0", secs(4));
-    assert!(flood >= KEPT * 4.0 * (80.0 - 7.0 * 4.0), "{flood}");
+    assert!(
+        flood >= MIN_SHARE_RATIO * 4.0 * (80.0 - 7.0 * 4.0),
+        "{flood}"
+    );
 }
 
 /// Most of the work of a flood is of the highest tier, where there is room for all of it. Other accounts
 /// keep what they have of the lower tier all the same, and their own higher tier goes first.
 #[test]
 fn a_flood_of_a_high_tier_takes_nothing_of_what_others_have_of_lower_ones() {
-    let mut load = Load::new(&tiers());
+    let mut load = LoadGenerator::new(&tiers());
     load.run(secs(8));
     let even = load.served_all(secs(4)) / 8.0;
     for n in 1..8 {
         let got = load.served(&format!("a{n}"), secs(4));
-        assert!(got >= KEPT * even, "a{n}: {got} of {even}");
+        assert!(got >= MIN_SHARE_RATIO * even, "a{n}: {got} of {even}");
         let high = load.served_high(&format!("a{n}"), secs(4));
         assert!(high >= 15.0, "a{n}: {high} of 16 of its high tier");
     }
@@ -203,19 +222,19 @@
 /// it is not held past its target, from where on others wait until their callers leave.
 #[test]
 fn a_request_beyond_a_share_is_not_held_past_its_target() {
-    let mut load = Load::new(&flood());
+    let mut load = LoadGenerator::new(&flood());
     load.run(secs(4));
-    assert!(load.is_refused_late("a0"));
-    assert!(!load.is_refused_late("a1"), "it is within its share");
+    assert!(load.is_refused_past_target("a0"));
+    assert!(!load.is_refused_past_target("a1"), "it is within its share");
 }
 
 /// A member does not see who is over his share: it goes by its coordinator's word, else requests beyond
 /// a share would be asked for again and again while the member holds one of a lower tier.
 #[test]
 fn a_member_gives_up_what_its_coordinator_refused_as_beyond_a_share() {
-    let wishes = [Wish::new("a0", 0.0), Wish::new("a1", 0.0)];
+    let demands = [AccountDemand::new("a0", 0.0), AccountDemand::new("a1", 0.0)];
     let refused = |reason| {
-        let mut member = load::member(&wishes);
+        let mut member = load::member(&demands);
         member.arrive(request(1, "safe", "a0"));
         member.arrive(request(2, "low", "a1"));
         let verdict = Verdict {
@@ -223,8 +242,8 @@
             reason,
             retry_after: None,
         };
-        let told = member.step(Event::NotGranted(id(1), verdict));
-        told.iter().any(|a| matches!(a, Action::Answer { .. }))
+        let actions = member.step(Event::NotGranted(id(1), verdict));
+        actions.iter().any(|a| matches!(a, Action::Answer { .. }))
     };
     assert!(refused(Reason::OverShare));
     assert!(!refused(Reason::Overload), "a lower tier is held");
@@ -233,7 +252,7 @@
 /// Without the setting, decisions are by rank and arrival: these are the figures of that order.
 #[test]
 fn without_shares_the_flood_is_served_by_arrival() {
-    let mut load = Load::without_shares(&flood());
+    let mut load = LoadGenerator::without_shares(&flood());
     load.run(secs(8));
     assert_eq!(load.over_share("a0"), 0);
     assert!(load.served("a0", secs(4)) > 2.0 * load.served_all(secs(4)) / 8.0);
@@ -248,9 +267,9 @@
 
 /// Sums what accounts asked for and had done.
 fn work(edge: &EdgeScheduler) -> (f64, f64) {
-    let told = work_report(edge.scheduler.tables(), edge.now);
-    let asked = told.iter().map(|w| w.asked).sum();
-    let done = told.iter().map(|w| w.done).sum();
+    let work = work_report(edge.scheduler.tables(), edge.now);
+    let asked = work.iter().map(|w| w.asked).sum();
+    let done = work.iter().map(|w| w.done).sum();
     (asked, done)
 }
 
--- a/crates/firdock-policy/tests/policy/shares/load.rs
+++ b/crates/firdock-policy/tests/policy/shares/load.rs
@@ -15,7 +15,7 @@
 /// Pause between two steps, as in a daemon.
 const STEP: Duration = millis_of(25);
 /// Time that an engine takes for a request.
-const TAKES: Duration = millis_of(200);
+const SERVICE_TIME: Duration = millis_of(200);
 const ENGINES: usize = 4;
 const SLOTS: u32 = 4;
 
@@ -29,7 +29,7 @@
 
 /// What the callers of one account ask for.
 #[derive(Debug, Clone)]
-pub struct Wish {
+pub struct AccountDemand {
     pub account: String,
     /// Requests a second.
     pub rate: f64,
@@ -46,7 +46,7 @@
     pub burst: Option<(Duration, f64)>,
 }
 
-impl Wish {
+impl AccountDemand {
     pub fn new(account: &str, rate: f64) -> Self {
         Self {
             account: account.to_owned(),
@@ -75,24 +75,24 @@
 }
 
 /// A coordinator under load.
-pub struct Load {
+pub struct LoadGenerator {
     edge: EdgeScheduler,
-    begun: Time,
-    wishes: Vec<Wish>,
+    started_at: Time,
+    demands: Vec<AccountDemand>,
     /// Parts of requests that are due, by account.
     due: Vec<f64>,
     next: u64,
     accounts: BTreeMap<RequestId, String>,
     services: BTreeMap<RequestId, &'static str>,
     running: VecDeque<(Time, RequestId, u32)>,
-    asked: Vec<(Time, String)>,
+    sent: Vec<(Time, String)>,
     served: Vec<(Time, String)>,
     /// Those of the service `safe`.
-    high: Vec<(Time, String)>,
+    served_safe: Vec<(Time, String)>,
     refused: Vec<(String, Reason)>,
 }
 
-fn catalog(wishes: &[Wish]) -> Vec<Resource> {
+fn catalog(demands: &[AccountDemand]) -> Vec<Resource> {
     let mut all = resources();
     all.retain(|r| !matches!(r, Resource::Endpoint(_)));
     for n in 0..ENGINES {
@@ -119,87 +119,87 @@
         matches: "/low".to_owned(),
         ..safe.expect("the service")
     }));
-    let account = |wish: &Wish| {
+    let account = |demand: &AccountDemand| {
         Resource::Account(Account {
-            name: wish.account.clone(),
-            weight: Some(wish.weight),
-            rank: wish.rank,
+            name: demand.account.clone(),
+            weight: Some(demand.weight),
+            rank: demand.rank,
             max_held: 10_000,
             ..Account::default()
         })
     };
     let mut names = HashSet::new();
-    let first = wishes.iter().filter(|w| names.insert(w.account.clone()));
+    let first = demands.iter().filter(|w| names.insert(w.account.clone()));
     all.extend(first.map(account));
     all
 }
 
 /// An instance of the group whose coordinator answers.
-pub fn member(wishes: &[Wish]) -> EdgeScheduler {
+pub fn member(demands: &[AccountDemand]) -> EdgeScheduler {
     let mut settings = edge_settings("a");
     settings.account_shares = AccountShares::OverTiers;
-    let mut edge = EdgeScheduler::new(settings, catalog(wishes));
+    let mut edge = EdgeScheduler::new(settings, catalog(demands));
     edge.step(Event::Coordinated(true));
     edge
 }
 
-impl Load {
-    pub fn new(wishes: &[Wish]) -> Self {
-        Self::with_shares(wishes, AccountShares::OverTiers)
+impl LoadGenerator {
+    pub fn new(demands: &[AccountDemand]) -> Self {
+        Self::with_shares(demands, AccountShares::OverTiers)
     }
 
-    pub fn without_shares(wishes: &[Wish]) -> Self {
-        Self::with_shares(wishes, AccountShares::Off)
+    pub fn without_shares(demands: &[AccountDemand]) -> Self {
+        Self::with_shares(demands, AccountShares::Off)
     }
 
     /// Shares each tier by itself.
-    pub fn by_tier(wishes: &[Wish]) -> Self {
-        Self::with_shares(wishes, AccountShares::ByTier)
+    pub fn by_tier(demands: &[AccountDemand]) -> Self {
+        Self::with_shares(demands, AccountShares::ByTier)
     }
 
-    fn with_shares(wishes: &[Wish], shares: AccountShares) -> Self {
+    fn with_shares(demands: &[AccountDemand], shares: AccountShares) -> Self {
         let mut settings = edge_settings("a").with_coordination();
         settings.account_shares = shares;
-        let edge = EdgeScheduler::new(settings, catalog(wishes));
+        let edge = EdgeScheduler::new(settings, catalog(demands));
         Self {
-            begun: edge.now,
+            started_at: edge.now,
             edge,
-            wishes: wishes.to_vec(),
-            due: vec![0.0; wishes.len()],
+            demands: demands.to_vec(),
+            due: vec![0.0; demands.len()],
             next: 1,
             accounts: BTreeMap::new(),
             services: BTreeMap::new(),
-            high: Vec::new(),
+            served_safe: Vec::new(),
             running: VecDeque::new(),
-            asked: Vec::new(),
+            sent: Vec::new(),
             served: Vec::new(),
             refused: Vec::new(),
         }
     }
 
     pub fn age(&self) -> Duration {
-        self.edge.now.saturating_sub(self.begun)
+        self.edge.now.saturating_sub(self.started_at)
     }
 
     pub fn run(&mut self, time: Duration) {
         let until = self.edge.now + time;
         while self.edge.now < until {
-            self.end_what_is_done();
+            self.finish_requests();
             self.send();
             let actions = self.edge.advance(STEP);
-            self.note(&actions);
-            self.check_no_place_is_empty();
+            self.record_actions(&actions);
+            self.assert_work_conserving();
         }
     }
 
     /// Sends what is due, one request of each account by turns.
     fn send(&mut self) {
         let age = self.age();
-        for (due, wish) in self.due.iter_mut().zip(&self.wishes) {
-            *due += wish.rate_at(age) * STEP.as_secs_f64();
+        for (due, demand) in self.due.iter_mut().zip(&self.demands) {
+            *due += demand.rate_at(age) * STEP.as_secs_f64();
         }
         while self.due.iter().any(|d| *d >= 1.0) {
-            for n in 0..self.wishes.len() {
+            for n in 0..self.demands.len() {
                 if self.due[n] >= 1.0 {
                     self.due[n] -= 1.0;
                     self.send_one(n);
@@ -209,21 +209,21 @@
     }
 
     fn send_one(&mut self, n: usize) {
-        let wish = &self.wishes[n];
+        let demand = &self.demands[n];
         let new = NewRequest {
-            prompt_tokens: wish.prompt_tokens,
+            prompt_tokens: demand.prompt_tokens,
             deadline: Some(self.edge.now + secs(5)),
-            ..request(self.next, wish.service, &wish.account)
+            ..request(self.next, demand.service, &demand.account)
         };
         self.next += 1;
-        self.accounts.insert(new.id, wish.account.clone());
-        self.services.insert(new.id, wish.service);
-        self.asked.push((self.edge.now, wish.account.clone()));
+        self.accounts.insert(new.id, demand.account.clone());
+        self.services.insert(new.id, demand.service);
+        self.sent.push((self.edge.now, demand.account.clone()));
         let actions = self.edge.arrive(new);
-        self.note(&actions);
+        self.record_actions(&actions);
     }
 
-    fn end_what_is_done(&mut self) {
+    fn finish_requests(&mut self) {
         while let Some((_, id, dispatch)) = self.running.pop_front_if(|r| r.0 <= self.edge.now) {
             let update = DispatchUpdate::Ended {
                 prompt: 90,
@@ -235,19 +235,19 @@
                 dispatch,
                 update,
             }));
-            self.note(&actions);
+            self.record_actions(&actions);
         }
     }
 
-    fn note(&mut self, actions: &[Action]) {
+    fn record_actions(&mut self, actions: &[Action]) {
         for action in actions {
             match action {
                 Action::Dispatch(d) => {
                     self.running
-                        .push_back((self.edge.now + TAKES, d.id, d.dispatch));
+                        .push_back((self.edge.now + SERVICE_TIME, d.id, d.dispatch));
                     let account = self.accounts[&d.id].clone();
                     if self.services[&d.id] == "safe" {
-                        self.high.push((self.edge.now, account.clone()));
+                        self.served_safe.push((self.edge.now, account.clone()));
                     }
                     self.served.push((self.edge.now, account));
                 }
@@ -261,7 +261,7 @@
     }
 
     /// Work conserving: nothing waits while a place is free that it may use.
-    fn check_no_place_is_empty(&self) {
+    fn assert_work_conserving(&self) {
         let t = self.edge.scheduler.tables();
         if t.requests.held() == 0 {
             return;
@@ -270,7 +270,7 @@
             let reads = e.waiting_tokens(self.edge.now) > e.declared.prefill_rate;
             assert!(
                 e.running >= e.budget || reads,
-                "a place on {} is empty",
+                "{} has a free slot while requests are held",
                 e.declared.name
             );
         }
@@ -289,11 +289,11 @@
 
     /// The same of the service `safe` alone.
     pub fn served_high(&self, account: &str, last: Duration) -> f64 {
-        self.count(&self.high, account, last)
+        self.count(&self.served_safe, account, last)
     }
 
-    pub fn asked(&self, account: &str, last: Duration) -> f64 {
-        self.count(&self.asked, account, last)
+    pub fn sent(&self, account: &str, last: Duration) -> f64 {
+        self.count(&self.sent, account, last)
     }
 
     pub fn served_all(&self, last: Duration) -> f64 {
@@ -311,7 +311,7 @@
     }
 
     /// Tells whether a request that was held past its target before it came here is refused at once.
-    pub fn is_refused_late(&mut self, account: &str) -> bool {
+    pub fn is_refused_past_target(&mut self, account: &str) -> bool {
         let new = NewRequest {
             age: millis(600),
             ..request(self.next, "safe", account)
@@ -322,24 +322,24 @@
         self.services.insert(id, "safe");
         let mut actions = self.edge.arrive(new);
         actions.extend(self.edge.advance(STEP));
-        self.note(&actions);
+        self.record_actions(&actions);
         let refused = |a: &Action| matches!(a, Action::Answer { id: of, .. } if *of == id);
         actions.iter().any(refused)
     }
 
     /// What the group tells of the work that it placed.
-    pub fn told(&self) -> Vec<AccountWork> {
+    pub fn work_report(&self) -> Vec<AccountWork> {
         work_report(self.edge.scheduler.tables(), self.edge.now)
     }
 
     /// Takes the word of another group's lead.
-    pub fn hear(&mut self, zone: &str, work: Vec<AccountWork>) {
+    pub fn receive_report(&mut self, zone: &str, work: Vec<AccountWork>) {
         let zone = zone.to_owned();
         let actions = self.edge.step(Event::GroupWork(GroupWork { zone, work }));
-        self.note(&actions);
+        self.record_actions(&actions);
     }
 
-    pub fn heartbeat() -> Duration {
+    pub fn heartbeat_interval() -> Duration {
         millis(200)
     }
 }
--- a/crates/firdock-policy/tests/policy/shares/max_min.rs
+++ b/crates/firdock-policy/tests/policy/shares/max_min.rs
@@ -27,10 +27,10 @@
         asks in asks(),
     ) {
         let parts = max_min_shares(room, &asks);
-        let most = parts.iter().zip(&asks).map(|(p, a)| p / a.weight).fold(0.0, f64::max);
+        let max_ratio = parts.iter().zip(&asks).map(|(p, a)| p / a.weight).fold(0.0, f64::max);
         for (part, ask) in parts.iter().zip(&asks) {
             let level = part / ask.weight;
-            prop_assert!(level + 1e-6 >= most || ask.amount - part < 1e-6);
+            prop_assert!(level + 1e-6 >= max_ratio || ask.amount - part < 1e-6);
         }
     }
 }
--- a/crates/firdock-policy/tests/policy/simulation.rs
+++ b/crates/firdock-policy/tests/policy/simulation.rs
@@ -266,10 +266,10 @@
             }
             Op::Kill { instance } => self.kill(usize::from(instance) % INSTANCES),
             Op::Pause { instance, paused } => {
-                self.instances[usize::from(instance) % INSTANCES].paused = paused
+                self.instances[usize::from(instance) % INSTANCES].paused = paused;
             }
             Op::LogCut { instance, cut } => {
-                self.instances[usize::from(instance) % INSTANCES].log_cut = cut
+                self.instances[usize::from(instance) % INSTANCES].log_cut = cut;
             }
             Op::Remove { instance } => {
                 let name = &self.instances[usize::from(instance) % INSTANCES]
--- a/crates/firdock-policy/tests/policy/simulation/check.rs
+++ b/crates/firdock-policy/tests/policy/simulation/check.rs
@@ -48,7 +48,7 @@
             if *result != "not-run" {
                 continue;
             }
-            assert_eq!(ran, 0, "{id} ran and was told not to have");
+            assert_eq!(ran, 0, "{id} ran and was reported as not run");
             // What counts is when the owner decided: another attempt under the key may run while
             // the word is on its way back.
             let at = self.refused.get(&id).unwrap_or(at);
@@ -58,7 +58,7 @@
             let earlier = self.executions.iter().find(before);
             assert!(
                 earlier.is_none(),
-                "{id} was told `not-run` after its key ran: {earlier:?}"
+                "{id} was reported as `not-run` after its key ran: {earlier:?}"
             );
         }
     }
--- a/crates/firdock-policy/tests/policy/simulation/message.rs
+++ b/crates/firdock-policy/tests/policy/simulation/message.rs
@@ -100,7 +100,7 @@
         let notices = known.map(|at| &endpoints.get(at).notices);
         assert!(
             notices.is_none_or(|n| !n.any_in_effect(self.now)),
-            "{} is written to {}, which wants nothing",
+            "{} is written to {}, which accepts no new requests",
             dispatch.id,
             dispatch.endpoint
         );
@@ -108,7 +108,7 @@
         let suspects = &self.instances[i].scheduler.tables().suspects;
         assert!(
             content.is_none_or(|content| !suspects.is_quarantined(content.id)),
-            "{} is written to {}, and in quarantine",
+            "{} is written to {} while its content is in quarantine",
             dispatch.id,
             dispatch.endpoint
         );
@@ -309,7 +309,7 @@
             Action::Replay { id, earlier } => {
                 assert!(
                     self.executions.iter().any(|(_, ran, _)| *ran == earlier),
-                    "replay of nothing"
+                    "replay of a request that did not run"
                 );
                 self.record_result(i, id, "replayed", None);
             }
--- a/crates/firdock-policy/tests/policy/suspects.rs
+++ b/crates/firdock-policy/tests/policy/suspects.rs
@@ -55,45 +55,45 @@
     all
 }
 
-fn before(count: u32) -> EdgeScheduler {
+fn with_endpoints(count: u32) -> EdgeScheduler {
     EdgeScheduler::new(edge_settings("a"), endpoints(count))
 }
 
 /// The connection of a run ends early.
-fn breaks(edge: &mut EdgeScheduler, n: u64, dispatch: u32) -> Vec<Action> {
+fn break_connection(edge: &mut EdgeScheduler, n: u64, dispatch: u32) -> Vec<Action> {
     let mut actions =
         edge.update_dispatch(n, dispatch, DispatchUpdate::Breaking(BreakCause::Closed));
     actions.extend(edge.update_dispatch(n, dispatch, BROKE));
     actions
 }
 
-fn found(edge: &mut EdgeScheduler, start: &str, found: Liveness) -> Vec<Action> {
+fn liveness_checked(edge: &mut EdgeScheduler, start: &str, found: Liveness) -> Vec<Action> {
     let start = start.to_owned();
     edge.step(Event::LivenessChecked(LivenessResult { start, found }))
 }
 
 /// Endpoints, of which those that ended refuse connections.
-struct Pool {
+struct TestPool {
     edge: EdgeScheduler,
-    ended: Vec<String>,
+    exited: Vec<String>,
 }
 
-impl Pool {
+impl TestPool {
     fn new(count: u32) -> Self {
         Self {
-            edge: before(count),
-            ended: Vec::new(),
+            edge: with_endpoints(count),
+            exited: Vec::new(),
         }
     }
 
     /// Gives where a request goes that is to go on by these actions: to the first endpoint that is up.
-    fn sent(&mut self, mut actions: Vec<Action>) -> Option<(u32, String)> {
+    fn deliver(&mut self, mut actions: Vec<Action>) -> Option<(u32, String)> {
         loop {
             let dispatch = actions.iter().find_map(|a| match a {
                 Action::Dispatch(d) => Some(d.clone()),
                 _ => None,
             })?;
-            if !self.ended.contains(&dispatch.endpoint) {
+            if !self.exited.contains(&dispatch.endpoint) {
                 return Some((dispatch.dispatch, dispatch.endpoint));
             }
             let n = dispatch.id.as_u64_pair().1;
@@ -102,35 +102,35 @@
         }
     }
 
-    fn arrives(&mut self, new: NewRequest) -> Option<(u32, String)> {
+    fn arrive(&mut self, new: NewRequest) -> Option<(u32, String)> {
         self.edge.step(Event::ConfigConfirmed(self.edge.now));
         let actions = self.edge.arrive(new);
-        self.sent(actions)
+        self.deliver(actions)
     }
 
     /// The endpoint that runs a request ends; gives what follows.
-    fn ends(&mut self, n: u64, (dispatch, endpoint): (u32, String)) -> Vec<Action> {
+    fn exit_endpoint(&mut self, n: u64, (dispatch, endpoint): (u32, String)) -> Vec<Action> {
         self.edge.now += RUN;
-        let mut actions = breaks(&mut self.edge, n, dispatch);
-        actions.extend(found(&mut self.edge, &endpoint, Liveness::Ended));
-        self.ended.push(endpoint);
+        let mut actions = break_connection(&mut self.edge, n, dispatch);
+        actions.extend(liveness_checked(&mut self.edge, &endpoint, Liveness::Ended));
+        self.exited.push(endpoint);
         actions
     }
 
     /// Sends a request that arrives and ends the endpoint that runs it; tells whether it was sent.
-    fn ends_one(&mut self, new: NewRequest) -> bool {
+    fn send_and_exit(&mut self, new: NewRequest) -> bool {
         let n = new.id.as_u64_pair().1;
-        let sent = self.arrives(new);
+        let sent = self.arrive(new);
         let is_sent = sent.is_some();
         if let Some(at) = sent {
-            self.ends(n, at);
+            self.exit_endpoint(n, at);
         }
         is_sent
     }
 }
 
 /// The final answer to a request, if it got one.
-fn answer(actions: &[Action], n: u64) -> Option<firdock_policy::Verdict> {
+fn final_verdict(actions: &[Action], n: u64) -> Option<firdock_policy::Verdict> {
     actions.iter().find_map(|a| match a {
         Action::Answer { id: of, verdict } if *of == id(n) => Some(*verdict),
         _ => None,
@@ -139,39 +139,39 @@
 
 #[test]
 fn a_request_under_which_three_endpoints_ended_is_sent_to_none_any_more() {
-    let mut pool = Pool::new(8);
+    let mut pool = TestPool::new(8);
     for n in 1..=20 {
-        pool.ends_one(with_body(n, "once", "deadly"));
+        pool.send_and_exit(with_body(n, "once", "deadly"));
     }
-    assert_eq!(pool.ended.len(), 3, "{:?}", pool.ended);
+    assert_eq!(pool.exited.len(), 3, "{:?}", pool.exited);
     // Its caller is told at once that it has not run; when to come back is not known.
     let actions = pool.edge.arrive(with_body(30, "once", "deadly"));
-    let verdict = answer(&actions, 30).expect("a final answer");
+    let verdict = final_verdict(&actions, 30).expect("a final answer");
     assert_eq!(verdict.outcome, Outcome::NotRun);
     assert_eq!(verdict.reason.as_str(), "ends-endpoints");
     assert_eq!(verdict.reason.status(verdict.outcome), 503);
     assert_eq!(verdict.retry_after, None);
     // Other requests of the account are served on.
-    assert!(pool.arrives(with_body(31, "once", "other")).is_some());
+    assert!(pool.arrive(with_body(31, "once", "other")).is_some());
 }
 
 /// The third end becomes known while the request is on its way to a fourth endpoint.
 #[test]
 fn what_is_not_written_yet_when_the_third_endpoint_ends_is_given_back() {
-    let mut pool = Pool::new(8);
+    let mut pool = TestPool::new(8);
     for n in 1..=2 {
-        pool.ends_one(with_body(n, "once", "deadly"));
+        pool.send_and_exit(with_body(n, "once", "deadly"));
     }
     let (dispatch, third) = pool
-        .arrives(with_body(3, "once", "deadly"))
+        .arrive(with_body(3, "once", "deadly"))
         .expect("it is sent");
     pool.edge.now += RUN;
-    breaks(&mut pool.edge, 3, dispatch);
+    break_connection(&mut pool.edge, 3, dispatch);
     // Sent before anyone has looked at the third.
     let (dispatch, _) = pool
-        .arrives(with_body(4, "once", "deadly"))
+        .arrive(with_body(4, "once", "deadly"))
         .expect("it is sent");
-    let actions = found(&mut pool.edge, &third, Liveness::Ended);
+    let actions = liveness_checked(&mut pool.edge, &third, Liveness::Ended);
     let withheld = Action::Withhold {
         id: id(4),
         dispatch,
@@ -181,22 +181,22 @@
         .edge
         .update_dispatch(4, dispatch, DispatchUpdate::Withheld);
     assert!(dispatched(&actions).is_empty());
-    let verdict = answer(&actions, 4);
+    let verdict = final_verdict(&actions, 4);
     assert_eq!(verdict.map(|v| v.outcome), Some(Outcome::NotRun));
 }
 
 /// Its own repeats cost endpoints as well.
 #[test]
 fn repeats_of_one_try_count_like_tries() {
-    let mut pool = Pool::new(8);
+    let mut pool = TestPool::new(8);
     for n in 1..=10 {
-        let mut sent = pool.arrives(with_body(n, "safe", "deadly"));
+        let mut sent = pool.arrive(with_body(n, "safe", "deadly"));
         while let Some(at) = sent {
-            let actions = pool.ends(n, at);
-            sent = pool.sent(actions);
+            let actions = pool.exit_endpoint(n, at);
+            sent = pool.deliver(actions);
         }
     }
-    assert_eq!(pool.ended.len(), 3, "{:?}", pool.ended);
+    assert_eq!(pool.exited.len(), 3, "{:?}", pool.exited);
 }
 
 fn is_quarantined(edge: &EdgeScheduler, body: &str) -> bool {
@@ -205,7 +205,7 @@
 }
 
 /// Gives how many ends count against a request.
-fn ends_against(edge: &EdgeScheduler, body: &str) -> usize {
+fn exits_counted_against(edge: &EdgeScheduler, body: &str) -> usize {
     let suspect = edge.scheduler.tables().suspects.get(content(body).id);
     suspect.map_or(0, |s| s.counted().len())
 }
@@ -213,33 +213,33 @@
 /// A suspect runs once at a time; all else that its account sends goes past it.
 #[test]
 fn tries_of_a_suspect_wait_for_each_other_and_hold_nothing_else_up() {
-    let mut pool = Pool::new(8);
-    pool.ends_one(with_body(1, "once", "deadly"));
+    let mut pool = TestPool::new(8);
+    pool.send_and_exit(with_body(1, "once", "deadly"));
     let running = pool
-        .arrives(with_body(2, "once", "deadly"))
+        .arrive(with_body(2, "once", "deadly"))
         .expect("it is sent");
-    assert_eq!(pool.arrives(with_body(3, "once", "deadly")), None);
-    assert!(pool.arrives(with_body(4, "once", "other")).is_some());
+    assert_eq!(pool.arrive(with_body(3, "once", "deadly")), None);
+    assert!(pool.arrive(with_body(4, "once", "other")).is_some());
     let actions = pool.edge.update_dispatch(2, running.0, ENDED);
     assert_eq!(dispatched(&actions).len(), 1, "it goes on: {actions:?}");
-    assert_eq!(ends_against(&pool.edge, "deadly"), 0);
+    assert_eq!(exits_counted_against(&pool.edge, "deadly"), 0);
 }
 
 /// What callers had of a day.
 #[derive(Debug, Default)]
-struct Day {
+struct TrafficResult {
     sent: u64,
     served: u64,
-    ended: u64,
+    exited: u64,
 }
 
 /// Twenty seconds before six endpoints of four places, 40 requests a second that take 200 ms each, half
 /// of what they bear; with them comes one ten times a second under which the endpoint that runs it ends
 /// after 100 ms, and is back 3 s later as another one.
-fn day(with_deadly: bool) -> Day {
-    let mut edge = before(6);
+fn run_traffic(with_deadly: bool) -> TrafficResult {
+    let mut edge = with_endpoints(6);
     let began = edge.now;
-    let mut day = Day::default();
+    let mut result = TrafficResult::default();
     let mut names: Vec<(String, Time)> = (0..6).map(|n| (format!("s{n}"), Time::ZERO)).collect();
     let mut running: Vec<(Time, u64, u32, String)> = Vec::new();
     let mut queue: Vec<Action> = Vec::new();
@@ -280,7 +280,7 @@
             let body = if deadly(n) {
                 "deadly".to_owned()
             } else {
-                day.sent += 1;
+                result.sent += 1;
                 format!("body {n}")
             };
             let mut new = with_body(n, "once", &body);
@@ -290,18 +290,18 @@
         let over: Vec<_> = running.extract_if(.., |(at, ..)| *at <= edge.now).collect();
         for (_, n, dispatch, endpoint) in over {
             if !deadly(n) {
-                day.served += 1;
+                result.served += 1;
                 queue.extend(edge.update_dispatch(n, dispatch, ENDED));
                 continue;
             }
-            day.ended += 1;
+            result.exited += 1;
             let on_board = running.extract_if(.., |(.., at)| *at == endpoint);
             let mut lost: Vec<_> = on_board.map(|(_, n, d, _)| (n, d)).collect();
             lost.push((n, dispatch));
             for (n, dispatch) in lost {
-                queue.extend(breaks(&mut edge, n, dispatch));
+                queue.extend(break_connection(&mut edge, n, dispatch));
             }
-            queue.extend(found(&mut edge, &endpoint, Liveness::Ended));
+            queue.extend(liveness_checked(&mut edge, &endpoint, Liveness::Ended));
             let row = names.iter_mut().find(|(name, _)| *name == endpoint);
             row.expect("a known endpoint").1 = edge.now + millis(3_000);
         }
@@ -322,18 +322,18 @@
             running.push((edge.now + time, n, d.dispatch, d.endpoint));
         }
     }
-    day
+    result
 }
 
 /// The neighbours of such a request are served nearly as on a day without it.
 #[test]
 fn other_callers_are_served_while_a_request_comes_again_that_ends_endpoints() {
-    let quiet = day(false);
+    let quiet = run_traffic(false);
     assert_eq!(quiet.served, quiet.sent);
-    let day = day(true);
-    println!("{day:?}");
-    let share = day.served as f64 / day.sent as f64;
-    assert!(share >= 0.95, "{share}: {day:?}");
+    let result = run_traffic(true);
+    println!("{result:?}");
+    let share = result.served as f64 / result.sent as f64;
+    assert!(share >= 0.95, "{share}: {result:?}");
     // Three rounds, in each of which at most one more is on its way.
-    assert!(day.ended <= 6, "{day:?}");
+    assert!(result.exited <= 6, "{result:?}");
 }
--- a/crates/firdock-policy/tests/policy/suspects/evidence.rs
+++ b/crates/firdock-policy/tests/policy/suspects/evidence.rs
@@ -8,52 +8,55 @@
 use firdock_policy::notice::{Notice, NoticeReport};
 use firdock_policy::{Action, Event};
 
-use super::reports::{peer, told_of};
+use super::reports::{peer, suspect_report};
 use super::{
-    BROKE, ENDED, Pool, RUN, before, breaks, endpoints, ends_against, found, is_quarantined,
-    with_body,
+    BROKE, ENDED, RUN, TestPool, break_connection, endpoints, exits_counted_against,
+    is_quarantined, liveness_checked, with_body, with_endpoints,
 };
 use crate::edge::{EdgeScheduler, edge_settings};
 use crate::fixtures::{dispatched, id, millis};
 
 /// A request runs on each of several endpoints at once: so many tries of it.
-fn on_board(pool: &mut Pool, tries: std::ops::RangeInclusive<u64>) -> Vec<(u64, (u32, String))> {
-    let tries = tries.map(|n| {
-        let at = pool.arrives(with_body(n, "once", "hot"));
+fn run_on_several(
+    pool: &mut TestPool,
+    attempts: std::ops::RangeInclusive<u64>,
+) -> Vec<(u64, (u32, String))> {
+    let runs = attempts.map(|n| {
+        let at = pool.arrive(with_body(n, "once", "hot"));
         (n, at.expect("it is sent"))
     });
-    tries.collect()
+    runs.collect()
 }
 
 /// Endpoints whose power fails at one moment end together: what ran at many of them is suspected once.
 #[test]
 fn a_rack_that_falls_convicts_nothing_that_ran_there() {
-    let mut pool = Pool::new(8);
+    let mut pool = TestPool::new(8);
     for round in 0..3 {
         let first = 10 * round;
-        let tries = on_board(&mut pool, first + 1..=first + 4);
-        let mut starts: Vec<String> = tries.iter().map(|(_, (_, at))| at.clone()).collect();
+        let runs = run_on_several(&mut pool, first + 1..=first + 4);
+        let mut starts: Vec<String> = runs.iter().map(|(_, (_, at))| at.clone()).collect();
         pool.edge.now += RUN;
-        for (n, (dispatch, _)) in &tries {
-            breaks(&mut pool.edge, *n, *dispatch);
+        for (n, (dispatch, _)) in &runs {
+            break_connection(&mut pool.edge, *n, *dispatch);
         }
         starts.sort_unstable();
         starts.dedup();
         for start in &starts {
-            found(&mut pool.edge, start, Liveness::Ended);
+            liveness_checked(&mut pool.edge, start, Liveness::Ended);
         }
-        assert_eq!(ends_against(&pool.edge, "hot"), 1, "{starts:?}");
+        assert_eq!(exits_counted_against(&pool.edge, "hot"), 1, "{starts:?}");
         // The next one is served by what is left, and speaks for it.
-        pool.ended.extend(starts);
+        pool.exited.extend(starts);
         pool.edge.now += millis(1_000);
         let (dispatch, _) = pool
-            .arrives(with_body(first + 9, "once", "hot"))
+            .arrive(with_body(first + 9, "once", "hot"))
             .expect("it is sent");
         pool.edge.update_dispatch(first + 9, dispatch, ENDED);
-        assert_eq!(ends_against(&pool.edge, "hot"), 0);
+        assert_eq!(exits_counted_against(&pool.edge, "hot"), 0);
         // The rack is back.
-        pool = Pool {
-            ended: Vec::new(),
+        pool = TestPool {
+            exited: Vec::new(),
             ..pool
         };
         pool.edge.now += millis(60_000);
@@ -65,14 +68,14 @@
 /// Servers that are killed one after the other for another reason, with one request on board of each.
 #[test]
 fn endpoints_killed_for_other_reasons_convict_nothing_that_is_answered_in_between() {
-    let mut pool = Pool::new(8);
+    let mut pool = TestPool::new(8);
     for n in 1..=6 {
-        assert!(pool.ends_one(with_body(10 * n, "once", "hot")));
+        assert!(pool.send_and_exit(with_body(10 * n, "once", "hot")));
         let (dispatch, _) = pool
-            .arrives(with_body(10 * n + 1, "once", "hot"))
+            .arrive(with_body(10 * n + 1, "once", "hot"))
             .expect("it is sent");
         pool.edge.update_dispatch(10 * n + 1, dispatch, ENDED);
-        assert_eq!(ends_against(&pool.edge, "hot"), 0);
+        assert_eq!(exits_counted_against(&pool.edge, "hot"), 0);
     }
 }
 
@@ -80,29 +83,29 @@
 // the request may have broken off as well.
 #[test]
 fn an_answer_whose_end_proves_nothing_leaves_the_ends_before_it() {
-    let mut pool = Pool::new(8);
-    assert!(pool.ends_one(with_body(1, "once", "hot")));
+    let mut pool = TestPool::new(8);
+    assert!(pool.send_and_exit(with_body(1, "once", "hot")));
     let (dispatch, _) = pool
-        .arrives(with_body(2, "once", "hot"))
+        .arrive(with_body(2, "once", "hot"))
         .expect("it is sent");
     pool.edge
         .update_dispatch(2, dispatch, DispatchUpdate::Unproven);
     pool.edge.update_dispatch(2, dispatch, ENDED);
-    assert_eq!(ends_against(&pool.edge, "hot"), 1);
+    assert_eq!(exits_counted_against(&pool.edge, "hot"), 1);
     let (dispatch, _) = pool
-        .arrives(with_body(3, "once", "hot"))
+        .arrive(with_body(3, "once", "hot"))
         .expect("it is sent");
     pool.edge.update_dispatch(3, dispatch, ENDED);
-    assert_eq!(ends_against(&pool.edge, "hot"), 0);
+    assert_eq!(exits_counted_against(&pool.edge, "hot"), 0);
 }
 
 /// Endpoints of a release say that they leave, or their entries go first, and end with what they run.
 #[test]
 fn a_release_convicts_nothing() {
-    let mut pool = Pool::new(8);
+    let mut pool = TestPool::new(8);
     for n in 1..=8_u64 {
         let (dispatch, endpoint) = pool
-            .arrives(with_body(n, "once", "hot"))
+            .arrive(with_body(n, "once", "hot"))
             .expect("it is sent");
         if n.is_multiple_of(2) {
             pool.edge.step(Event::NoticeReported(NoticeReport {
@@ -117,20 +120,20 @@
         } else {
             let left: Vec<Resource> = endpoints(8)
                 .into_iter()
-                .filter(|r| !matches!(r, Resource::Endpoint(e) if e.name == endpoint || pool.ended.contains(&e.name)))
+                .filter(|r| !matches!(r, Resource::Endpoint(e) if e.name == endpoint || pool.exited.contains(&e.name)))
                 .collect();
             let catalog = Catalog::new(1 + n).with_resources(left);
             pool.edge.step(Event::Config(Arc::new(catalog)));
         }
-        pool.ends(n, (dispatch, endpoint));
+        pool.exit_endpoint(n, (dispatch, endpoint));
     }
-    assert_eq!(ends_against(&pool.edge, "hot"), 0);
+    assert_eq!(exits_counted_against(&pool.edge, "hot"), 0);
 }
 
 /// All connections of an instance are reset, or answers are spoilt: the endpoints live.
 #[test]
 fn broken_connections_to_endpoints_that_live_convict_nothing() {
-    let mut edge = before(8);
+    let mut edge = with_endpoints(8);
     for n in 1..=9 {
         edge.step(Event::ConfigConfirmed(edge.now));
         let sent = dispatched(&edge.arrive(with_body(n, "once", "hot")));
@@ -140,30 +143,30 @@
             edge.update_dispatch(n, 1, BROKE);
             // Another request's look finds it ended a moment later.
             edge.now += millis(10);
-            found(&mut edge, &sent[0].1, Liveness::Ended);
+            liveness_checked(&mut edge, &sent[0].1, Liveness::Ended);
         } else {
-            breaks(&mut edge, n, 1);
-            found(&mut edge, &sent[0].1, Liveness::Open);
+            break_connection(&mut edge, n, 1);
+            liveness_checked(&mut edge, &sent[0].1, Liveness::Open);
         }
         edge.now += millis(40_000);
     }
-    assert_eq!(ends_against(&edge, "hot"), 0);
+    assert_eq!(exits_counted_against(&edge, "hot"), 0);
 }
 
 /// One request ends three endpoints; each time three others are on board, which come back and are served.
 #[test]
 fn those_on_board_beside_it_are_served_when_they_come_back() {
-    let mut pool = Pool::new(8);
+    let mut pool = TestPool::new(8);
     let mut n = 100;
     for _ in 0..3 {
         let (dispatch, endpoint) = pool
-            .arrives(with_body(n, "once", "deadly"))
+            .arrive(with_body(n, "once", "deadly"))
             .expect("it is sent");
         let first = n;
         let (mut beside, mut elsewhere) = (Vec::new(), Vec::new());
         for _ in 0..24 {
             n += 1;
-            let Some((dispatch, at)) = pool.arrives(with_body(n, "once", &format!("b{n}"))) else {
+            let Some((dispatch, at)) = pool.arrive(with_body(n, "once", &format!("b{n}"))) else {
                 break;
             };
             let there = at == endpoint;
@@ -172,19 +175,19 @@
         }
         assert!(beside.len() >= 2, "others are on board");
         for (n, dispatch) in &beside {
-            breaks(&mut pool.edge, *n, *dispatch);
+            break_connection(&mut pool.edge, *n, *dispatch);
         }
-        pool.ends(first, (dispatch, endpoint));
+        pool.exit_endpoint(first, (dispatch, endpoint));
         for (n, dispatch) in elsewhere {
             pool.edge.update_dispatch(n, dispatch, ENDED);
         }
         for (of, _) in beside {
             n += 1;
             let (dispatch, _) = pool
-                .arrives(with_body(n, "once", &format!("b{of}")))
+                .arrive(with_body(n, "once", &format!("b{of}")))
                 .expect("it is sent at once");
             pool.edge.update_dispatch(n, dispatch, ENDED);
-            assert_eq!(ends_against(&pool.edge, &format!("b{of}")), 0);
+            assert_eq!(exits_counted_against(&pool.edge, &format!("b{of}")), 0);
         }
         n += 1;
     }
@@ -195,36 +198,36 @@
 /// evidence, however many tries of a request were on board.
 #[test]
 fn an_end_counts_once_in_whichever_order_it_becomes_known() {
-    let mut edge = before(1);
+    let mut edge = with_endpoints(1);
     for n in 1..=2 {
         edge.step(Event::ConfigConfirmed(edge.now));
         edge.arrive(with_body(n, "once", "deadly"));
     }
     edge.now += RUN;
-    breaks(&mut edge, 1, 1);
-    found(&mut edge, "s0", Liveness::Ended);
-    breaks(&mut edge, 2, 1);
-    found(&mut edge, "s0", Liveness::Ended);
-    assert_eq!(ends_against(&edge, "deadly"), 1);
+    break_connection(&mut edge, 1, 1);
+    liveness_checked(&mut edge, "s0", Liveness::Ended);
+    break_connection(&mut edge, 2, 1);
+    liveness_checked(&mut edge, "s0", Liveness::Ended);
+    assert_eq!(exits_counted_against(&edge, "deadly"), 1);
 }
 
 /// Nobody could look, and the endpoint's entry lapses: what broke before broke with it.
 #[test]
 fn an_entry_that_goes_tells_of_an_end() {
-    let mut edge = before(2);
+    let mut edge = with_endpoints(2);
     let sent = dispatched(&edge.arrive(with_body(1, "once", "deadly")));
     let at = sent[0].1.clone();
     edge.now += RUN;
-    breaks(&mut edge, 1, 1);
-    found(&mut edge, &at, Liveness::Silent);
-    assert_eq!(ends_against(&edge, "deadly"), 0);
+    break_connection(&mut edge, 1, 1);
+    liveness_checked(&mut edge, &at, Liveness::Silent);
+    assert_eq!(exits_counted_against(&edge, "deadly"), 0);
     edge.now += millis(3_600);
     let mut left = endpoints(2);
     left.retain(|r| !matches!(r, Resource::Endpoint(e) if e.name == at));
     edge.step(Event::Config(Arc::new(
         Catalog::new(2).with_resources(left),
     )));
-    assert_eq!(ends_against(&edge, "deadly"), 1);
+    assert_eq!(exits_counted_against(&edge, "deadly"), 1);
 }
 
 /// An endpoint that ended is back on its address before its entry tells of another start, or another one
@@ -232,43 +235,50 @@
 /// what was held against a request, which then ended three more.
 #[test]
 fn an_address_that_takes_connections_again_says_nothing_of_an_earlier_end() {
-    let mut edge = before(2);
+    let mut edge = with_endpoints(2);
     let sent = dispatched(&edge.arrive(with_body(1, "once", "deadly")));
     edge.now += RUN;
-    breaks(&mut edge, 1, 1);
-    found(&mut edge, &sent[0].1, Liveness::Ended);
+    break_connection(&mut edge, 1, 1);
+    liveness_checked(&mut edge, &sent[0].1, Liveness::Ended);
     edge.now += millis(4_000);
-    found(&mut edge, &sent[0].1, Liveness::Open);
+    liveness_checked(&mut edge, &sent[0].1, Liveness::Open);
     let catalog = Catalog::new(2).with_resources(endpoints(2));
     edge.step(Event::Config(Arc::new(catalog)));
-    assert_eq!(ends_against(&edge, "deadly"), 1);
+    assert_eq!(exits_counted_against(&edge, "deadly"), 1);
 }
 
 /// A look that began before a run broke says nothing of that: it is looked again, once at a time.
 #[test]
 fn a_look_that_began_before_a_break_is_made_again() {
-    let mut edge = before(1);
+    let mut edge = with_endpoints(1);
     for n in 1..=3 {
         edge.step(Event::ConfigConfirmed(edge.now));
         edge.arrive(with_body(n, "once", &format!("b{n}")));
     }
-    let looks = |actions: &[Action]| {
-        let looks = actions
+    let liveness_checks = |actions: &[Action]| {
+        let liveness_checks = actions
             .iter()
             .filter(|a| matches!(a, Action::CheckLiveness { .. }));
-        looks.count()
+        liveness_checks.count()
     };
     edge.now += RUN;
-    assert_eq!(looks(&breaks(&mut edge, 1, 1)), 1);
+    assert_eq!(liveness_checks(&break_connection(&mut edge, 1, 1)), 1);
     edge.now += millis(10);
-    assert_eq!(looks(&breaks(&mut edge, 2, 1)), 0, "one is under way");
+    assert_eq!(
+        liveness_checks(&break_connection(&mut edge, 2, 1)),
+        0,
+        "one is under way"
+    );
     edge.now += millis(10);
-    assert_eq!(looks(&found(&mut edge, "s0", Liveness::Open)), 1);
-    found(&mut edge, "s0", Liveness::Ended);
-    assert_eq!(ends_against(&edge, "b1"), 0);
-    assert_eq!(ends_against(&edge, "b2"), 1);
-    breaks(&mut edge, 3, 1);
-    assert_eq!(ends_against(&edge, "b3"), 1);
+    assert_eq!(
+        liveness_checks(&liveness_checked(&mut edge, "s0", Liveness::Open)),
+        1
+    );
+    liveness_checked(&mut edge, "s0", Liveness::Ended);
+    assert_eq!(exits_counted_against(&edge, "b1"), 0);
+    assert_eq!(exits_counted_against(&edge, "b2"), 1);
+    break_connection(&mut edge, 3, 1);
+    assert_eq!(exits_counted_against(&edge, "b3"), 1);
 }
 
 /// Endpoints before a catalog in which `s0` started at a second, or is not listed.
@@ -312,7 +322,11 @@
         assert!(actions.contains(&given_up));
         edge.update_dispatch(1, 1, DispatchUpdate::Breaking(BreakCause::Restarted));
         edge.update_dispatch(1, 1, BROKE);
-        assert_eq!(ends_against(&edge, "deadly"), ends, "removed: {removed}");
+        assert_eq!(
+            exits_counted_against(&edge, "deadly"),
+            ends,
+            "removed: {removed}"
+        );
     }
 }
 
@@ -320,18 +334,18 @@
 /// list it: each made what was heard of its end void, everywhere, so that 14 ended where three should.
 #[test]
 fn an_entry_that_is_still_listed_says_nothing_of_an_end() {
-    let mut edge = before(8);
-    let words = [("s1", 900), ("s2", 600)];
-    edge.step(peer("p", vec![told_of("deadly", "free", &words)]));
+    let mut edge = with_endpoints(8);
+    let exits = [("s1", 900), ("s2", 600)];
+    edge.step(peer("p", vec![suspect_report("deadly", "free", &exits)]));
     let sent = dispatched(&edge.arrive(with_body(1, "once", "deadly")));
     edge.now += RUN;
-    breaks(&mut edge, 1, 1);
+    break_connection(&mut edge, 1, 1);
     for version in 2..5 {
         edge.now += millis(200);
         let catalog = Catalog::new(version).with_resources(endpoints(8));
         edge.step(Event::Config(Arc::new(catalog)));
-        assert_eq!(ends_against(&edge, "deadly"), 2);
+        assert_eq!(exits_counted_against(&edge, "deadly"), 2);
     }
-    found(&mut edge, &sent[0].1, Liveness::Ended);
+    liveness_checked(&mut edge, &sent[0].1, Liveness::Ended);
     assert!(is_quarantined(&edge, "deadly"));
 }
