--- a/crates/firdock-policy/tests/policy/buffers.rs
+++ b/crates/firdock-policy/tests/policy/buffers.rs
@@ -1,4 +1,4 @@
-//! Answers that wait for slow callers: the budget holds, and who is cut for it.
+//! Answers buffered for slow callers: the memory budget holds, and in which order answers are cut.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,11 +7,11 @@
 use firdock_policy::buffers::{AnswerBuffers, BufferId, CALLER_STALL};
 use proptest::prelude::*;
 
-/// What a small instance can spare for answers.
+/// Memory that a small instance can spare for answers.
 const BUDGET: usize = 16 << 20;
-/// An answer of some thousand tokens, with its events' frames.
+/// Size of an answer of a few thousand tokens, event framing included.
 const LONG_ANSWER: usize = 400 << 10;
-/// One event of such an answer.
+/// Size of one event of such an answer.
 const EVENT: usize = 2 << 10;
 
 fn at(millis: u64) -> Time {
@@ -26,8 +26,8 @@
     buffers
 }
 
-/// A thousand callers who take 1 KB a second each of answers that come at 40 events a second: one of them
-/// could fill 400 KB, all together 400 MB. A caller who takes each event at once is never cut.
+/// A thousand callers read 1 KB a second each, of answers that arrive at 40 events a second: one of them
+/// could fill 400 KB, all together 400 MB. A caller that reads each event at once is never cut.
 #[test]
 fn a_thousand_slow_callers_share_a_bounded_memory() {
     const SLOW: u64 = 1_000;
@@ -47,14 +47,14 @@
             buffers.consume(now, id, taken);
         }
     }
-    assert!(!cut.contains(&FAST), "who reads is not cut");
+    assert!(!cut.contains(&FAST), "a caller that reads is not cut");
     let kept = SLOW as usize - cut.len();
-    assert!(kept >= BUDGET / LONG_ANSWER, "{kept} are served whole");
+    assert!(kept >= BUDGET / LONG_ANSWER, "{kept} are served completely");
 }
 
-/// A caller stopped reading one answer long ago; another account's answer comes in one large burst.
+/// A caller stopped reading one answer long ago; later answers arrive in one large burst each.
 #[test]
-fn the_caller_who_holds_most_for_longest_is_cut_first() {
+fn the_answer_with_most_bytes_times_age_is_cut_first() {
     let mut buffers = buffers_with(1_000, &[(1, "a"), (2, "a"), (3, "a")]);
     assert!(buffers.hold(at(0), 1, 300).is_empty());
     assert!(buffers.hold(at(9_000), 2, 500).is_empty());
@@ -63,19 +63,19 @@
 }
 
 #[test]
-fn an_account_with_many_slow_callers_pays_for_them_itself() {
+fn the_account_that_holds_most_is_cut_first() {
     let mut buffers = buffers_with(1_000, &[(1, "small"), (2, "large"), (3, "large")]);
     buffers.hold(at(0), 1, 400);
     buffers.hold(at(5_000), 2, 300);
     assert_eq!(
         buffers.hold(at(6_000), 3, 301),
         [2],
-        "though 1 waits longest"
+        "although 1 waits longest"
     );
 }
 
 #[test]
-fn an_answer_that_is_whole_is_kept_as_long_as_others_can_be_cut() {
+fn a_complete_answer_is_kept_while_incomplete_ones_can_be_cut() {
     let mut buffers = buffers_with(1_000, &[(1, "a"), (2, "a")]);
     buffers.hold(at(0), 1, 900);
     buffers.mark_complete(1);
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_caller_who_has_caught_up_begins_anew() {
+fn the_age_of_a_caller_that_caught_up_starts_again() {
     let mut buffers = buffers_with(1_000, &[(1, "a"), (2, "a"), (3, "a")]);
     buffers.hold(at(0), 1, 400);
     buffers.hold(at(4_000), 2, 350);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_caller_who_stops_reading_for_good_is_cut_though_there_is_room() {
+fn a_caller_that_stops_reading_is_cut_even_within_the_budget() {
     let mut buffers = buffers_with(BUDGET, &[(1, "a"), (2, "a"), (3, "a")]);
     buffers.hold(at(0), 1, 100);
     buffers.mark_complete(1);
@@ -108,14 +108,14 @@
     assert_eq!(
         buffers.bytes(),
         99,
-        "2 reads on, and 3 waits for its first part"
+        "2 still reads, and 3 waits for its first part"
     );
 }
 
-/// A caller who paused is waited for once the endpoint is done with its answer, and not before: until
-/// then, the endpoint might work for nobody.
+/// A caller that paused counts as late only after the endpoint has completed its answer: until then,
+/// the endpoint might work for a caller that is gone.
 #[test]
-fn a_caller_is_late_once_when_it_is_behind_a_whole_answer() {
+fn a_caller_becomes_late_once_after_its_answer_is_complete() {
     let mut buffers = buffers_with(BUDGET, &[(1, "a"), (2, "a")]);
     buffers.hold(at(0), 1, 100);
     buffers.hold(at(0), 2, 100);
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn what_ended_counts_no_more() {
+fn closed_answers_no_longer_count() {
     let mut buffers = buffers_with(1_000, &[(1, "a")]);
     buffers.hold(at(0), 1, 700);
     buffers.close(1);
@@ -136,99 +136,102 @@
     assert_eq!(buffers.bytes(), 0);
 }
 
-/// What is known of an answer in the property below, kept apart from the accounting.
+/// Model of an answer in the property test below, independent of the tested accounting.
 #[derive(Debug, Clone)]
 struct AnswerModel {
     account: usize,
     bytes: usize,
     since: u64,
-    whole: bool,
+    complete: bool,
 }
 
 #[derive(Debug, Clone)]
 enum Step {
     Hold(usize),
-    Take(usize),
-    Whole,
+    Consume(usize),
+    Complete,
     Close,
 }
 
 fn steps() -> impl Strategy<Value = Vec<(BufferId, u64, Step)>> {
     let step = prop_oneof![
         6 => (1_usize..400).prop_map(Step::Hold),
-        3 => (1_usize..600).prop_map(Step::Take),
-        1 => Just(Step::Whole),
+        3 => (1_usize..600).prop_map(Step::Consume),
+        1 => Just(Step::Complete),
         1 => Just(Step::Close),
     ];
     prop::collection::vec((0_u64..12, 0_u64..500, step), 1..200)
 }
 
-/// Checks that what was cut is what the order says: each beside all that were left at that moment.
-fn check_cut(seen: &mut BTreeMap<BufferId, AnswerModel>, cut: &[BufferId], now: u64) {
+/// Checks the order of the cuts: compares each cut answer with all that were left at that moment.
+fn check_cut(model: &mut BTreeMap<BufferId, AnswerModel>, cut: &[BufferId], now: u64) {
     for id in cut {
-        let gone = seen[id].clone();
+        let cut_answer = model[id].clone();
         let total = |account: usize| -> usize {
-            let rows = seen.values().filter(|s| s.account == account);
+            let rows = model.values().filter(|s| s.account == account);
             rows.map(|s| s.bytes).sum()
         };
         let weight = |s: &AnswerModel| s.bytes as u64 * (now - s.since);
-        assert!(gone.bytes > 0);
-        for left in seen.values().filter(|s| s.bytes > 0) {
-            if gone.whole {
-                assert!(left.whole, "an unfinished answer was left");
+        assert!(cut_answer.bytes > 0);
+        for kept in model.values().filter(|s| s.bytes > 0) {
+            if cut_answer.complete {
+                assert!(kept.complete, "an unfinished answer was left");
             }
-            if left.whole == gone.whole {
-                let (gone_total, left_total) = (total(gone.account), total(left.account));
-                assert!(gone_total >= left_total, "another account holds more");
-                let same = left.account == gone.account;
-                assert!(!same || weight(&gone) >= weight(left), "another was cut");
+            if kept.complete == cut_answer.complete {
+                let (cut_total, kept_total) = (total(cut_answer.account), total(kept.account));
+                assert!(cut_total >= kept_total, "another account holds more");
+                let same = kept.account == cut_answer.account;
+                assert!(
+                    !same || weight(&cut_answer) >= weight(kept),
+                    "another was cut"
+                );
             }
         }
-        seen.remove(id);
+        model.remove(id);
     }
 }
 
 proptest! {
     #[test]
-    fn the_budget_holds_and_cuts_come_in_their_order(steps in steps()) {
+    fn the_budget_holds_and_cuts_follow_the_order(steps in steps()) {
         const SMALL: usize = 1_000;
         let mut buffers = AnswerBuffers::new(SMALL);
-        let mut seen = BTreeMap::new();
+        let mut model = BTreeMap::new();
         for id in 0..12 {
             let account = (id % 3) as usize;
             buffers.open(at(0), id, format!("account-{account}"));
-            seen.insert(id, AnswerModel { account, bytes: 0, since: 0, whole: false });
+            model.insert(id, AnswerModel { account, bytes: 0, since: 0, complete: false });
         }
         let mut now = 0;
         for (id, pause, step) in steps {
             now += pause;
             match step {
                 Step::Hold(n) => {
-                    if let Some(row) = seen.get_mut(&id) {
+                    if let Some(row) = model.get_mut(&id) {
                         row.since = if row.bytes == 0 { now } else { row.since };
                         row.bytes += n;
                     }
                     let cut = buffers.hold(at(now), id, n);
-                    check_cut(&mut seen, &cut, now);
+                    check_cut(&mut model, &cut, now);
                 }
-                Step::Take(n) => {
+                Step::Consume(n) => {
                     buffers.consume(at(now), id, n);
-                    if let Some(row) = seen.get_mut(&id) {
+                    if let Some(row) = model.get_mut(&id) {
                         row.bytes -= n.min(row.bytes);
                     }
                 }
-                Step::Whole => {
+                Step::Complete => {
                     buffers.mark_complete(id);
-                    if let Some(row) = seen.get_mut(&id) {
-                        row.whole = true;
+                    if let Some(row) = model.get_mut(&id) {
+                        row.complete = true;
                     }
                 }
                 Step::Close => {
                     buffers.close(id);
-                    seen.remove(&id);
+                    model.remove(&id);
                 }
             }
-            let held: usize = seen.values().map(|s| s.bytes).sum();
+            let held: usize = model.values().map(|s| s.bytes).sum();
             prop_assert_eq!(buffers.bytes(), held);
             prop_assert!(held <= SMALL);
         }
--- a/crates/firdock-policy/tests/policy/notices.rs
+++ b/crates/firdock-policy/tests/policy/notices.rs
@@ -1,11 +1,10 @@
-//! What endpoints say of themselves with answers, and what follows from it.
+//! Notices that endpoints send with their answers: that they leave, or that they ask for a backoff.
 //!
-//! At an installation, a server said with an answer that it leaves while the platform's store was away,
-//! and got requests from the same instance up to 11.7 s later. On another day servers turned an instance
-//! away and asked for 3 s without requests: they got 17 to 27 in that time, mostly first tries, for a
-//! server that refuses at once looks free and fast. The head of an answer was read for the request
-//! alone, so that what an endpoint said there of itself changed no belief; logs showed none that
-//! changed, and the same days without a network, below, showed the same choices.
+//! These tests guard against the head of an answer being used for its own request alone. In one incident
+//! a server announced that it was leaving while the platform's store was unavailable, and the same
+//! instance sent it requests for up to 11.7 s more. In another, servers refused requests and asked for
+//! 3 s without any: each got 17 to 27 in that time, mostly first attempts, since a server that refuses at
+//! once looks idle and fast. The log of state changes showed none in either incident.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -39,7 +38,7 @@
     edge.step(report_notice(endpoint, notice, edge.now))
 }
 
-/// The endpoint asks for a time without requests.
+/// The endpoint asks for a backoff: a time without requests.
 fn report_backoff(edge: &mut EdgeScheduler, endpoint: &str, time: Duration) -> Vec<Action> {
     let notice = Notice {
         backoff: Some(time),
@@ -68,7 +67,7 @@
     endpoints.get(endpoints.find(name).expect("a row"))
 }
 
-/// Where requests go that come at once, each ended as soon as all are here.
+/// Sends requests at once and then ends them; returns the endpoints that they were dispatched to.
 fn dispatched_endpoints(edge: &mut EdgeScheduler, numbers: std::ops::Range<u64>) -> Vec<String> {
     edge.step(Event::ConfigConfirmed(edge.now));
     let mut actions: Vec<Action> = Vec::new();
@@ -91,14 +90,14 @@
 }
 
 #[test]
-fn an_endpoint_that_said_it_leaves_gets_nothing_new() {
+fn an_endpoint_that_announced_leaving_gets_nothing_new() {
     let mut edge = single_instance();
     report_leaving(&mut edge, "e1");
     assert_eq!(dispatched_endpoints(&mut edge, 1..6), ["e2"; 5]);
 }
 
 #[test]
-fn its_word_outlasts_older_words_of_others_and_its_own_row() {
+fn a_notice_outlasts_other_reports_and_the_endpoints_row() {
     let mut edge = single_instance();
     report_leaving(&mut edge, "e1");
     let ready = vec![ListedInstance {
@@ -118,14 +117,14 @@
         removed: Vec::new(),
     }));
     assert_eq!(dispatched_endpoints(&mut edge, 1..4), ["e2"; 3]);
-    // Its entry lapses while the store is away, and comes back as it was before.
+    // Its entry expires while the store is unavailable, and returns unchanged.
     apply(&mut edge, 2, without("e1"));
     edge.advance(millis(30_000));
     apply(&mut edge, 3, resources());
     assert_eq!(dispatched_endpoints(&mut edge, 4..8), ["e2"; 4]);
 }
 
-/// The catalog with `e1` as it started at a second.
+/// The resources with `e1` as started at the given second.
 fn started(second: u64) -> Vec<Resource> {
     let mut all = without("e1");
     all.push(Resource::Endpoint(Endpoint {
@@ -139,13 +138,13 @@
 }
 
 #[test]
-fn its_word_ends_with_its_next_start() {
+fn a_notice_ends_with_the_endpoints_next_start() {
     let mut edge = EdgeScheduler::new(edge_settings("a"), started(8));
     let earlier = row(&edge, "e1").start_id.clone();
     report_leaving(&mut edge, &earlier);
     assert_eq!(dispatched_endpoints(&mut edge, 1..5), ["e2"; 4]);
     apply(&mut edge, 2, started(9));
-    // A late word of the earlier start changes nothing of the later one.
+    // A late notice of the earlier start changes nothing for the later one.
     report_leaving(&mut edge, &earlier);
     report_backoff(&mut edge, &earlier, millis(3_000));
     let open = dispatched_endpoints(&mut edge, 5..10);
@@ -153,7 +152,7 @@
 }
 
 #[test]
-fn a_place_on_an_endpoint_that_said_it_leaves_is_given_back() {
+fn a_placement_on_an_endpoint_with_a_notice_is_declined() {
     for backoff in [false, true] {
         let mut edge = single_instance();
         edge.step(Event::Coordinated(true));
@@ -175,7 +174,7 @@
 }
 
 #[test]
-fn an_endpoint_that_asked_for_a_time_gets_nothing_until_its_end() {
+fn an_endpoint_that_asked_for_a_backoff_gets_nothing_until_its_end() {
     let mut edge = single_instance();
     report_backoff(&mut edge, "e1", millis(3_000));
     assert_eq!(dispatched_endpoints(&mut edge, 1..6), ["e2"; 5]);
@@ -186,13 +185,13 @@
 }
 
 #[test]
-fn the_time_runs_from_the_receipt_and_its_latest_end_counts() {
+fn a_backoff_runs_from_the_receipt_and_the_latest_end_counts() {
     let mut edge = single_instance();
     let notice = |secs| Notice {
         backoff: Some(Duration::from_secs(secs)),
         ..Notice::default()
     };
-    // The answer was read a second ago, while the process stood still.
+    // The answer was read a second ago, since when the process was paused.
     let read = edge.now.saturating_sub(millis(1_000));
     edge.step(report_notice("e1", notice(3), read));
     edge.step(report_notice("e1", notice(1), read + millis(100)));
@@ -202,10 +201,10 @@
     assert!(dispatched_endpoints(&mut edge, 4..9).contains(&"e1".to_owned()));
 }
 
-/// A server that wants a pause is well: neither what it refuses nor what it fails meanwhile counts
-/// against it, and it is whole again at the end of its time.
+/// A server that asks for a backoff is healthy: neither refusals nor failures in that time count against
+/// it, and it is fully usable after it.
 #[test]
-fn a_time_that_was_asked_for_is_no_failure() {
+fn a_backoff_is_no_failure() {
     let mut edge = single_instance();
     for n in 1..=4 {
         edge.arrive(request(n, "safe", "free"));
@@ -227,9 +226,10 @@
     );
 }
 
-/// Requests wait for the first end, within their callers' time; the others hear at once when to come.
+/// Requests wait for the first backoff to end if their deadlines allow it; the others are refused at once
+/// with a time to retry after.
 #[test]
-fn when_all_ask_for_a_time_some_wait_and_the_rest_is_told_when_to_come_back() {
+fn when_all_ask_for_a_backoff_some_wait_and_the_rest_get_a_retry_time() {
     let mut edge = single_instance();
     report_backoff(&mut edge, "e1", millis(1_000));
     report_backoff(&mut edge, "e2", millis(3_000));
@@ -253,8 +253,8 @@
     );
     times.sort_unstable();
     times.dedup();
-    assert!(times.len() > 10, "they come back apart: {times:?}");
-    // This one has the time.
+    assert!(times.len() > 10, "retry times are spread: {times:?}");
+    // This one's deadline allows the wait.
     assert_eq!(edge.arrive(request(21, "once", "free")), Vec::new());
     assert_eq!(dispatched(&edge.advance(millis(900))), Vec::new());
     assert_eq!(
@@ -263,9 +263,10 @@
     );
 }
 
-/// A request that may have run is not told that it has not, though it waits for an endpoint's time.
+/// A request that may have run is never reported as not run, even when the backoffs keep it from being
+/// repeated.
 #[test]
-fn a_repeat_that_cannot_wait_is_told_the_truth() {
+fn a_broken_request_that_cannot_wait_ends_as_unknown() {
     let mut edge = single_instance();
     let mut new = request(1, "safe", "free");
     new.deadline = Some(edge.now + millis(700));
@@ -279,10 +280,11 @@
     assert_ne!(verdict(&actions).map(|v| v.1), Some(Reason::TimedOut));
 }
 
-/// The day of the second report without a network: of six endpoints of four places, a third turns all
-/// away for 3 s and asks for as much, while 40 requests a second come, half of what the others bear.
+/// The second incident, replayed without a network: of six endpoints with four slots, a third refuses all
+/// requests for 3 s and asks for a backoff of as long, at 40 requests a second, half of what the others
+/// can serve.
 #[test]
-fn a_third_that_asks_for_a_time_draws_no_requests_from_the_others() {
+fn endpoints_that_ask_for_a_backoff_attract_no_requests() {
     let endpoint = |n: u32| {
         Resource::Endpoint(Endpoint {
             name: format!("s{n}"),
@@ -295,7 +297,7 @@
     all.retain(|r| !matches!(r, Resource::Endpoint(_)));
     all.extend((0..6).map(endpoint));
     let mut edge = EdgeScheduler::new(edge_settings("a"), all);
-    let shuns = |name: &str| matches!(name, "s0" | "s1");
+    let refuses = |name: &str| matches!(name, "s0" | "s1");
     let began = edge.now;
     let mut asked_at: [Option<Time>; 2] = [None; 2];
     let (mut sent, mut served, mut late) = (0_u64, 0_u64, 0_u64);
@@ -326,7 +328,7 @@
                 continue;
             };
             let n = d.id.as_u64_pair().1;
-            if !shuns(&d.endpoint) {
+            if !refuses(&d.endpoint) {
                 running.push((edge.now + millis(200), n, d.dispatch));
                 continue;
             }
--- a/crates/firdock-policy/tests/policy/pace_reports.rs
+++ b/crates/firdock-policy/tests/policy/pace_reports.rs
@@ -1,5 +1,5 @@
-//! Servers that tell how long work takes there now: 60 engines of which a third take four times as long
-//! as the others, and 15 of 100 two and a half times their own time, for half a second at a time.
+//! Servers that report their current pace. The figures are those of 60 engines of which a third take four
+//! times as long as the others, and 15 in 100 take 2.5 times their own time for half a second at a time.
 
 use firdock_core::resource::{Endpoint, EndpointKind, PoolWeight, Resource, Service};
 use firdock_policy::event::DispatchUpdate;
@@ -11,7 +11,7 @@
 use crate::edge::{EdgeScheduler, edge_settings, request, resources};
 use crate::fixtures::{dispatched, id, millis};
 
-/// Seconds to a first token of an engine of usual pace.
+/// Seconds to the first token on an engine of pace 1.
 fn usual_first_token_secs(tokens: f64) -> f64 {
     0.04 + tokens / 56_000.0
 }
@@ -29,8 +29,8 @@
     }));
 }
 
-/// A coordinator of a fast engine `e1` and a slow one `e2`, whose service `safe` streams events of seven
-/// tokens and has a gap target of 300 ms, as that of the users' listeners.
+/// A coordinator of a fast engine `e1` and a slow one `e2`. The service `safe` streams events of seven
+/// tokens and has a gap target of 300 ms.
 fn fast_and_slow_engines() -> EdgeScheduler {
     fast_and_slow_engines_with_slots(2)
 }
@@ -71,7 +71,7 @@
     edge
 }
 
-/// Teaches the pool: answers of both engines, each as long as its pace says.
+/// Lets the pool learn its latencies from answers of both engines, each as long as its pace says.
 fn learn_latencies(edge: &mut EdgeScheduler, answers: u64) {
     for n in 0..answers {
         let tokens = 300 + 1_700 * (n % 5) as u32;
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn figures_beyond_what_a_server_can_have_are_no_pace() {
+fn values_out_of_range_are_no_pace() {
     for hundredths in [0, 9, 5_001, u32::MAX] {
         assert!(Pace::from_hundredths(hundredths).is_none(), "{hundredths}");
     }
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn an_older_figure_that_comes_late_is_left_out() {
+fn an_older_report_that_arrives_late_is_ignored() {
     let mut seen = ReportedPace::default();
     seen.update(pace(68), millis(1_000));
     seen.update(pace(300), millis(900));
@@ -135,10 +135,10 @@
     assert!(seen.baseline().is_some_and(|own| own < 0.7));
 }
 
-/// Redraws each half second are faster than answers of seconds: a figure of now says much of a prompt and
-/// little of an answer.
+/// The pace changes each half second, while answers take seconds: the latest report predicts the time of a
+/// prompt well and that of an answer hardly at all.
 #[test]
-fn a_slow_moment_counts_for_what_comes_now_and_fades() {
+fn a_slow_phase_counts_for_short_work_and_fades() {
     let (mut seen, mut pool) = (ReportedPace::default(), PoolLatency::default());
     for n in 0..2_000_u64 {
         let at = millis(1_000 + 100 * n);
@@ -165,9 +165,9 @@
     );
 }
 
-/// A pool's engines teach one line: four times as slow ones and slow moments change nothing in it.
+/// All engines of a pool share one linear fit, which neither slow engines nor slow phases distort.
 #[test]
-fn noise_is_not_learned_as_an_engines_speed() {
+fn slow_phases_are_not_learned_as_an_engines_speed() {
     let mut pool = PoolLatency::default();
     for n in 0..600_u32 {
         let tokens = f64::from(200 + 97 * (n % 70));
@@ -182,16 +182,16 @@
     }
 }
 
-/// 47,000 prompt tokens take 2.5 s on a slow engine, whose caller leaves after 3.2 s.
+/// 47,000 prompt tokens take 2.5 s on a slow engine, and the caller leaves after 3.2 s.
 #[test]
-fn a_giant_prompt_goes_to_a_fast_engine_and_never_to_one_that_told_nothing_yet() {
+fn a_long_prompt_goes_to_a_fast_engine_and_never_to_one_without_a_report() {
     let mut edge = fast_and_slow_engines();
     learn_latencies(&mut edge, 30);
     assert_eq!(
         place(&mut edge, request_with_tokens(1, "safe", 47_000, 385)),
         Some("e1".to_owned())
     );
-    // Of two engines, the one that told nothing may be a slow one.
+    // An engine that has reported no pace yet may be a slow one.
     let mut all = resources();
     all.push(Resource::Endpoint(Endpoint {
         name: "e0".to_owned(),
@@ -206,17 +206,17 @@
         place(&mut edge, request_with_tokens(1, "safe", 47_000, 10)),
         Some("e1".to_owned())
     );
-    // A short one tells which it is.
+    // A short prompt shows which it is.
     assert_ne!(
         place(&mut edge, request_with_tokens(2, "safe", 90, 10)),
         Some("e1".to_owned())
     );
 }
 
-/// An answer of 385 tokens streams for 7 s on a slow engine, where one slow moment makes a pause of over
-/// 300 ms; one of 21 tokens is over before.
+/// An answer of 385 tokens streams for 7 s on a slow engine, where one slow phase causes a gap of over
+/// 300 ms; an answer of 21 tokens ends before that.
 #[test]
-fn long_answers_take_fast_engines_and_short_ones_leave_them_those() {
+fn long_answers_go_to_fast_engines_and_short_ones_to_slow_engines() {
     let mut edge = fast_and_slow_engines_with_slots(9);
     learn_latencies(&mut edge, 30);
     add_slow_phases(&mut edge);
@@ -229,7 +229,7 @@
     assert_eq!(at, Some("e2".to_owned()));
 }
 
-/// Lets the slow engine have slow moments, as many as are usual where servers share their machines.
+/// Gives the slow engine slow phases, at the rate that is usual for servers on shared hardware.
 fn add_slow_phases(edge: &mut EdgeScheduler) {
     for n in 0..600 {
         edge.now += millis(100);
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn an_answer_waits_for_a_place_that_fits_and_is_passed_by_those_that_fit_elsewhere() {
+fn an_answer_waits_for_an_engine_that_fits_and_others_overtake_it() {
     let mut edge = fast_and_slow_engines();
     learn_latencies(&mut edge, 30);
     add_slow_phases(&mut edge);
@@ -261,14 +261,14 @@
         place(&mut edge, request_with_tokens(4, "tags", 1_800, 21)),
         Some("e2".to_owned())
     );
-    // It takes what fits as soon as that is free.
+    // It takes the slot that fits as soon as that is free.
     edge.update_dispatch(1, 1, TOKENS);
     let placed = dispatched(&edge.update_dispatch(1, 1, ended(1_800, 385)));
     assert_eq!(placed, vec![(id(3), "e1".to_owned())]);
 }
 
 #[test]
-fn an_answer_that_waited_a_part_of_its_target_takes_what_is_free() {
+fn an_answer_that_waited_for_part_of_its_target_takes_any_free_slot() {
     let mut edge = fast_and_slow_engines();
     learn_latencies(&mut edge, 30);
     add_slow_phases(&mut edge);
@@ -280,7 +280,7 @@
     assert_eq!(placed, vec![(id(3), "e2".to_owned())]);
 }
 
-/// Lets the slow engine tell a tenth of its pace until nobody believes it.
+/// Lets the slow engine report a pace of 0.1 until its reports are no longer trusted.
 fn with_false_paces() -> EdgeScheduler {
     let mut edge = fast_and_slow_engines();
     learn_latencies(&mut edge, 150);
@@ -301,9 +301,9 @@
     edge
 }
 
-/// A server that tells a tenth of its pace would draw all long prompts.
+/// A server that reports far too low a pace would otherwise attract all long prompts.
 #[test]
-fn a_server_whose_figures_are_untrue_is_reckoned_by_its_answers() {
+fn a_server_with_false_pace_reports_is_predicted_from_its_answers() {
     let mut edge = with_false_paces();
     assert_eq!(
         place(&mut edge, request_with_tokens(900, "safe", 47_000, 385)),
@@ -311,10 +311,10 @@
     );
 }
 
-/// An engine whose figures are not believed is reckoned by another measure, which says nothing of whether
-/// an answer fits there; nobody waits for it.
+/// An engine whose reports are not trusted is predicted from its own answers, which doesn't tell whether an
+/// answer keeps its gap target there; so no request waits for such an engine.
 #[test]
-fn nobody_waits_for_a_full_engine_whose_figures_are_untrue() {
+fn no_request_waits_for_a_full_engine_with_false_pace_reports() {
     let mut edge = with_false_paces();
     for n in 901..=904 {
         let new = request_with_tokens(n, "safe", 1_800, 385);
@@ -325,7 +325,7 @@
         place(&mut edge, request_with_tokens(905, "safe", 20_000, 385)),
         None
     );
-    // All moments of the other engine are slow now, so that a long prompt is late there.
+    // The other engine is slow now, so that a long prompt would be late there.
     report_pace(&mut edge, "e1", 750);
     let t = edge.scheduler.tables();
     let there = |n: &u64| {
@@ -339,9 +339,9 @@
     assert_eq!(placed, vec![(id(905), "e1".to_owned())]);
 }
 
-/// Deployments that tell nothing are served as before: nothing waits, and nothing is learned of pools.
+/// Without pace reports, no request waits for a better engine and no latencies of pools are learned.
 #[test]
-fn where_no_pace_is_told_nothing_changes() {
+fn without_pace_reports_nothing_changes() {
     let mut edge = EdgeScheduler::new(edge_settings("a").with_coordination(), resources());
     for n in 1..=4 {
         assert!(place(&mut edge, request_with_tokens(n, "safe", 1_000, 385)).is_some());
@@ -349,9 +349,10 @@
     assert!(edge.scheduler.tables().pool_latencies.get("pool").is_none());
 }
 
-/// An instance among many may have one call at a time on a plain server: a call is not slowed by itself.
+/// One instance of many may have a single call at a time on a plain server: a call must not count as load
+/// that slows itself down.
 #[test]
-fn a_plain_call_is_expected_to_take_what_others_took_at_the_pace_told() {
+fn a_plain_call_is_predicted_from_other_calls_at_the_reported_pace() {
     let mut all = resources();
     for resource in &mut all {
         if let Resource::Endpoint(e) = resource {
--- a/crates/firdock-policy/tests/policy/restart.rs
+++ b/crates/firdock-policy/tests/policy/restart.rs
@@ -1,8 +1,7 @@
-//! Endpoints that start again under their names: what ran there, what is believed of them, and whose word
-//! counts.
+//! Endpoints that restart under the same name: requests that ran there, assumed state, and stale reports.
 //!
-//! The load is a server that crashes and is back within a second, while callers stream from it: the
-//! platform lists the new start before the connections of the old one are seen to be dead.
+//! The case is a server that crashes and is back within a second while callers stream from it: the
+//! platform lists the new start before the connections to the old process are found to be dead.
 
 use std::time::Duration;
 
@@ -23,10 +22,10 @@
     cached: 0,
     output: 0,
 };
-/// Unix time at which the process's clock stood at zero, in the tests where it is known.
+/// Unix time at which the process's clock was zero, in the tests where it is known.
 const UNIX_ZERO: Duration = Duration::from_secs(1_000_000);
 
-/// The usual resources, with the Unix time of each endpoint's start: `again` for one, 1 s for the rest.
+/// The usual resources with the Unix time of each endpoint's start: `again` for `name`, 1 s for the rest.
 fn with_starts(name: &str, again: Duration) -> Vec<Resource> {
     let mut all = resources();
     for resource in &mut all {
@@ -38,7 +37,7 @@
     all
 }
 
-/// An instance with the endpoints of their first starts.
+/// An instance whose endpoints are all at their first start.
 fn instance(settings: PolicySettings) -> TestScheduler {
     let mut d = TestScheduler {
         scheduler: Scheduler::new(settings),
@@ -68,7 +67,7 @@
 }
 
 #[test]
-fn what_ran_on_the_earlier_start_goes_on_elsewhere_where_it_stopped() {
+fn a_stream_on_an_earlier_start_is_resumed_on_another_endpoint() {
     let mut d = instance(settings("a"));
     let first = dispatched(&d.arrive(request(1, "draft", "shop")));
     let name = first[0].1.clone();
@@ -85,7 +84,7 @@
 }
 
 #[test]
-fn a_repeatable_request_may_go_to_the_later_start_though_the_earlier_one_had_it() {
+fn a_repeatable_request_may_run_on_the_later_start_after_the_earlier_one() {
     let mut d = instance(settings("a"));
     let name = dispatched(&d.arrive(request(1, "tiles", "shop")))[0]
         .1
@@ -108,7 +107,7 @@
 }
 
 #[test]
-fn a_request_that_runs_once_is_told_unknown_and_never_sent_to_the_later_start() {
+fn an_unrepeatable_request_ends_as_unknown_and_is_never_sent_to_the_later_start() {
     let mut d = instance(settings("a"));
     let name = dispatched(&d.arrive(request(1, "orders", "shop")))[0]
         .1
@@ -135,7 +134,7 @@
 }
 
 #[test]
-fn news_of_the_earlier_start_touch_nothing_of_the_later_one() {
+fn updates_of_the_earlier_start_change_nothing_of_the_later_one() {
     let mut d = instance(settings("a"));
     let name = dispatched(&d.arrive(request(1, "tiles", "shop")))[0]
         .1
@@ -148,14 +147,14 @@
         (fresh.health, fresh.failures, fresh.broken),
         (Health::Healthy, 0, 0)
     );
-    // The row of the earlier start goes with the next configuration, since nothing is there any more.
+    // The next configuration removes the row of the earlier start, on which nothing runs any more.
     let rows = d.scheduler.tables().endpoints.len();
     d.step(catalog(3, with_starts(&name, millis(2_000))));
     assert_eq!(d.scheduler.tables().endpoints.len(), rows - 1);
 }
 
 #[test]
-fn an_answer_that_was_whole_when_the_restart_was_read_is_delivered() {
+fn an_answer_that_was_complete_when_the_restart_was_read_is_delivered() {
     let mut d = instance(settings("a"));
     let name = dispatched(&d.arrive(request(1, "orders", "shop")))[0]
         .1
@@ -166,7 +165,7 @@
 }
 
 #[test]
-fn what_was_believed_of_the_earlier_start_says_nothing_of_the_later_one() {
+fn assumed_state_of_the_earlier_start_does_not_apply_to_the_later_one() {
     let mut d = instance(settings("a"));
     let name = dispatched(&d.arrive(request(1, "tiles", "shop")))[0]
         .1
@@ -187,7 +186,7 @@
 }
 
 #[test]
-fn a_peer_that_knows_only_the_earlier_start_does_not_keep_the_later_one_out() {
+fn a_peers_report_on_the_earlier_start_does_not_exclude_the_later_one() {
     let mut d = instance(settings("a"));
     restart(&mut d, "plain-0", millis(2_000));
     let mut tell = |start: &str| {
@@ -203,7 +202,7 @@
 }
 
 #[test]
-fn what_was_sent_after_the_later_start_began_runs_there_and_is_left_alone() {
+fn a_request_sent_after_the_later_start_began_keeps_running_there() {
     let mut d = instance(settings("a").with_unix_zero(UNIX_ZERO));
     let name = dispatched(&d.arrive(request(1, "tiles", "shop")))[0]
         .1
@@ -220,10 +219,10 @@
     let sent = if later == name { 2 } else { 3 };
     assert!(
         later == name || third == name,
-        "one of them went where the first one is"
+        "one of them went to the endpoint of the first"
     );
     assert_eq!(given_up(&restart(&mut d, &name, began)), [(1, 1)]);
-    // It breaks all the same: this start had it, though it was sent before the start was known.
+    // It still breaks later: it ran on this start, although it was sent before the start was known.
     let again = dispatched(&d.update_dispatch(sent, 1, BROKE));
     assert_eq!(again.len(), 1);
     assert_ne!(again[0].1, name);
@@ -239,7 +238,7 @@
 }
 
 #[test]
-fn a_place_on_a_start_that_is_over_or_not_known_yet_is_given_back() {
+fn a_placement_on_an_earlier_or_unknown_start_is_declined() {
     let mut d = instance(settings("a"));
     d.step(Event::Coordinated(true));
     restart(&mut d, "engine-0", millis(2_000));
@@ -260,10 +259,10 @@
     assert_eq!(dispatched(&grant("engine-0@2000")).len(), 1);
 }
 
-/// Members and coordinators hear of a start at different moments; an engine that is the only one of its
-/// pool must not be told as one to avoid, for then the request would have nowhere to go.
+/// Members and coordinators learn of a start at different times. A member must not report the only engine
+/// of a pool as one to avoid, since the request could then not be placed at all.
 #[test]
-fn a_start_that_is_not_known_is_no_engine_to_avoid() {
+fn an_unknown_start_is_not_reported_as_an_engine_to_avoid() {
     let mut d = instance(settings("a"));
     d.step(Event::Coordinated(true));
     d.arrive(request(1, "draft", "shop"));
@@ -277,7 +276,7 @@
 }
 
 #[test]
-fn a_coordinator_counts_nothing_on_the_later_start_that_members_run_on_the_earlier_one() {
+fn a_coordinator_does_not_count_requests_of_the_earlier_start_on_the_later_one() {
     let mut d = instance(settings("a").with_coordination());
     let adopt = |n: u64, start: &str| Event::Adopted(request(n, "draft", "shop"), start.to_owned());
     d.step(adopt(1, "engine-0@1000"));
@@ -287,7 +286,7 @@
     assert_eq!(row(&d, "engine-0").running, 0);
     d.step(adopt(3, "engine-0@2000"));
     assert_eq!(row(&d, "engine-0").running, 1);
-    // The member tells that the first one broke; the later start is none the worse for it.
+    // The member reports that the first request broke; this doesn't count against the later start.
     d.update_dispatch(1, 1, BROKE);
     assert_eq!(
         (row(&d, "engine-0").running, row(&d, "engine-0").failures),
