--- a/crates/firdock-policy/tests/policy/limits.rs
+++ b/crates/firdock-policy/tests/policy/limits.rs
@@ -1,4 +1,4 @@
-//! Account limits over all instances, from what each lets pass and what its peers tell.
+//! Account limits across all instances, from what each admits and what its peers report.
 
 use std::time::Duration;
 
@@ -34,7 +34,7 @@
     assert!((10..=11).contains(&served), "{served}");
 }
 
-/// Counts how many requests of two units each pass at one moment.
+/// Counts how many requests of two units each are admitted at one moment.
 fn count_admitted_at_once(edge: &mut EdgeScheduler) -> usize {
     let small = |n| NewRequest {
         prompt_tokens: 1,
@@ -46,19 +46,19 @@
 }
 
 #[test]
-fn instances_that_start_together_let_the_callers_in_that_come_at_once() {
+fn instances_that_start_together_admit_a_first_burst() {
     // 0.4 s of 100 units a second among five instances are 8 units each, and one request more.
     let mut edge = EdgeScheduler::unaware(edge_settings("a"), resources());
     edge.step(Event::PeersKnown(4));
     assert_eq!(count_admitted_at_once(&mut edge), 5);
-    // It is given once, and only where it is known among how many it is shared.
+    // The allowance is given once, and only where the number of instances that share it is known.
     edge.step(Event::PeersKnown(3));
     assert_eq!(count_admitted_at_once(&mut edge), 0);
     let mut unaware = EdgeScheduler::unaware(edge_settings("a"), resources());
     assert_eq!(count_admitted_at_once(&mut unaware), 1);
 }
 
-/// Use of the account `limited`, of which everything that was asked for was let pass.
+/// Use of the account `limited`, with everything admitted that was asked for.
 fn limited(units: f64) -> Vec<AccountUse> {
     vec![AccountUse {
         account: "limited".to_owned(),
@@ -68,8 +68,8 @@
     }]
 }
 
-/// Counts how many of so many requests are served, of which each comes a `pause` after the one before;
-/// `told` is what the instance hears before each.
+/// Sends `count` requests, one every `pause`, and counts those admitted; the instance receives `reports`
+/// before each.
 fn count_admitted(edge: &mut EdgeScheduler, count: u64, pause: Duration, reports: &[Event]) -> u32 {
     let mut served = 0;
     for n in 0..count {
@@ -96,9 +96,9 @@
 }
 
 #[test]
-fn what_peers_let_pass_counts_against_the_limit() {
+fn what_peers_admitted_counts_against_the_limit() {
     let mut edge = EdgeScheduler::new(edge_settings("a"), resources());
-    // What it used before it was first heard of is not known to be recent.
+    // What it used before its first report may not be recent, and doesn't count.
     edge.step(peer(5_000.0, 1));
     edge.now += millis(1_000);
     edge.step(peer(5_000.0, 1));
@@ -111,7 +111,7 @@
     assert_eq!(refused, Some((Outcome::NotRun, Reason::RateLimited)));
 }
 
-/// A lead's counts of what all let pass.
+/// A lead's counts of what all instances admitted.
 fn lead_report(count: f64, beginning: u128) -> Event {
     Event::SiteUseReported(UseCounts {
         lead: "lead".to_owned(),
@@ -121,10 +121,10 @@
     })
 }
 
-/// Finding 8: where instances are many, each heard most others every second or two, and an account
-/// that began to send many times its limit passed it meanwhile.
+/// Finding 8: among many instances, each received reports of most others only every second or two, and an
+/// account that began to send many times its limit exceeded it meanwhile.
 #[test]
-fn of_many_instances_what_others_let_pass_counts_as_their_leads_tell_it() {
+fn among_many_instances_the_use_of_others_counts_as_leads_report_it() {
     let mut edge = EdgeScheduler::new(edge_settings("a"), resources());
     edge.step(Event::PeersKnown(39));
     edge.step(Event::Reach(40));
@@ -134,24 +134,24 @@
         edge.step(Event::Reach(40));
         verdict(&edge.arrive(request(n, "safe", "limited")))
     };
-    // What was counted before the first word is not known to be recent.
+    // What was counted before the first report may not be recent.
     edge.step(lead_report(5_000.0, 1));
     assert_eq!(arrive(&mut edge, 1, 1_000), None);
-    // This instance's own use is among what is counted next, and counts no second time; another's does.
+    // The next counts include this instance's own use, which doesn't count twice; that of others counts.
     edge.step(lead_report(5_100.0, 1));
     assert_eq!(arrive(&mut edge, 2, 1_100), None);
     edge.step(lead_report(5_500.0, 1));
     let refused = Some((Outcome::NotRun, Reason::RateLimited));
     assert_eq!(arrive(&mut edge, 3, 1_100), refused);
-    // Told again, and late, it counts no second time: 300 units are made up for in 3 s.
+    // A repeated or late report doesn't count twice: 300 units are refilled in 3 s.
     edge.step(lead_report(5_500.0, 1));
     edge.step(lead_report(5_300.0, 1));
     assert_eq!(arrive(&mut edge, 4, 3_000), None);
-    // By a word of itself, a peer's use does not count once more.
+    // A peer's own report of its use doesn't count in addition.
     edge.step(peer(5_000.0, 1));
     edge.step(peer(9_000.0, 1));
     assert_eq!(arrive(&mut edge, 5, 1_100), None);
-    // Of counts that began anew, the first word says nothing, and the next one does.
+    // When a lead starts its counts again, the first report doesn't count, and the next one does.
     edge.step(lead_report(50_000.0, 2));
     assert_eq!(arrive(&mut edge, 6, 1_100), None);
     edge.step(lead_report(51_000.0, 2));
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn a_restarted_peers_totals_begin_anew() {
+fn a_restarted_peers_totals_start_from_zero() {
     let mut edge = EdgeScheduler::new(edge_settings("a"), resources());
     edge.step(peer(5_000.0, 1));
     edge.now += millis(1_000);
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn an_instance_that_hears_nobody_uses_its_even_part_alone() {
+fn an_instance_without_reports_uses_only_its_even_part() {
     let mut edge = EdgeScheduler::new(edge_settings("a"), resources());
     edge.step(Event::PeersKnown(4));
     let served = count_admitted(&mut edge, 400, millis(50), &[]);
@@ -178,10 +178,10 @@
     assert!((4..=5).contains(&served), "{served}");
 }
 
-/// Finding 11: of many instances, those that were cut off went on with the whole limit for the seconds
-/// in which they did not miss the others, and the others with it as well.
+/// Finding 11: among many instances, those that were disconnected used the whole limit for the seconds until
+/// they missed the others, while the others used it too.
 #[test]
-fn of_many_instances_one_that_hears_no_lead_uses_its_even_part_at_once() {
+fn among_many_instances_one_without_a_lead_uses_its_even_part_at_once() {
     let mut edge = EdgeScheduler::new(edge_settings("a"), resources());
     edge.step(Event::PeersKnown(99));
     for n in 0..99 {
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn of_many_instances_the_parts_of_those_not_heard_are_left_out() {
+fn among_many_instances_the_parts_of_unreachable_ones_stay_unused() {
     let mut edge = EdgeScheduler::new(edge_settings("a"), resources());
     edge.step(Event::PeersKnown(39));
     let served = count_admitted(&mut edge, 400, millis(25), &[Event::Reach(20)]);
@@ -206,10 +206,10 @@
     assert!((5..=6).contains(&served), "{served}");
 }
 
-/// A peer that had long been running and told of an account for the first time took all that it had
-/// ever let pass of it out of a new instance's bucket.
+/// A peer that had long been running and reported an account for the first time once took all that it had
+/// ever admitted for it out of a new instance's bucket.
 #[test]
-fn what_an_older_peer_let_pass_before_it_told_of_an_account_is_not_recent() {
+fn use_before_an_older_peers_first_report_of_an_account_is_not_recent() {
     let start = |secs: u64| Uuid::new_v7(uuid::Timestamp::from_unix(uuid::NoContext, secs, 0));
     let reports = |incarnation: Uuid, used: f64| PeerUpdate {
         name: "b".to_owned(),
@@ -236,7 +236,7 @@
 }
 
 #[test]
-fn an_instance_tells_what_it_let_pass_before_callers_came_again() {
+fn an_instance_reports_its_use_before_callers_returned() {
     let mut edge = EdgeScheduler::new(edge_settings("a"), resources());
     let mut reports = Vec::new();
     for (n, pause) in [1_000, 1_000, 4_900, 5_100].into_iter().enumerate() {
@@ -250,8 +250,8 @@
     assert_eq!(reports, expected);
 }
 
-/// Many instances that ask for far more than the limit, in rounds of 20 ms; each hears what the others
-/// let pass `lag` rounds late, by the counts of a lead.
+/// Simulates many instances with far more demand than the limit, in rounds of 20 ms; each receives the lead's
+/// counts of what the others admitted `lag` rounds late. Returns the units admitted in each second.
 fn units_admitted_by_second(instances: usize, secs: u64, lag: usize) -> Vec<f64> {
     let mut edges: Vec<EdgeScheduler> = (0..instances)
         .map(|n| {
@@ -308,10 +308,10 @@
     }
 }
 
-/// Finding 11: with words 0.6 s old, twenty instances let everything pass whenever the common bucket
-/// was not overdrawn, and nothing for seconds after.
+/// Finding 11: with reports 0.6 s old, twenty instances admitted everything whenever the common bucket was
+/// not overdrawn, and nothing for seconds after.
 #[test]
-fn instances_that_hear_each_other_late_do_not_swing_around_a_limit() {
+fn instances_with_late_reports_do_not_oscillate_around_a_limit() {
     // 20 instances ask for 10 requests of 4 tokens a second each, eight times the limit.
     let passed = units_admitted_by_second(20, 16, 30);
     let late = &passed[8..];
@@ -321,10 +321,10 @@
     assert!((70.0..=110.0).contains(&mean), "{passed:?}");
 }
 
-/// Finding 7: instances that had all restarted each took the limit for its own alone until they
-/// heard each other.
+/// Finding 7: when all instances had restarted, each used the whole limit until it received reports of the
+/// others.
 #[test]
-fn an_instance_that_knows_of_no_others_yet_uses_a_small_part_of_a_limit() {
+fn an_instance_that_knows_no_peers_yet_uses_a_small_part_of_a_limit() {
     let mut edge = EdgeScheduler::unaware(edge_settings("a"), resources());
     let served = count_admitted(&mut edge, 400, millis(50), &[]);
     // 20 s at 0.15 of 100 tokens a second, 100 tokens each; alone and aware, it would be 20.
@@ -332,7 +332,7 @@
 }
 
 #[test]
-fn a_request_that_ran_nowhere_is_given_back_to_its_accounts_limit() {
+fn a_request_that_did_not_run_is_refunded_to_its_accounts_limit() {
     let mut edge = EdgeScheduler::new(edge_settings("a"), resources());
     edge.now += millis(1_000);
     edge.step(Event::ConfigConfirmed(edge.now));
@@ -346,7 +346,7 @@
 }
 
 #[test]
-fn a_request_that_only_passes_through_to_its_keys_owner_is_neither_charged_nor_given_back() {
+fn a_request_handed_over_to_its_keys_owner_is_neither_charged_nor_refunded() {
     let mut edge = EdgeScheduler::new(edge_settings("a"), resources());
     edge.step(Event::View(MemberView {
         since: LOG_START,
--- a/crates/firdock-policy/tests/policy/rollout.rs
+++ b/crates/firdock-policy/tests/policy/rollout.rs
@@ -1,7 +1,7 @@
-//! Roll-outs: who gets the new version, when the traffic moves, and what takes it back.
+//! Roll-outs: which requests get the new version, when all traffic moves, and what rolls it back.
 //!
-//! The load is that of a pool of twelve engines in one zone at 100 requests a second beside as many of
-//! the new version, over an order of 12 s: enough for the counts to tell, few enough for a test.
+//! The load is 100 requests a second on a pool of twelve engines in one availability zone, beside as many
+//! engines of the new version, over an order of 12 s: enough for significant counts, short enough for a test.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,7 +20,7 @@
 const ENGINES: usize = 12;
 const OLD: &str = "v1";
 const NEW: &str = "v2";
-/// Pause between two requests.
+/// Time between two requests.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(10);
 const ROLLOUT_TIME: Duration = Duration::from_secs(12);
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// Gives the configuration with engines of both versions and the orders given.
+/// A configuration with engines of both versions and the given orders.
 fn catalog(old: usize, new: usize, orders: &[Rollout]) -> Event {
     let mut all = resources();
     all.retain(|r| !matches!(r, Resource::Endpoint(_)));
@@ -64,7 +64,7 @@
     settings
 }
 
-/// An instance that leads the site, with engines of the old version only.
+/// The instance that decides on the site's roll-outs, with engines of the old version only.
 struct RolloutSite {
     edge: EdgeScheduler,
     next: u64,
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Orders the roll-out; its engines are there at once.
+    /// Orders the roll-out; the engines of the new version are listed at once.
     fn ordered() -> Self {
         let mut site = Self::new();
         site.edge.step(catalog(ENGINES, ENGINES, &[order(NEW, 7)]));
@@ -102,7 +102,7 @@
         self.records.extend(records);
     }
 
-    /// Sends a request; gives the engine that it went to.
+    /// Sends a request; returns its number and the engine that it was dispatched to.
     fn send(&mut self, service: &str) -> Option<(u64, String)> {
         let n = self.next;
         self.next += 1;
@@ -113,7 +113,7 @@
         Some((n, engine))
     }
 
-    /// Lets a second's requests come, each answered at once, as `bad` tells for the new version.
+    /// Sends the requests of a second, each answered at once; `bad` tells which fail on the new version.
     fn run_second(&mut self, bad: impl Fn(u64, &str) -> bool) {
         for _ in 0..100 {
             self.edge.now += REQUEST_INTERVAL;
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn a_good_version_gets_little_until_the_end_and_everything_then() {
+fn a_good_version_gets_few_requests_until_the_end_and_then_all() {
     let mut site = RolloutSite::ordered();
     for second in 1..=11 {
         site.run_second(|_, _| false);
@@ -176,7 +176,11 @@
             site.exposed
         );
     }
-    assert!(site.exposed > 20, "it is tried: {}", site.exposed);
+    assert!(
+        site.exposed > 20,
+        "the version gets requests: {}",
+        site.exposed
+    );
     site.run_second(|_, _| false);
     let last = site.records.last().expect("a record");
     assert_eq!(last.stage, Stage::Completed);
@@ -191,16 +195,16 @@
 }
 
 #[test]
-fn an_order_is_told_to_run_as_soon_as_it_is_known() {
+fn an_order_is_recorded_as_watching_as_soon_as_it_is_known() {
     let mut site = RolloutSite::ordered();
     site.run_second(|_, _| false);
     assert_eq!(site.records[0].stage, Stage::Watching);
     assert_eq!((site.records[0].order, &*site.records[0].version), (7, NEW));
-    assert_eq!(site.records.len(), 1, "a record is asked for once");
+    assert_eq!(site.records.len(), 1, "a record is requested once");
 }
 
 #[test]
-fn a_version_that_fails_gets_nothing_any_more_and_is_rolled_back() {
+fn a_version_that_fails_gets_no_more_requests_and_is_rolled_back() {
     let mut site = RolloutSite::ordered();
     while site.stage() == Stage::Watching {
         site.run_second(|n, _| n.is_multiple_of(2));
@@ -220,7 +224,7 @@
 }
 
 #[test]
-fn a_version_that_fails_one_services_requests_is_found() {
+fn a_version_that_fails_the_requests_of_one_service_is_detected() {
     let mut site = RolloutSite::ordered();
     for _ in 0..11 {
         site.run_second(|n, service| service == "once" && n.is_multiple_of(8));
@@ -229,7 +233,7 @@
 }
 
 #[test]
-fn a_version_that_turns_bad_later_is_found() {
+fn a_version_that_starts_to_fail_later_is_detected() {
     let mut site = RolloutSite::ordered();
     for second in 0..11 {
         site.run_second(|n, _| second >= 6 && n.is_multiple_of(2));
@@ -238,10 +242,10 @@
 }
 
 #[test]
-fn an_endpoint_that_fails_alone_is_no_verdict_on_its_version() {
+fn a_single_failing_endpoint_does_not_halt_its_version() {
     let mut site = RolloutSite::ordered();
     for _ in 0..8 {
-        // The engine whose requests fail is told by the request's answer: one of two canaries at most.
+        // Only requests on the first of at most two canaries fail.
         let canary = site
             .edge
             .scheduler
@@ -269,7 +273,7 @@
 }
 
 #[test]
-fn only_the_instance_that_leads_decides() {
+fn only_the_instance_that_decides_halts_a_version() {
     let mut site = RolloutSite::ordered();
     site.edge.step(Event::Decides(false));
     for _ in 0..12 {
@@ -285,7 +289,7 @@
 }
 
 #[test]
-fn what_other_instances_and_groups_saw_counts() {
+fn evidence_of_other_instances_counts() {
     let mut site = RolloutSite::ordered();
     let mut seen = Evidence::new("pool".to_owned(), 7);
     seen.sent = 1_000;
@@ -304,7 +308,7 @@
         seen: vec![seen.clone()],
     };
     site.edge.step(Event::PeersKnown(0));
-    // All instances are one group here, so that other groups tell nothing new.
+    // All instances are one group here, so that evidence of other groups is not counted.
     site.edge.step(Event::GroupEvidence(far));
     site.edge.advance(millis(100));
     assert_eq!(site.stage(), Stage::Watching);
@@ -318,7 +322,7 @@
 }
 
 #[test]
-fn a_peer_that_knew_the_order_earlier_tells_its_age() {
+fn the_age_of_an_order_is_taken_from_a_peer_that_knew_it_earlier() {
     let mut site = RolloutSite::ordered();
     site.edge
         .step(peer_status(Stage::Watching, Duration::from_secs(11)));
@@ -329,7 +333,7 @@
 }
 
 #[test]
-fn a_recorded_end_stands() {
+fn a_recorded_final_stage_is_kept() {
     for (recorded, other) in [
         (Stage::Completed, Stage::Halted),
         (Stage::Completed, Stage::RolledBack),
@@ -348,7 +352,7 @@
 }
 
 #[test]
-fn nothing_moves_while_the_new_version_has_too_few_endpoints() {
+fn traffic_does_not_move_while_the_new_version_has_too_few_endpoints() {
     let mut site = RolloutSite::new();
     site.edge.step(catalog(ENGINES, 3, &[order(NEW, 7)]));
     for _ in 0..14 {
@@ -357,11 +361,15 @@
     assert_eq!(site.stage(), Stage::Watching);
     site.edge.step(catalog(ENGINES, ENGINES, &[order(NEW, 7)]));
     site.run_second(|_, _| false);
-    assert_eq!(site.stage(), Stage::Moving, "late is better than never");
+    assert_eq!(
+        site.stage(),
+        Stage::Moving,
+        "it moves late instead of never"
+    );
 }
 
 #[test]
-fn endpoints_of_a_new_version_wait_until_no_order_can_be_missing() {
+fn endpoints_of_a_new_version_get_nothing_until_no_order_can_be_missing() {
     let mut site = RolloutSite::new();
     site.run_second(|_, _| false);
     site.edge.step(catalog(ENGINES, 3, &[]));
@@ -371,7 +379,7 @@
         assert!(sent.1.starts_with("old"), "{}", sent.1);
         site.edge.end(sent.0);
     }
-    // Without an order by then, they are as good as any: more than the old ones have places for come.
+    // Without an order by then, they count like any other: send more requests than the old ones have slots.
     let fresh = Event::ConfigConfirmed(site.edge.now);
     site.edge.step(fresh);
     for _ in 0..100 * (ENGINES + 1) {
@@ -381,7 +389,7 @@
 }
 
 #[test]
-fn an_order_that_is_read_again_changes_nothing_and_a_later_one_begins_anew() {
+fn an_order_read_again_changes_nothing_and_a_later_one_starts_again() {
     let mut site = RolloutSite::ordered();
     site.record(Stage::RolledBack);
     site.edge.step(catalog(ENGINES, ENGINES, &[order(NEW, 7)]));
@@ -390,14 +398,11 @@
     assert_eq!(site.stage(), Stage::Watching);
     site.run_second(|_, _| false);
     site.run_second(|_, _| false);
-    assert!(
-        site.exposed > 0,
-        "what was given up is tried again by order"
-    );
+    assert!(site.exposed > 0, "a later order tries the version again");
 }
 
 #[test]
-fn an_order_back_to_the_old_version_takes_the_traffic_back_at_once() {
+fn an_order_of_the_old_version_moves_the_traffic_back_at_once() {
     let mut site = RolloutSite::ordered();
     site.run_second(|_, _| false);
     site.edge.step(catalog(ENGINES, ENGINES, &[order(OLD, 9)]));
@@ -411,20 +416,23 @@
 }
 
 #[test]
-fn an_order_to_a_third_version_leaves_the_second_without_work() {
+fn an_order_of_a_third_version_leaves_the_second_without_requests() {
     let mut site = RolloutSite::ordered();
     site.run_second(|_, _| false);
     site.edge.step(catalog(ENGINES, ENGINES, &[order("v3", 9)]));
     let exposed = site.exposed;
-    // More than the first version's engines have places for.
+    // More requests than the first version's engines have slots.
     for _ in 0..100 * (ENGINES + 1) {
         site.send("safe");
     }
-    assert_eq!(site.exposed, exposed, "nobody knows whether it is good");
+    assert_eq!(
+        site.exposed, exposed,
+        "there is no evidence for the second version"
+    );
 }
 
 #[test]
-fn an_order_to_the_version_that_all_endpoints_have_is_completed() {
+fn an_order_of_the_version_that_all_endpoints_have_is_completed() {
     let mut site = RolloutSite::new();
     site.edge.step(catalog(ENGINES, 0, &[order(OLD, 7)]));
     for _ in 0..5 {
@@ -437,7 +445,7 @@
 }
 
 #[test]
-fn a_place_on_a_version_that_was_given_up_is_not_used() {
+fn a_placement_on_a_halted_version_is_not_used() {
     let mut site = RolloutSite::ordered();
     site.edge.step(Event::Coordinated(true));
     site.edge.arrive(request(1, "once", "free"));
@@ -454,9 +462,9 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(24))]
 
-    /// However bad a version is and from whenever on, it gets no more than it may.
+    /// Whatever share of its requests a version fails and from when on, it never exceeds its allowance.
     #[test]
-    fn a_bad_version_gets_no_more_than_it_may(
+    fn a_bad_version_never_exceeds_its_allowance(
         spoiled in 0.0..1.0_f64,
         from in 0..12_u64,
         ratio in 0.05..0.2_f64,
--- a/crates/firdock-policy/tests/policy/suspects.rs
+++ b/crates/firdock-policy/tests/policy/suspects.rs
@@ -1,10 +1,10 @@
-//! Requests under which endpoints end.
+//! Requests that make endpoints exit.
 //!
-//! At an installation a request ended each server that began to run it, and came again, under another id
-//! and at any instance: it was sent 10 and 20 times more after it had ended the third server, and 20 and
-//! 27 servers ended. Each return was a first try: nothing that was learned of a request outlived its row,
-//! so that no instance could know it again. The logs of a play showed the dispatches, one try each, and
-//! the days below show the same without a network.
+//! In two incidents a request made every server exit that began to run it, and its caller sent it again
+//! under another id and to any instance: it was dispatched 10 and 20 times more after the third exit, and
+//! 20 and 27 servers exited. Each retry counted as a first attempt, since nothing that an instance learned
+//! about a request outlived the request's row. Logs of a replay showed one attempt per dispatch; the traffic
+//! below reproduces this without a network.
 
 mod evidence;
 mod reports;
@@ -26,7 +26,7 @@
     cached: 0,
     output: 0,
 };
-/// Time for which an endpoint runs a request that ends it.
+/// Time after which an endpoint exits that runs a deadly request.
 const RUN: Duration = Duration::from_millis(100);
 
 fn content(body: &str) -> Arc<Content> {
@@ -40,7 +40,7 @@
     }
 }
 
-/// So many endpoints of four places, `s0` and on.
+/// The given number of endpoints with four slots each, named from `s0`.
 fn endpoints(count: u32) -> Vec<Resource> {
     let mut all = resources();
     all.retain(|r| !matches!(r, Resource::Endpoint(_)));
@@ -59,7 +59,7 @@
     EdgeScheduler::new(edge_settings("a"), endpoints(count))
 }
 
-/// The connection of a run ends early.
+/// The connection of a dispatch ends early.
 fn break_connection(edge: &mut EdgeScheduler, n: u64, dispatch: u32) -> Vec<Action> {
     let mut actions =
         edge.update_dispatch(n, dispatch, DispatchUpdate::Breaking(BreakCause::Closed));
@@ -72,7 +72,7 @@
     edge.step(Event::LivenessChecked(LivenessResult { start, found }))
 }
 
-/// Endpoints, of which those that ended refuse connections.
+/// An instance and its endpoints, of which those that exited refuse connections.
 struct TestPool {
     edge: EdgeScheduler,
     exited: Vec<String>,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Gives where a request goes that is to go on by these actions: to the first endpoint that is up.
+    /// Follows dispatches until one reaches an endpoint that is up; returns its number and the endpoint.
     fn deliver(&mut self, mut actions: Vec<Action>) -> Option<(u32, String)> {
         loop {
             let dispatch = actions.iter().find_map(|a| match a {
@@ -108,7 +108,7 @@
         self.deliver(actions)
     }
 
-    /// The endpoint that runs a request ends; gives what follows.
+    /// Makes the endpoint exit that runs a request; returns the resulting actions.
     fn exit_endpoint(&mut self, n: u64, (dispatch, endpoint): (u32, String)) -> Vec<Action> {
         self.edge.now += RUN;
         let mut actions = break_connection(&mut self.edge, n, dispatch);
@@ -117,7 +117,7 @@
         actions
     }
 
-    /// Sends a request that arrives and ends the endpoint that runs it; tells whether it was sent.
+    /// Sends a request that makes the endpoint exit that runs it; returns whether it was dispatched.
     fn send_and_exit(&mut self, new: NewRequest) -> bool {
         let n = new.id.as_u64_pair().1;
         let sent = self.arrive(new);
@@ -129,7 +129,7 @@
     }
 }
 
-/// The final answer to a request, if it got one.
+/// The final verdict on a request, if there is one.
 fn final_verdict(actions: &[Action], n: u64) -> Option<firdock_policy::Verdict> {
     actions.iter().find_map(|a| match a {
         Action::Answer { id: of, verdict } if *of == id(n) => Some(*verdict),
@@ -138,26 +138,26 @@
 }
 
 #[test]
-fn a_request_under_which_three_endpoints_ended_is_sent_to_none_any_more() {
+fn a_request_that_made_three_endpoints_exit_is_not_dispatched_again() {
     let mut pool = TestPool::new(8);
     for n in 1..=20 {
         pool.send_and_exit(with_body(n, "once", "deadly"));
     }
     assert_eq!(pool.exited.len(), 3, "{:?}", pool.exited);
-    // Its caller is told at once that it has not run; when to come back is not known.
+    // The caller learns at once that the request did not run; there is no time to retry after.
     let actions = pool.edge.arrive(with_body(30, "once", "deadly"));
     let verdict = final_verdict(&actions, 30).expect("a final answer");
     assert_eq!(verdict.outcome, Outcome::NotRun);
     assert_eq!(verdict.reason.as_str(), "ends-endpoints");
     assert_eq!(verdict.reason.status(verdict.outcome), 503);
     assert_eq!(verdict.retry_after, None);
-    // Other requests of the account are served on.
+    // Other requests of the account are still served.
     assert!(pool.arrive(with_body(31, "once", "other")).is_some());
 }
 
-/// The third end becomes known while the request is on its way to a fourth endpoint.
+/// The third exit becomes known while the request is in flight to a fourth endpoint.
 #[test]
-fn what_is_not_written_yet_when_the_third_endpoint_ends_is_given_back() {
+fn a_dispatch_not_yet_written_when_the_third_endpoint_exits_is_withheld() {
     let mut pool = TestPool::new(8);
     for n in 1..=2 {
         pool.send_and_exit(with_body(n, "once", "deadly"));
@@ -167,7 +167,7 @@
         .expect("it is sent");
     pool.edge.now += RUN;
     break_connection(&mut pool.edge, 3, dispatch);
-    // Sent before anyone has looked at the third.
+    // Sent before the liveness of the third has been checked.
     let (dispatch, _) = pool
         .arrive(with_body(4, "once", "deadly"))
         .expect("it is sent");
@@ -185,9 +185,9 @@
     assert_eq!(verdict.map(|v| v.outcome), Some(Outcome::NotRun));
 }
 
-/// Its own repeats cost endpoints as well.
+/// Retries that the instance makes itself make endpoints exit as well.
 #[test]
-fn repeats_of_one_try_count_like_tries() {
+fn retries_within_one_attempt_count_like_attempts() {
     let mut pool = TestPool::new(8);
     for n in 1..=10 {
         let mut sent = pool.arrive(with_body(n, "safe", "deadly"));
@@ -204,15 +204,15 @@
     suspects.is_quarantined(content(body).id)
 }
 
-/// Gives how many ends count against a request.
+/// Number of exits that count against a request.
 fn exits_counted_against(edge: &EdgeScheduler, body: &str) -> usize {
     let suspect = edge.scheduler.tables().suspects.get(content(body).id);
     suspect.map_or(0, |s| s.counted().len())
 }
 
-/// A suspect runs once at a time; all else that its account sends goes past it.
+/// A suspect runs once at a time; other requests of its account overtake it.
 #[test]
-fn tries_of_a_suspect_wait_for_each_other_and_hold_nothing_else_up() {
+fn attempts_of_a_suspect_run_one_at_a_time_and_delay_no_other_request() {
     let mut pool = TestPool::new(8);
     pool.send_and_exit(with_body(1, "once", "deadly"));
     let running = pool
@@ -221,11 +221,15 @@
     assert_eq!(pool.arrive(with_body(3, "once", "deadly")), None);
     assert!(pool.arrive(with_body(4, "once", "other")).is_some());
     let actions = pool.edge.update_dispatch(2, running.0, ENDED);
-    assert_eq!(dispatched(&actions).len(), 1, "it goes on: {actions:?}");
+    assert_eq!(
+        dispatched(&actions).len(),
+        1,
+        "the next attempt runs: {actions:?}"
+    );
     assert_eq!(exits_counted_against(&pool.edge, "deadly"), 0);
 }
 
-/// What callers had of a day.
+/// Outcome of the simulated traffic.
 #[derive(Debug, Default)]
 struct TrafficResult {
     sent: u64,
@@ -233,9 +237,10 @@
     exited: u64,
 }
 
-/// Twenty seconds before six endpoints of four places, 40 requests a second that take 200 ms each, half
-/// of what they bear; with them comes one ten times a second under which the endpoint that runs it ends
-/// after 100 ms, and is back 3 s later as another one.
+/// Simulates 20 s of traffic to six endpoints with four slots: 50 requests a second, of which ordinary ones
+/// take 200 ms each; 40 a second of these are half of what the endpoints can serve. With `with_deadly`, ten
+/// a second are the same request that makes its endpoint exit after 100 ms; the endpoint is back 3 s later
+/// under another name.
 fn run_traffic(with_deadly: bool) -> TrafficResult {
     let mut edge = with_endpoints(6);
     let began = edge.now;
@@ -250,7 +255,7 @@
         edge.now += millis(20);
         edge.step(Event::ConfigConfirmed(edge.now));
         queue.extend(edge.step(Event::Timer));
-        // Starts that are due, in place of what ended.
+        // Replaces exited endpoints whose restart is due.
         if names
             .iter()
             .any(|(_, due)| *due <= edge.now && !due.is_zero())
@@ -325,15 +330,15 @@
     result
 }
 
-/// The neighbours of such a request are served nearly as on a day without it.
+/// Other requests are served nearly as well as without the deadly one.
 #[test]
-fn other_callers_are_served_while_a_request_comes_again_that_ends_endpoints() {
+fn other_callers_are_served_while_a_deadly_request_is_retried() {
     let quiet = run_traffic(false);
     assert_eq!(quiet.served, quiet.sent);
     let result = run_traffic(true);
     println!("{result:?}");
     let share = result.served as f64 / result.sent as f64;
     assert!(share >= 0.95, "{share}: {result:?}");
-    // Three rounds, in each of which at most one more is on its way.
+    // Three rounds, with at most one more dispatch in flight in each.
     assert!(result.exited <= 6, "{result:?}");
 }
--- a/crates/firdock-policy/tests/policy/suspects/evidence.rs
+++ b/crates/firdock-policy/tests/policy/suspects/evidence.rs
@@ -1,4 +1,5 @@
-//! What counts as an end of an endpoint, and against which requests: the innocent above all.
+//! Which exits of endpoints count, and against which requests; above all, that harmless requests are not
+//! suspected.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,7 +17,7 @@
 use crate::edge::{EdgeScheduler, edge_settings};
 use crate::fixtures::{dispatched, id, millis};
 
-/// A request runs on each of several endpoints at once: so many tries of it.
+/// Runs the given attempts of one request at the same time, on several endpoints.
 fn run_on_several(
     pool: &mut TestPool,
     attempts: std::ops::RangeInclusive<u64>,
@@ -28,9 +29,10 @@
     runs.collect()
 }
 
-/// Endpoints whose power fails at one moment end together: what ran at many of them is suspected once.
+/// When a rack loses power, its endpoints exit together: a request that ran on several of them is charged
+/// with one exit.
 #[test]
-fn a_rack_that_falls_convicts_nothing_that_ran_there() {
+fn a_rack_failure_quarantines_no_request() {
     let mut pool = TestPool::new(8);
     for round in 0..3 {
         let first = 10 * round;
@@ -46,7 +48,7 @@
             liveness_checked(&mut pool.edge, start, Liveness::Ended);
         }
         assert_eq!(exits_counted_against(&pool.edge, "hot"), 1, "{starts:?}");
-        // The next one is served by what is left, and speaks for it.
+        // The next attempt is answered by a remaining endpoint, which clears the request.
         pool.exited.extend(starts);
         pool.edge.now += millis(1_000);
         let (dispatch, _) = pool
@@ -54,7 +56,7 @@
             .expect("it is sent");
         pool.edge.update_dispatch(first + 9, dispatch, ENDED);
         assert_eq!(exits_counted_against(&pool.edge, "hot"), 0);
-        // The rack is back.
+        // The rack is up again.
         pool = TestPool {
             exited: Vec::new(),
             ..pool
@@ -65,9 +67,9 @@
     assert!(!is_quarantined(&pool.edge, "hot"));
 }
 
-/// Servers that are killed one after the other for another reason, with one request on board of each.
+/// Servers are killed one after the other for other reasons, each while it runs the same request.
 #[test]
-fn endpoints_killed_for_other_reasons_convict_nothing_that_is_answered_in_between() {
+fn endpoints_killed_for_other_reasons_leave_no_evidence_against_an_answered_request() {
     let mut pool = TestPool::new(8);
     for n in 1..=6 {
         assert!(pool.send_and_exit(with_body(10 * n, "once", "hot")));
@@ -79,10 +81,10 @@
     }
 }
 
-// Guards against evidence that is made void by an answer without framing, which an endpoint that ends under
-// the request may have broken off as well.
+// Guards against an answer without framing that voids evidence: its end doesn't prove that it is complete,
+// since an endpoint that exits would break it off in the same way.
 #[test]
-fn an_answer_whose_end_proves_nothing_leaves_the_ends_before_it() {
+fn an_answer_of_unproven_completeness_keeps_earlier_exits() {
     let mut pool = TestPool::new(8);
     assert!(pool.send_and_exit(with_body(1, "once", "hot")));
     let (dispatch, _) = pool
@@ -99,9 +101,10 @@
     assert_eq!(exits_counted_against(&pool.edge, "hot"), 0);
 }
 
-/// Endpoints of a release say that they leave, or their entries go first, and end with what they run.
+/// Endpoints replaced by a release announce that they leave, or their entries are removed first; then they
+/// exit with the requests that they run.
 #[test]
-fn a_release_convicts_nothing() {
+fn a_release_leaves_no_evidence() {
     let mut pool = TestPool::new(8);
     for n in 1..=8_u64 {
         let (dispatch, endpoint) = pool
@@ -130,9 +133,9 @@
     assert_eq!(exits_counted_against(&pool.edge, "hot"), 0);
 }
 
-/// All connections of an instance are reset, or answers are spoilt: the endpoints live.
+/// All connections of an instance are reset, or answers are corrupted, while the endpoints stay up.
 #[test]
-fn broken_connections_to_endpoints_that_live_convict_nothing() {
+fn broken_connections_to_live_endpoints_leave_no_evidence() {
     let mut edge = with_endpoints(8);
     for n in 1..=9 {
         edge.step(Event::ConfigConfirmed(edge.now));
@@ -141,7 +144,7 @@
         if n.is_multiple_of(3) {
             edge.update_dispatch(n, 1, DispatchUpdate::Breaking(BreakCause::Foreign));
             edge.update_dispatch(n, 1, BROKE);
-            // Another request's look finds it ended a moment later.
+            // A liveness check for another request finds it exited a moment later.
             edge.now += millis(10);
             liveness_checked(&mut edge, &sent[0].1, Liveness::Ended);
         } else {
@@ -153,9 +156,9 @@
     assert_eq!(exits_counted_against(&edge, "hot"), 0);
 }
 
-/// One request ends three endpoints; each time three others are on board, which come back and are served.
+/// One request makes three endpoints exit; the others that ran there each time are retried and served.
 #[test]
-fn those_on_board_beside_it_are_served_when_they_come_back() {
+fn requests_that_ran_beside_a_deadly_one_are_served_on_retry() {
     let mut pool = TestPool::new(8);
     let mut n = 100;
     for _ in 0..3 {
@@ -173,7 +176,7 @@
             let list = if there { &mut beside } else { &mut elsewhere };
             list.push((n, dispatch));
         }
-        assert!(beside.len() >= 2, "others are on board");
+        assert!(beside.len() >= 2, "others run on the same endpoint");
         for (n, dispatch) in &beside {
             break_connection(&mut pool.edge, *n, *dispatch);
         }
@@ -194,10 +197,10 @@
     assert!(is_quarantined(&pool.edge, "deadly"));
 }
 
-/// In whichever order they become known, a break and an end belong together; and one end is one piece of
-/// evidence, however many tries of a request were on board.
+/// A broken dispatch and an exit are matched in whichever order they become known, and an exit counts once,
+/// however many attempts of the request ran there.
 #[test]
-fn an_end_counts_once_in_whichever_order_it_becomes_known() {
+fn an_exit_counts_once_in_whichever_order_it_becomes_known() {
     let mut edge = with_endpoints(1);
     for n in 1..=2 {
         edge.step(Event::ConfigConfirmed(edge.now));
@@ -211,9 +214,10 @@
     assert_eq!(exits_counted_against(&edge, "deadly"), 1);
 }
 
-/// Nobody could look, and the endpoint's entry lapses: what broke before broke with it.
+/// The liveness check got no reply, and the endpoint's entry expires: dispatches that broke before count as
+/// broken by its exit.
 #[test]
-fn an_entry_that_goes_tells_of_an_end() {
+fn an_entry_that_expires_implies_an_exit() {
     let mut edge = with_endpoints(2);
     let sent = dispatched(&edge.arrive(with_body(1, "once", "deadly")));
     let at = sent[0].1.clone();
@@ -230,11 +234,11 @@
     assert_eq!(exits_counted_against(&edge, "deadly"), 1);
 }
 
-/// An endpoint that ended is back on its address before its entry tells of another start, or another one
-/// has the address: a connection that it takes then says nothing of the end that was seen. It made void
-/// what was held against a request, which then ended three more.
+/// After an exit, the address may accept connections again before the entry lists a new start, or for another
+/// endpoint. Such a connection doesn't disprove the exit: it once voided the evidence against a request,
+/// which then made three more endpoints exit.
 #[test]
-fn an_address_that_takes_connections_again_says_nothing_of_an_earlier_end() {
+fn an_address_that_accepts_connections_again_does_not_disprove_an_exit() {
     let mut edge = with_endpoints(2);
     let sent = dispatched(&edge.arrive(with_body(1, "once", "deadly")));
     edge.now += RUN;
@@ -247,9 +251,10 @@
     assert_eq!(exits_counted_against(&edge, "deadly"), 1);
 }
 
-/// A look that began before a run broke says nothing of that: it is looked again, once at a time.
+/// A liveness check that began before a dispatch broke says nothing about that break: another one follows,
+/// one at a time.
 #[test]
-fn a_look_that_began_before_a_break_is_made_again() {
+fn a_liveness_check_that_began_before_a_break_is_repeated() {
     let mut edge = with_endpoints(1);
     for n in 1..=3 {
         edge.step(Event::ConfigConfirmed(edge.now));
@@ -281,7 +286,7 @@
     assert_eq!(exits_counted_against(&edge, "b3"), 1);
 }
 
-/// Endpoints before a catalog in which `s0` started at a second, or is not listed.
+/// Resources in which `s0` started at the given second, or is not listed.
 fn with_start(second: Option<u64>) -> Vec<Resource> {
     let mut all = endpoints(1);
     all.retain(|r| !matches!(r, Resource::Endpoint(_)));
@@ -297,9 +302,10 @@
     all
 }
 
-/// A later start tells of the end of an earlier one that was still listed, and of none that left before.
+/// A later start implies the exit of an earlier one that was still listed, but not of one whose entry was
+/// removed before.
 #[test]
-fn a_later_start_under_the_name_tells_of_an_end_unless_the_entry_went_before() {
+fn a_later_start_implies_an_exit_unless_the_entry_was_removed_before() {
     for (removed, ends) in [(false, 1), (true, 0)] {
         let mut edge = EdgeScheduler::new(edge_settings("a"), with_start(Some(8)));
         edge.arrive(with_body(1, "once", "deadly"));
@@ -330,10 +336,11 @@
     }
 }
 
-/// The entry of an endpoint that ended lapses seconds later, and configurations come meanwhile that still
-/// list it: each made what was heard of its end void, everywhere, so that 14 ended where three should.
+/// The entry of an endpoint that exited expires seconds later, and configurations still list it meanwhile.
+/// Each of these once voided the reported exits at all instances, so that 14 endpoints exited instead of
+/// three.
 #[test]
-fn an_entry_that_is_still_listed_says_nothing_of_an_end() {
+fn an_entry_that_is_still_listed_does_not_disprove_an_exit() {
     let mut edge = with_endpoints(8);
     let exits = [("s1", 900), ("s2", 600)];
     edge.step(peer("p", vec![suspect_report("deadly", "free", &exits)]));
--- a/crates/firdock-policy/tests/policy/suspects/reports.rs
+++ b/crates/firdock-policy/tests/policy/suspects/reports.rs
@@ -41,7 +41,7 @@
 /// A group's coordinator places one attempt of a suspect at a time, whichever members ask. Other requests
 /// overtake those that wait.
 #[test]
-fn a_coordinator_places_one_try_of_a_suspect_at_a_time() {
+fn a_coordinator_places_one_attempt_of_a_suspect_at_a_time() {
     let settings = edge_settings("a").with_coordination();
     let mut edge = EdgeScheduler::new(settings, endpoints(8));
     let reports = vec![suspect_report("deadly", "free", &[("x1", 900)])];
@@ -60,7 +60,7 @@
 /// A member that learns of the third exit while its request waits for a placement ends the request, and
 /// declines a placement that arrives later.
 #[test]
-fn a_place_for_a_request_in_quarantine_is_given_back() {
+fn a_placement_for_a_request_in_quarantine_is_declined() {
     let mut edge = with_endpoints(8);
     edge.step(Event::Coordinated(true));
     let actions = edge.arrive(with_body(1, "once", "deadly"));
@@ -81,7 +81,7 @@
 /// Exits that different instances saw are added up at every instance. A repeated report changes nothing, so
 /// that instances stop forwarding it.
 #[test]
-fn ends_that_others_saw_count_once_and_words_come_to_rest() {
+fn exits_that_peers_saw_count_once_and_forwarding_stops() {
     let mut edge = with_endpoints(8);
     let exits = [("x1", 900), ("x2", 600), ("x3", 300)];
     for (n, exit) in exits.iter().enumerate() {
@@ -108,7 +108,7 @@
 /// When an endpoint exits, all requests that it ran become suspects at once. Reports once carried the first
 /// sixteen by hash and the others in rotation, up to seven seconds late.
 #[test]
-fn what_ended_servers_is_told_at_once_among_many_that_were_on_board() {
+fn a_deadly_request_is_reported_at_once_among_many_new_suspects() {
     let mut pool = TestPool::new(70);
     let bodies: Vec<String> = (0..60).map(|n| format!("b{n}")).collect();
     let mut runs = Vec::new();
@@ -139,20 +139,20 @@
 /// Only leads forward reports that they received: the instance that saw an exit reports it to all peers of
 /// its group itself.
 #[test]
-fn what_others_saw_is_told_on_by_those_that_lead() {
+fn only_leads_forward_reports_of_others() {
     let mut edge = with_endpoints(1);
     for n in 0..8 {
         let report = suspect_report(&format!("b{n}"), "free", &[("x", 10)]);
         edge.step(peer("p", vec![report]));
     }
     let suspects = &edge.scheduler.tables().suspects;
-    assert!(suspects.reports(edge.now, 0).len() <= 2, "by turns alone");
+    assert!(suspects.reports(edge.now, 0).len() <= 2, "only in rotation");
     assert_eq!(suspects.reports_to_forward(edge.now).len(), 8);
 }
 
 /// A release by an operator also covers earlier exits that peers report only after it.
 #[test]
-fn what_an_operator_lets_go_is_sent_until_it_ends_three_more() {
+fn a_released_request_is_dispatched_until_three_more_exits() {
     let mut pool = TestPool::new(8);
     for n in 1..=3 {
         pool.send_and_exit(with_body(n, "once", "deadly"));
@@ -198,7 +198,7 @@
 proptest! {
     /// Instances that receive the same reports reach the same result, whatever the order.
     #[test]
-    fn words_in_any_order_lead_to_the_same(
+    fn reports_in_any_order_lead_to_the_same_result(
         ends in prop::collection::vec((0..6_u8, 0..2_000_u64, prop::bool::ANY), 1..12),
         order in any::<prop::sample::Index>(),
     ) {
