--- a/crates/firdock-policy/tests/policy/coordinate.rs
+++ b/crates/firdock-policy/tests/policy/coordinate.rs
@@ -1,5 +1,5 @@
-//! Placement by a coordinator: what an instance does with the places it is given, and how a coordinator
-//! gives them.
+//! Placement by a coordinator: how an instance uses the placements that it gets, and how a coordinator
+//! assigns them.
 
 use firdock_core::resource::{Endpoint, Resource, Service, Tier};
 use firdock_core::{Outcome, Reason};
@@ -36,8 +36,8 @@
 }
 
 fn count_asks(actions: &[Action]) -> usize {
-    let count_asks = actions.iter().filter(|a| matches!(a, Action::Ask { .. }));
-    count_asks.count()
+    let asks = actions.iter().filter(|a| matches!(a, Action::Ask { .. }));
+    asks.count()
 }
 
 fn declined(actions: &[Action]) -> Vec<Grant> {
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_request_for_engines_waits_for_its_place_and_asks_once() {
+fn a_request_for_engines_waits_for_its_placement_and_asks_once() {
     let mut edge = member();
     let actions = edge.arrive(request(1, "once", "free"));
     assert!(dispatched(&actions).is_empty());
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_place_that_comes_twice_is_used_once() {
+fn a_placement_that_arrives_twice_is_used_once() {
     let mut edge = member();
     edge.arrive(request(1, "once", "free"));
     edge.step(Event::Granted(grant(1, "e2")));
@@ -76,7 +76,7 @@
     let other = edge.step(Event::Granted(grant(1, "e1")));
     assert!(dispatched(&other).is_empty());
     assert_eq!(declined(&other), vec![grant(1, "e1")]);
-    // Of a request that is not here any more, the place is given back as well.
+    // A placement for a request that is no longer here is declined as well.
     assert_eq!(
         declined(&edge.step(Event::Granted(grant(9, "e1")))),
         vec![grant(9, "e1")]
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn requests_are_placed_here_once_the_coordinator_is_silent() {
+fn requests_are_placed_locally_once_the_coordinator_stops_answering() {
     let mut edge = member();
     edge.arrive(request(1, "once", "free"));
     let actions = edge.step(Event::Coordinated(false));
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_place_on_an_engine_that_leaves_is_given_back_and_another_asked_for() {
+fn a_placement_on_a_leaving_engine_is_declined_and_another_requested() {
     let mut edge = member();
     edge.step(Event::Peer(PeerUpdate {
         name: "b".to_owned(),
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_place_that_comes_when_the_configuration_may_be_outdated_is_not_used() {
+fn a_placement_is_not_used_when_the_configuration_may_be_outdated() {
     let mut edge = member();
     edge.arrive(request(1, "once", "free"));
     edge.now += millis(4_100);
@@ -126,10 +126,10 @@
     assert_eq!(declined(&actions).len(), 1);
 }
 
-/// Finding 10: a request that came while the configuration was outdated waited for its place, and was
-/// sent by the next configuration, in which its key was no more.
+/// Finding 10: a request that arrived while the configuration was outdated waited for its placement, and was
+/// dispatched under the next configuration, in which its key no longer existed.
 #[test]
-fn a_request_that_comes_when_the_configuration_may_be_outdated_does_not_wait() {
+fn a_request_does_not_wait_when_the_configuration_may_be_outdated() {
     let mut edge = member();
     edge.now += millis(4_100);
     let actions = edge.arrive(request(1, "once", "free"));
@@ -144,12 +144,12 @@
 }
 
 #[test]
-fn a_broken_request_asks_for_a_second_place() {
+fn a_broken_request_asks_for_a_second_placement() {
     let mut edge = member();
     edge.arrive(request(1, "safe", "free"));
     edge.step(Event::Granted(grant(1, "e1")));
     assert_eq!(count_asks(&edge.update_dispatch(1, 1, BROKE)), 1);
-    // The engine that it ran on is no place for it.
+    // It can't run on the same engine again.
     let again = edge.step(Event::Granted(grant(1, "e1")));
     assert!(dispatched(&again).is_empty() && declined(&again).len() == 1);
     let other = edge.step(Event::Granted(grant(1, "e2")));
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn a_request_that_is_not_placed_is_told_so_but_not_before_a_lower_tier() {
+fn a_request_that_is_not_placed_is_refused_only_after_lower_tiers() {
     let mut all = resources();
     all.push(Resource::Tier(Tier {
         name: "low".to_owned(),
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn a_coordinator_gives_each_place_once_and_the_most_urgent_next() {
+fn a_coordinator_assigns_each_slot_once_and_the_next_to_the_first_that_waits() {
     let mut edge = coordinator(resources());
     let mut placed = Vec::new();
     for n in 1..=6 {
@@ -200,7 +200,7 @@
     assert_eq!(
         placed.len(),
         4,
-        "two engines of two places; no limit counts here"
+        "two engines with two slots; limits do not apply here"
     );
     let ended = DispatchUpdate::Ended {
         prompt: 90,
@@ -209,11 +209,11 @@
     };
     let next = dispatched(&edge.update_dispatch(1, 1, ended));
     assert_eq!(next.len(), 1);
-    assert_eq!(next[0].0, id(5), "the first that waits");
+    assert_eq!(next[0].0, id(5), "the first of those that wait");
 }
 
 #[test]
-fn a_coordinator_leaves_second_tries_to_the_member() {
+fn a_coordinator_leaves_retries_to_the_member() {
     let mut edge = coordinator(resources());
     edge.arrive(request(1, "safe", "free"));
     let actions = edge.update_dispatch(1, 1, BROKE);
@@ -221,10 +221,10 @@
     assert!(edge.scheduler.tables().requests.get(id(1)).is_none());
 }
 
-/// A request that was told of with its engine among those to avoid, as members once did, made the
-/// check of the tables fail and ended every new coordinator.
+/// Members once reported a running request with its own engine among those to avoid, which failed the check
+/// of the tables and terminated every new coordinator.
 #[test]
-fn a_request_that_runs_already_takes_its_place() {
+fn a_request_that_already_runs_occupies_its_slot() {
     let mut edge = coordinator(resources());
     for n in 1..=2 {
         let new = NewRequest {
@@ -239,7 +239,7 @@
     }
     let on_second = placed.iter().all(|(_, endpoint)| endpoint == "e2");
     assert!(placed.len() == 2 && on_second, "{placed:?}");
-    // Told of twice, or on an engine that is not known, it changes nothing.
+    // A second report, or one on an unknown engine, changes nothing.
     edge.step(Event::Adopted(request(1, "once", "free"), "e2".to_owned()));
     edge.step(Event::Adopted(request(8, "once", "free"), "e9".to_owned()));
     let running = |name: &str| {
@@ -252,7 +252,7 @@
 }
 
 #[test]
-fn time_that_a_request_was_held_before_counts() {
+fn time_that_a_member_held_a_request_counts() {
     let mut edge = coordinator(resources());
     let new = NewRequest {
         age: millis(4_000),
@@ -264,7 +264,7 @@
     assert_eq!(arrived + millis(4_000), edge.now);
 }
 
-/// Two zones of ten engines of three places each.
+/// Two availability zones of ten engines with three slots each.
 fn zoned() -> Vec<Resource> {
     let mut all: Vec<Resource> = resources()
         .into_iter()
@@ -284,8 +284,8 @@
     all
 }
 
-/// Places by zone of the coordinator of `zone`, where the zones' demands are as given.
-fn places(zone: &str, east: f64, west: f64) -> (u32, u32) {
+/// Slots that the coordinator of `zone` may use in each zone, at the given demands of both.
+fn slots_by_zone(zone: &str, east: f64, west: f64) -> (u32, u32) {
     let mut settings = coordinator_settings();
     zone.clone_into(&mut settings.zone);
     let mut edge = EdgeScheduler::new(settings, zoned());
@@ -311,23 +311,26 @@
 }
 
 #[test]
-fn groups_take_the_engines_of_their_own_zone_first() {
-    assert_eq!(places("east", 10.0, 10.0), (30, 0));
-    assert_eq!(places("west", 10.0, 10.0), (0, 30));
+fn groups_use_the_engines_of_their_own_zone_first() {
+    assert_eq!(slots_by_zone("east", 10.0, 10.0), (30, 0));
+    assert_eq!(slots_by_zone("west", 10.0, 10.0), (0, 30));
 }
 
 #[test]
-fn a_group_with_more_demand_takes_what_another_leaves_and_all_places_are_given_once() {
-    let (own, far) = places("east", 30.0, 10.0);
-    let (left, home) = places("west", 30.0, 10.0);
+fn a_group_with_more_demand_uses_what_another_leaves_and_slots_are_assigned_once() {
+    let (own, far) = slots_by_zone("east", 30.0, 10.0);
+    let (left, home) = slots_by_zone("west", 30.0, 10.0);
     assert_eq!(own, 30);
     assert_eq!(left, 0);
     assert_eq!(far + home, 30, "each slot is assigned once");
-    assert!((13..=17).contains(&far), "a half of the west's: {far}");
+    assert!(
+        (13..=17).contains(&far),
+        "half of the slots in the west: {far}"
+    );
 }
 
 #[test]
-fn availability_zones_that_come_and_go_leave_room_for_new_ones() {
+fn availability_zones_that_disappear_leave_capacity_for_new_ones() {
     let mut edge = coordinator(zoned());
     for n in 0..200 {
         let zone = format!("zone-{n}");
@@ -339,12 +342,12 @@
         let known = groups
             .fresh(edge.now, millis(1_000))
             .any(|(z, _)| *z == zone);
-        assert!(known, "{zone} is taken in");
+        assert!(known, "{zone} is recorded");
     }
 }
 
 #[test]
-fn all_engines_of_a_small_site_are_one_groups() {
+fn all_engines_of_a_small_site_belong_to_one_group() {
     let mut edge = coordinator(zoned());
     edge.advance(millis(300));
     let endpoints = edge.scheduler.tables().endpoints.iter();
--- a/crates/firdock-policy/tests/policy/fixtures.rs
+++ b/crates/firdock-policy/tests/policy/fixtures.rs
@@ -1,4 +1,4 @@
-//! What all tests of the policy build on: a catalog, settings, requests and a driven scheduler.
+//! Fixtures of the policy tests: a catalog, settings, requests and a scheduler driven event by event.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -122,14 +122,14 @@
     new
 }
 
-/// A scheduler that is driven event by event.
+/// A scheduler to which a test passes events one by one; invariants are checked after each.
 pub struct TestScheduler {
     pub scheduler: Scheduler,
     pub now: Time,
 }
 
 impl TestScheduler {
-    /// Starts with the catalog in force.
+    /// Creates a scheduler with the catalog of [`resources`].
     pub fn new(settings: PolicySettings) -> Self {
         let mut driven = Self {
             scheduler: Scheduler::new(settings),
@@ -139,7 +139,7 @@
         driven
     }
 
-    /// Makes this instance the only member, with the log just read.
+    /// Makes this instance the only member and owner of all keys, with the log just read.
     pub fn own_all_keys(&mut self) {
         let member = self.scheduler.tables().settings.member.clone();
         self.view(1, true, vec![member]);
@@ -193,7 +193,7 @@
     }
 }
 
-/// Gives the endpoints that actions dispatch to, by request.
+/// Requests that the actions dispatch, each with its endpoint.
 pub fn dispatched(actions: &[Action]) -> Vec<(Uuid, String)> {
     let dispatch = |a: &Action| match a {
         Action::Dispatch(d) => Some((d.id, d.endpoint.clone())),
--- a/crates/firdock-policy/tests/policy/golden.rs
+++ b/crates/firdock-policy/tests/policy/golden.rs
@@ -1,6 +1,6 @@
-//! Golden sessions: events in and actions out, as JSON lines in `golden/`.
+//! Golden sessions: recorded events and the resulting actions, as JSON lines in `golden/`.
 //!
-//! `FIRDOCK_BLESS=1` writes the files anew; the change is then read in review.
+//! `FIRDOCK_BLESS=1` rewrites the files; the change is then reviewed with the commit.
 
 use std::fmt::Write as _;
 use std::path::PathBuf;
@@ -15,7 +15,7 @@
 
 use crate::fixtures::{LOG_START, catalog, id, millis, request, resources, settings, with_key};
 
-/// A session that is written down while it goes on.
+/// A session that records its events and actions.
 struct Session {
     scheduler: Scheduler,
     now: Time,
--- a/crates/firdock-policy/tests/policy/random.rs
+++ b/crates/firdock-policy/tests/policy/random.rs
@@ -11,11 +11,11 @@
 
 use crate::simulation::{Op, Simulation};
 
-/// Seeds of a run in CI.
+/// Number of seeds of a run in CI.
 const SEEDS: u64 = 192;
-/// Seeds of a run in CI in which endpoints start again: fewer, for the rest is the same.
+/// Number of seeds of a run in CI with restarts of endpoints: fewer, since all else is the same.
 const SEEDS_WITH_RESTARTS: u64 = 64;
-/// Operations of one seed.
+/// Number of operations for each seed.
 const OPS: usize = 160;
 
 fn op() -> impl Strategy<Value = Op> {
@@ -41,7 +41,7 @@
     ]
 }
 
-/// The same with endpoints that start again under their names, and more that break what they run.
+/// The same with endpoints that restart under their names, and more that break what they run.
 fn op_with_restarts() -> impl Strategy<Value = Op> {
     prop_oneof![
         12 => op(),
@@ -50,7 +50,7 @@
     ]
 }
 
-/// Runs a seed; gives how often a request came into quarantine.
+/// Runs a seed; returns how often a request was put in quarantine.
 fn run_seed(seed: u64, op: impl Strategy<Value = Op>) -> u64 {
     let mut bytes = [0; 32];
     bytes[..8].copy_from_slice(&seed.to_le_bytes());
@@ -92,16 +92,19 @@
 }
 
 #[test]
-fn whatever_happens_every_promise_is_kept() {
+fn all_guarantees_hold_under_random_faults() {
     for seed in seeds(SEEDS) {
         run_seed(seed, op());
     }
 }
 
 #[test]
-fn every_promise_is_kept_while_endpoints_start_again_under_their_names() {
+fn all_guarantees_hold_while_endpoints_restart() {
     let seeds = seeds(SEEDS_WITH_RESTARTS);
     let quarantined: u64 = seeds.map(|seed| run_seed(seed, op_with_restarts())).sum();
     let one_seed = env_number("FIRDOCK_SEED").is_some();
-    assert!(quarantined > 0 || one_seed, "no request ended endpoints");
+    assert!(
+        quarantined > 0 || one_seed,
+        "no request was put in quarantine"
+    );
 }
--- a/crates/firdock-policy/tests/policy/simulation.rs
+++ b/crates/firdock-policy/tests/policy/simulation.rs
@@ -1,6 +1,6 @@
-//! A small world in virtual time: instances, endpoints, a log and callers, with faults.
+//! Simulation in virtual time of instances, endpoints, the log and callers, with faults.
 //!
-//! It keeps its own count of what ran where and who was told what, and compares both at the end.
+//! It records by itself which requests ran and which results callers got, and compares both at the end.
 
 mod check;
 mod message;
@@ -23,17 +23,17 @@
 
 use crate::fixtures::{LOG_START, catalog, id, millis, request, resources, settings, with_key};
 
-/// Instances of the world.
+/// Number of simulated instances.
 pub const INSTANCES: usize = 3;
 const ENDPOINTS: [&str; 4] = ["engine-0", "engine-1", "plain-0", "plain-1"];
 const SERVICES: [&str; 4] = ["tiles", "orders", "guide", "draft"];
-/// Resources that operators take out of force and put back.
+/// Resources that operators remove and apply again.
 const TOGGLED: [&str; 5] = ["hall", "engine-1", "plain-1", "draft", "orders"];
-/// Contents that callers ask for, of each service and account.
+/// Number of distinct contents that callers send for each service and account.
 const CONTENTS: u64 = 3;
 const START: Duration = Duration::from_secs(1_000);
 
-/// One thing that happens in the world; small numbers are taken modulo what there is.
+/// One operation of the simulation; indices are taken modulo the number of existing items.
 #[derive(Debug, Clone, Copy)]
 pub enum Op {
     /// A caller sends a request.
@@ -46,43 +46,43 @@
     Order { instance: u8, timed: bool },
     /// A caller sends an earlier order again.
     Resend { instance: u8, order: u8 },
-    /// A caller goes away.
+    /// A caller disconnects.
     Leave { request: u8 },
     /// Time passes.
     Wait { millis: u16 },
-    /// An endpoint takes a fault: 0 none, 1 unreachable, 2 refuses, 3 breaks, 4 silent,
-    /// 5 refuses and asks for a while without requests, 6 says that it leaves, from then on.
+    /// An endpoint has a fault from now on: 0 none, 1 unreachable, 2 refuses, 3 breaks, 4 silent,
+    /// 5 refuses and asks for a backoff, 6 announces that it leaves.
     Endpoint { endpoint: u8, fault: u8 },
-    /// The instance list shows an endpoint as leaving, or not.
+    /// The list of instances shows an endpoint as leaving, or no longer.
     Leaving { endpoint: u8, leaving: bool },
     /// An instance is killed and starts again with empty tables.
     Kill { instance: u8 },
-    /// An instance is paused or goes on.
+    /// An instance is paused or resumed.
     Pause { instance: u8, paused: bool },
-    /// An instance is out of reach of the log, or back.
+    /// An instance is disconnected from the log, or reconnected.
     LogCut { instance: u8, cut: bool },
     /// The log gets a record that removes a member.
     Remove { instance: u8 },
-    /// An instance is to stop.
+    /// An instance is asked to stop.
     Drain { instance: u8 },
-    /// Operators take a resource out of force, or put it back.
+    /// Operators remove a resource, or apply it again.
     Toggle { resource: u8 },
-    /// An instance's coordinator answers from now on, or falls silent.
+    /// An instance's coordinator answers from now on, or stops answering.
     Coordinate { instance: u8, answers: bool },
-    /// An endpoint starts again under its name.
+    /// An endpoint restarts under its name.
     Restart { endpoint: u8 },
 }
 
 #[derive(Debug, Clone)]
 #[expect(clippy::large_enum_variant, reason = "few messages live at a time")]
 enum Message {
-    /// For an instance's scheduler.
+    /// An event for an instance's scheduler.
     Event(usize, Uuid, Event),
     /// An instance is about to write a dispatch.
     Write(usize, Uuid, Dispatch),
-    /// A request is at an endpoint.
+    /// A request arrives at an endpoint.
     AtEndpoint(usize, Uuid, Dispatch),
-    /// An endpoint goes on with a request.
+    /// An endpoint finishes a request.
     EndpointDone(usize, Uuid, Dispatch),
 }
 
@@ -95,7 +95,7 @@
     seen_version: u64,
 }
 
-/// What is known of a request.
+/// What the caller of a request sent and got.
 struct CallerRecord {
     instance: usize,
     key: Option<u64>,
@@ -117,21 +117,21 @@
     version: u64,
     callers: BTreeMap<RequestId, CallerRecord>,
     requests: BTreeMap<RequestId, NewRequest>,
-    /// Instance that a handed-over request is with, and the one that handed it over.
+    /// For each handed-over request and the instance that has it, the instance that handed it over.
     handed_over: BTreeMap<(usize, RequestId), usize>,
-    /// When an owner refused a request that was handed to it, before its caller was told.
+    /// When an owner refused a request that was handed over to it; its caller learns of that later.
     refused: BTreeMap<RequestId, Duration>,
     dispatched: BTreeSet<(RequestId, String)>,
-    /// How often each endpoint has started again; its start is told once it has.
+    /// How often each endpoint has restarted; its start is listed from the first restart on.
     starts: [u64; ENDPOINTS.len()],
-    /// Dispatches that an instance gave up since their endpoint has started again.
+    /// Dispatches that an instance gave up because their endpoint restarted.
     given_up: BTreeSet<(Uuid, RequestId, u32)>,
-    /// Dispatches whose tasks an instance ended, since their callers left or their time was up.
+    /// Dispatches that an instance cancelled because their callers left or their time limits expired.
     cancelled: BTreeSet<(Uuid, RequestId, u32)>,
-    /// Dispatches that an instance gave back since their endpoint wants nothing new.
+    /// Dispatches that an instance withheld because their endpoint accepts no new requests.
     withheld: BTreeSet<(Uuid, RequestId, u32)>,
     executions: Vec<(Duration, RequestId, Option<u64>)>,
-    /// How often a request came into quarantine at an instance.
+    /// How often an instance put a request in quarantine.
     pub quarantined: u64,
     orders: Vec<(u64, Option<Duration>)>,
     last_id: u64,
@@ -367,7 +367,7 @@
         );
     }
 
-    /// Kills an instance: its callers and peers see their connections break.
+    /// Kills an instance: the connections of its callers and peers break.
     fn kill(&mut self, i: usize) {
         for caller in self.callers.values_mut().filter(|t| t.instance == i) {
             caller.disconnected = true;
@@ -416,7 +416,7 @@
         }
     }
 
-    /// Lets every instance that is not paused read the log and hear its peers.
+    /// Lets every instance that is not paused read the log and exchange heartbeats with its peers.
     fn tick(&mut self) {
         for i in 0..INSTANCES {
             if self.instances[i].paused {
@@ -468,7 +468,7 @@
     }
 }
 
-/// What a request asks for, of which there are few, so that some come again.
+/// Content of a request. There are few distinct ones, so that contents repeat.
 fn content(service: &str, account: &str, body: u64) -> Arc<Content> {
     let body = body.to_be_bytes();
     Arc::new(Content::new(account, "POST", service, &body))
@@ -486,11 +486,11 @@
     ENDPOINTS
         .iter()
         .position(|e| *e == name)
-        .expect("an endpoint of the world")
+        .expect("a simulated endpoint")
 }
 
 fn instance_index(name: &str) -> usize {
     name.trim_start_matches("node-")
         .parse()
-        .expect("an instance of the world")
+        .expect("a simulated instance")
 }
--- a/crates/firdock-policy/tests/policy/simulation/check.rs
+++ b/crates/firdock-policy/tests/policy/simulation/check.rs
@@ -1,4 +1,4 @@
-//! The end of a run: what ran is compared with what callers were told.
+//! The check at the end of a run: what ran is compared with the results that callers got.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use super::{CallerRecord, ENDPOINTS, INSTANCES, Simulation};
 
 impl Simulation {
-    /// Lets everything come to rest and compares what ran with what callers were told.
+    /// Removes all faults, lets all requests end, and compares what ran with the results that callers got.
     pub fn check(&mut self) {
         for i in 0..INSTANCES {
             self.instances[i].paused = false;
@@ -49,8 +49,8 @@
                 continue;
             }
             assert_eq!(ran, 0, "{id} ran and was reported as not run");
-            // What counts is when the owner decided: another attempt under the key may run while
-            // the word is on its way back.
+            // The time of the owner's decision counts: another attempt under the key may run while the
+            // refusal is in flight.
             let at = self.refused.get(&id).unwrap_or(at);
             let before = |(t, _, key): &&(Duration, RequestId, Option<u64>)| {
                 key.is_some() && *key == caller.key && t < at
--- a/crates/firdock-policy/tests/policy/simulation/message.rs
+++ b/crates/firdock-policy/tests/policy/simulation/message.rs
@@ -1,4 +1,4 @@
-//! How messages move in the world: writes, endpoints, hand-overs, and what schedulers want done.
+//! Messages of the simulation: writes, endpoints, hand-overs, and the actions of schedulers.
 
 use firdock_core::{Outcome, Reason, RequestId};
 use firdock_policy::action::Dispatch;
@@ -14,7 +14,7 @@
 use super::{ENDPOINTS, Message, Simulation, endpoint_event, endpoint_index, instance_index};
 use crate::fixtures::millis;
 
-/// Time that a look at an endpoint takes.
+/// Duration of a liveness check of an endpoint.
 const LIVENESS_CHECK_TIME: std::time::Duration = std::time::Duration::from_millis(2);
 
 impl Simulation {
@@ -65,7 +65,7 @@
         self.instances[i].member.incarnation == incarnation
     }
 
-    /// Puts a paused instance's messages off.
+    /// Delays a message while its instance is paused; returns whether it was delayed.
     pub(super) fn defer_if_paused(&mut self, i: usize, message: &Message) -> bool {
         if self.instances[i].paused {
             self.send(millis(20), message.clone());
@@ -73,7 +73,7 @@
         self.instances[i].paused
     }
 
-    /// Looks at the key's confirmation one last time and writes.
+    /// Checks a last time that the dispatch is still confirmed, and writes it.
     pub(super) fn write(&mut self, i: usize, incarnation: Uuid, dispatch: Dispatch) {
         if dispatch.confirm_by.is_some_and(|until| until <= self.now) {
             self.update_dispatch(i, incarnation, &dispatch, DispatchUpdate::Lapsed);
@@ -81,7 +81,7 @@
         }
         let run = (incarnation, dispatch.id, dispatch.dispatch);
         if self.cancelled.contains(&run) {
-            // Its task ended before it came to the write.
+            // Its task was cancelled before the write.
             return;
         }
         if self.given_up.contains(&run) {
@@ -122,8 +122,8 @@
         endpoints.get(at).start_id.clone()
     }
 
-    /// Tells an instance what an endpoint says of itself with the answer to a dispatch, before what that
-    /// means for the request.
+    /// Reports the notice that an endpoint sends with its answer to a dispatch, before the answer's effect on
+    /// the request.
     fn notice(&mut self, i: usize, incarnation: Uuid, endpoint: &str) {
         let fault = self.faults[endpoint_index(endpoint)];
         if !matches!(fault, 5 | 6) || !self.is_current(i, incarnation) {
@@ -262,7 +262,7 @@
                 let at = endpoint_index(&endpoint);
                 let ended = self.faults[at] == 3;
                 if ended && self.starts.iter().any(|starts| *starts > 0) {
-                    // Where starts are told, it starts again.
+                    // In runs in which starts are listed, it restarts.
                     self.starts[at] += 1;
                     self.version += 1;
                 }
@@ -314,7 +314,7 @@
                 self.record_result(i, id, "replayed", None);
             }
             Action::TransferKeys { peer, transfer } => {
-                // Some transfers are lost, as when a link breaks.
+                // Some transfers are lost, as when a connection breaks.
                 if self.rng.random_bool(0.8) {
                     self.deliver(instance_index(&peer), Event::KeyTransfer(transfer));
                 }
@@ -326,8 +326,8 @@
         }
     }
 
-    /// Answers as a coordinator might that knows little: a place anywhere, one or two of them, a
-    /// refusal, or a word that is lost.
+    /// Answers like a coordinator with little information: one or two placements anywhere, a refusal, or an
+    /// answer that is lost.
     fn answer_placement(&mut self, i: usize, id: RequestId) {
         let count = self.rng.random_range(0..4);
         if count == 3 {
@@ -377,7 +377,7 @@
         self.deliver(to, Event::Arrived(new));
     }
 
-    /// Takes it that a request ended at an instance, for its caller or the peer it came from.
+    /// Records that a request ended at an instance, for its caller or the peer that handed it over.
     pub(super) fn record_result(
         &mut self,
         i: usize,
--- a/crates/firdock-policy/tests/policy/use_aggregator.rs
+++ b/crates/firdock-policy/tests/policy/use_aggregator.rs
@@ -1,4 +1,4 @@
-//! Sums of what instances let pass of account limits: what leads count, and what of that counts where.
+//! Aggregated use of account limits: what leads count, and which instances and groups it is reported to.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use rand::{Rng as _, SeedableRng as _};
 use uuid::Uuid;
 
-/// Pause between two heartbeats.
+/// Time between two heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 const START: Time = Duration::from_secs(1_000);
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// An instance that was heard before it let anything pass.
+/// The report of an instance that has admitted nothing yet.
 fn idle_peer(name: &str, incarnation: u128) -> PeerUse {
     PeerUse {
         used: Vec::new(),
@@ -67,7 +67,7 @@
     )
 }
 
-/// A lead's counts, which it began before it was heard.
+/// The counts of a lead that began to count before its first report was received.
 fn counts(lead: &str, beginning: u128, count: f64) -> UseCounts {
     UseCounts {
         lead: lead.to_owned(),
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn members_use_is_counted_once_and_told_to_the_group_and_to_other_leads() {
+fn members_use_is_counted_once_and_reported_to_the_group_and_to_other_leads() {
     let mut aggregator = lead();
     for name in ["a", "b"] {
         aggregator.add_member_report(START, &idle_peer(name, 1));
@@ -87,7 +87,7 @@
     aggregator.add_member_report(START, &peer_use("a", 1, 30.0));
     aggregator.add_member_report(START, &peer_use("b", 1, 5.0));
     aggregator.add_member_report(START, &peer_use("a", 1, 20.0));
-    // One word may be lost, so that each change is told twice.
+    // Each change is reported twice, since one report may be lost.
     for _ in 0..2 {
         assert_eq!(group_units(&mut aggregator), [35.0]);
         assert_eq!(lead_units(&mut aggregator), [35.0]);
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn another_groups_use_is_told_to_the_own_group_alone() {
+fn another_groups_use_is_reported_only_to_the_own_group() {
     let mut aggregator = lead();
     aggregator.add_group_report(START, "far", &counts("lead", 1, 10.0));
     aggregator.add_group_report(START, "far", &counts("lead", 1, 25.0));
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn instances_that_come_and_go_for_days_leave_no_rows() {
+fn instances_replaced_for_hours_leave_no_rows() {
     let mut aggregator = lead();
     for n in 0..2_000_u32 {
         let now = START + Duration::from_secs(10) * n;
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_restarted_instances_use_counts_from_nothing() {
+fn a_restarted_instances_use_counts_from_zero() {
     let mut aggregator = lead();
     aggregator.add_member_report(START, &idle_peer("a", 1));
     aggregator.add_member_report(START, &peer_use("a", 1, 10.0));
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn what_was_let_pass_before_an_instance_was_heard_of_is_not_counted() {
+fn use_before_an_instances_first_report_is_not_counted() {
     let mut aggregator = lead();
     aggregator.add_member_report(START, &peer_use("a", 1, 500.0));
     assert!(lead_units(&mut aggregator).is_empty());
@@ -141,10 +141,10 @@
     assert_eq!(lead_units(&mut aggregator), [3.0]);
 }
 
-/// A lead that began to count in the middle of a day took all that a member had ever let pass of an account
-/// for new when the member first told of that, and everyone was charged for it.
+/// A lead that began to count later than a member once took all that the member had ever admitted for an
+/// account as new when the member first reported that account, and every instance was charged for it.
 #[test]
-fn one_that_begins_to_count_midway_takes_nothing_old_for_new() {
+fn a_lead_that_begins_to_count_later_does_not_count_old_use() {
     let mut aggregator = lead();
     aggregator.add_member_report(START, &peer_use("a", 1, 500.0));
     let again = PeerUse {
@@ -168,13 +168,13 @@
 }
 
 #[test]
-fn what_two_leads_tell_counts_once_and_goes_on_where_one_falls() {
+fn reports_of_two_leads_count_once_and_continue_when_one_fails() {
     let mut merged = MergedCounts::default();
     let mut take = |lead: &str, beginning: u128, count: f64| {
         let rises = merged.merge(START, &counts(lead, beginning, count));
         units(&rises).iter().sum::<f64>()
     };
-    // The second began to count later, and lags behind the first.
+    // The second lead began to count later, and lags behind the first.
     assert!(take("first", 1, 100.0).abs() < f64::EPSILON);
     assert!((take("first", 1, 130.0) - 30.0).abs() < f64::EPSILON);
     assert!(take("second", 1, 20.0).abs() < f64::EPSILON);
@@ -183,17 +183,17 @@
         take("second", 1, 40.0).abs() < f64::EPSILON,
         "already reported"
     );
-    // The first falls: what the second counts from there on is new.
+    // The first fails: what the second counts from then on is new.
     assert!((take("second", 1, 45.0) - 5.0).abs() < f64::EPSILON);
-    // It comes back and counts from nothing.
+    // The first returns and counts from zero.
     assert!(take("first", 2, 3.0).abs() < f64::EPSILON);
     assert!((take("first", 2, 4.0) - 1.0).abs() < f64::EPSILON);
-    // A word that was overtaken changes nothing.
+    // A report that arrives after a newer one changes nothing.
     assert!(take("first", 2, 3.5).abs() < f64::EPSILON);
 }
 
 #[test]
-fn of_a_lead_that_is_heard_from_its_beginning_each_word_counts() {
+fn every_report_of_a_lead_known_from_its_beginning_counts() {
     let mut merged = MergedCounts::default();
     let fresh = UseCounts {
         fresh: true,
@@ -205,7 +205,7 @@
         units(&merged.merge(START, &counts("first", 1, 40.0))),
         [40.0]
     );
-    // The one that takes over began later: it goes on from there.
+    // The lead that takes over began to count later: its counts continue from there.
     let second = UseCounts {
         lead: "second".to_owned(),
         ..fresh
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn more_accounts_than_a_word_holds_are_told_by_turns() {
+fn more_accounts_than_fit_in_a_report_are_reported_in_rotation() {
     let mut aggregator = lead();
     aggregator.add_member_report(START, &idle_peer("a", 1));
     let accounts = MAX_REPORTED_ACCOUNTS * 2 + 1;
@@ -244,29 +244,30 @@
     assert!(reported.values().all(|times| *times == 2));
 }
 
-/// One instance of a fleet, as far as it takes part in the counting.
+/// One instance of a simulated fleet, reduced to what it counts.
 struct FleetInstance {
     name: String,
     zone: usize,
     own: BTreeMap<String, f64>,
-    /// What it knows that others let pass; `None` where that is not looked at.
+    /// What it knows of the use by others; `None` where the test doesn't observe it.
     merged: Option<MergedCounts>,
     others: f64,
 }
 
-/// What a fleet costs and knows after some seconds in which words were lost.
+/// Cost and knowledge of a fleet after some seconds in which reports were lost.
 struct FleetResult {
-    /// Units let pass by all.
+    /// Units admitted by all.
     all: f64,
-    /// The least and the most that an instance knows of them, its own among them.
+    /// Minimum and maximum that an observed instance knows of them, its own included.
     known: (f64, f64),
-    /// Most accounts in a word to a member, and most rows that a lead keeps.
+    /// Most accounts in a report to a member.
     longest_report: usize,
+    /// Most rows that a lead keeps.
     rows: usize,
 }
 
-/// Plays `size` instances in six groups that use `accounts` accounts for `secs` seconds, 0.7 requests a second each;
-/// every hundredth word is lost. The lead of the first group falls midway.
+/// Simulates `size` instances in six groups that use `accounts` accounts for `secs` seconds, at 0.7 requests a
+/// second each. One in a hundred reports is lost, and a lead of the first group fails midway.
 fn simulate_fleet(size: usize, accounts: u32, secs: u32) -> FleetResult {
     const ZONES: usize = 6;
     let mut rng = SmallRng::seed_from_u64(5);
@@ -279,7 +280,7 @@
             others: 0.0,
         })
         .collect();
-    // The first two of each zone count.
+    // Two leads of each zone count.
     let mut leads: Vec<Option<UseAggregator>> = (0..ZONES * 2).map(|_| Some(lead())).collect();
     let (mut all, mut longest, mut rows) = (0.0, 0, 0);
     let ticks = secs * 5;
@@ -288,7 +289,7 @@
         if tick == ticks / 2 {
             leads[0] = None;
         }
-        // They are heard before the first callers come.
+        // Instances report before the first requests arrive.
         for one in fleet.iter_mut().filter(|_| (1..ticks).contains(&tick)) {
             if rng.random_bool(0.14) {
                 let account = format!("account-{}", rng.random_range(0..accounts));
@@ -369,10 +370,10 @@
     }
 }
 
-/// A fleet in which each instance kept what each other one let pass of each account: rows by the
-/// product of both, and words on all to all.
+/// Guards against each instance keeping the use of each account by each other one: as many rows as their
+/// product, and reports from all to all.
 #[test]
-fn all_of_a_fleet_know_what_all_let_pass_by_words_that_do_not_grow_with_it() {
+fn all_instances_know_the_total_use_from_reports_of_constant_size() {
     for (size, accounts) in [(985, 333), (2_000, 666)] {
         let fleet = simulate_fleet(size, accounts, 8);
         let (min_known, max_known) = fleet.known;
