--- a/crates/firdock-policy/benches/decision.rs
+++ b/crates/firdock-policy/benches/decision.rs
@@ -1,8 +1,8 @@
-//! Cost of a decision by table size: endpoints, accounts, held requests.
+//! Time of a decision by table size: endpoints, accounts, held requests.
 
 #![expect(
     missing_docs,
-    reason = "the macro of the benchmark library makes a public function"
+    reason = "the macro of the benchmark library expands to a public function"
 )]
 
 use std::hint::black_box;
@@ -77,7 +77,7 @@
     }
 }
 
-/// A request arrives, is dispatched, begins and ends.
+/// Runs a request from its arrival through dispatch and first token to its end.
 fn full_request(s: &mut Scheduler, n: u64, accounts: usize) {
     let mut out = Vec::new();
     let new = request(n, accounts);
@@ -135,7 +135,7 @@
     group.finish();
 }
 
-/// Creates a scheduler whose endpoints are full and that holds requests of many accounts.
+/// Creates a scheduler with full endpoints that holds requests of many accounts.
 fn full_scheduler(held: usize) -> Scheduler {
     let mut s = scheduler(64, 500, 1);
     for n in 0..(held + 64) as u64 {
@@ -155,7 +155,7 @@
     group.finish();
 }
 
-/// An answer ends and the next held request takes its slot.
+/// Measures the end of an answer, after which the next held request gets its slot.
 fn turnover(c: &mut Criterion) {
     let mut group = c.benchmark_group("turnover_by_held");
     for held in [10, 100, 1_000, 10_000] {
--- a/crates/firdock-policy/tests/policy/allowance.rs
+++ b/crates/firdock-policy/tests/policy/allowance.rs
@@ -1,26 +1,25 @@
-//! How much a version is tried, and when everything moves: loads that change during a roll-out.
+//! Share of requests that a new version gets and when all traffic moves, under loads that change.
 
 use std::time::Duration;
 
 use firdock_core::settings::Rollouts;
 use firdock_policy::rollout::allowance::{Progress, may_move_all, watched_ratio};
 
-/// Pause between two looks at the evidence.
+/// Time between two evaluations of the evidence.
 const EVALUATION_INTERVAL: Duration = Duration::from_millis(50);
-/// Time of the order.
+/// Time that the order allows.
 const ROLLOUT_TIME: Duration = Duration::from_secs(6);
-/// How long after the read before the order was read.
+/// Uncertainty of the order's start: the time since the read of the log before the one that showed it.
 const UNCERTAINTY: Duration = Duration::from_millis(200);
-/// Least time that has to be left when everything moves: two looks, and a call to the store with its
-/// answer.
+/// Minimum time left when all traffic moves: two evaluations, and a call to the store with its answer.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(125);
 
-/// How a trial went.
+/// Outcome of a simulated roll-out.
 #[derive(Debug)]
 struct RolloutResult {
-    /// Time that was left when everything moved.
+    /// Time left when all traffic moved.
     left: Duration,
-    /// Requests that the version had by the end.
+    /// Requests that the version got by the end.
     exposed: f64,
     /// All requests.
     all: f64,
@@ -33,7 +32,7 @@
     }
 }
 
-/// Plays the trial of a version at the rates given for each third of its time, in requests a second.
+/// Simulates the roll-out of a version at the given rates, in requests a second for each third of its time.
 fn simulate_rollout(rates: [f64; 3]) -> RolloutResult {
     let (mut sent, mut exposed) = (0.0, 0.0);
     let mut elapsed = Duration::ZERO;
@@ -68,10 +67,10 @@
     }
 }
 
-/// Callers come slowly at first, so that the slack seems to allow a larger part of them: what was tried by
-/// that must not use up what the end needs.
+/// At a low rate in the beginning, the slack seems to allow a larger share of the requests. The exposure spent
+/// on that must not use up what the end of the roll-out needs.
 #[test]
-fn a_load_that_rises_or_falls_leaves_the_end_its_time() {
+fn a_rising_or_falling_load_leaves_enough_time_at_the_end() {
     for rates in [
         [140.0, 140.0, 140.0],
         [60.0, 140.0, 200.0],
--- a/crates/firdock-policy/tests/policy/attempts.rs
+++ b/crates/firdock-policy/tests/policy/attempts.rs
@@ -1,4 +1,4 @@
-//! What callers get from their first try on, by which times to come back are judged.
+//! Outcomes of callers' attempts, counted from the first one, by which retry times are evaluated.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +15,7 @@
     output: 10,
 };
 
-/// A request whose caller leaves it so many milliseconds.
+/// A request whose deadline is `left` milliseconds away.
 fn with_left(edge: &EdgeScheduler, n: u64, account: &str, left: u64) -> NewRequest {
     NewRequest {
         deadline: Some(edge.now + millis(left)),
@@ -30,12 +30,12 @@
 }
 
 #[test]
-fn a_try_counts_from_the_first_one_of_its_request() {
+fn an_attempt_is_timed_from_the_first_one_of_its_request() {
     let mut edge = EdgeScheduler::new(edge_settings("a"), resources());
-    // First tries leave 3 s; the target is 0.5 s.
+    // First attempts have 3 s left; the target is 0.5 s.
     edge.arrive(with_left(&edge, 1, "free", 3_000));
     edge.update_dispatch(1, 1, ENDED);
-    // One comes back after 0.2 s and one after 1 s; both are answered at once.
+    // One is retried after 0.2 s and one after 1 s; both are answered at once.
     edge.arrive(with_left(&edge, 2, "free", 2_800));
     edge.update_dispatch(2, 1, ENDED);
     edge.arrive(with_left(&edge, 3, "free", 2_000));
@@ -49,11 +49,11 @@
 }
 
 #[test]
-fn a_refusal_for_a_limit_is_a_try_that_did_not_run() {
+fn a_refusal_for_a_limit_is_an_attempt_that_did_not_run() {
     let mut edge = EdgeScheduler::new(edge_settings("a"), resources());
     edge.arrive(with_left(&edge, 1, "free", 3_000));
     edge.update_dispatch(1, 1, ENDED);
-    // The account's limit lets one request pass, and is overdrawn by it for a while.
+    // The account's limit admits one request, which overdraws it for a while.
     for n in 2..5 {
         edge.arrive(with_left(&edge, n, "limited", 3_000));
     }
--- a/crates/firdock-policy/tests/policy/edge.rs
+++ b/crates/firdock-policy/tests/policy/edge.rs
@@ -1,5 +1,5 @@
-//! What the policy decides at the edge of a platform: pools, time limits, budgets of second tries,
-//! freshness, early refusals and whole places.
+//! Policy of edge instances: pools, time limits, retry budgets, age of the configuration, early refusals and
+//! integer slot budgets.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -99,14 +99,14 @@
 }
 
 impl EdgeScheduler {
-    /// Starts an instance that is alone and knows it.
+    /// Starts a single instance that knows that there are no others.
     pub fn new(settings: PolicySettings, resources: Vec<Resource>) -> Self {
         let mut edge = Self::unaware(settings, resources);
         edge.step(Event::PeersKnown(0));
         edge
     }
 
-    /// Starts an instance that does not know yet how many others there are.
+    /// Starts an instance that doesn't know yet how many others there are.
     pub fn unaware(settings: PolicySettings, resources: Vec<Resource>) -> Self {
         let mut edge = Self {
             scheduler: Scheduler::new(settings),
@@ -168,7 +168,7 @@
 pub const REFUSED: DispatchUpdate = DispatchUpdate::Refused { unreachable: false };
 
 #[test]
-fn requests_of_a_split_service_go_to_the_pool_that_was_drawn() {
+fn requests_of_a_split_service_go_to_the_drawn_pool() {
     let mut all = resources();
     all.push(engine("other", "second", 2));
     for resource in &mut all {
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn a_request_whose_time_is_up_ends_with_a_true_word() {
+fn a_request_past_its_deadline_ends_with_the_true_outcome() {
     let mut edge = EdgeScheduler::new(edge_settings("a"), resources());
     let mut new = request(1, "once", "free");
     new.deadline = Some(edge.now + millis(1_000));
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn the_services_time_limit_counts_where_the_caller_names_none() {
+fn the_services_time_limit_applies_where_the_caller_sets_none() {
     let mut edge = EdgeScheduler::new(edge_settings("a"), resources());
     edge.arrive(request(1, "safe", "free"));
     assert_eq!(verdict(&edge.advance(millis(4_900))), None);
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn nothing_is_sent_by_a_configuration_that_may_be_outdated() {
+fn nothing_is_sent_under_a_configuration_that_may_be_outdated() {
     let mut edge = EdgeScheduler::new(edge_settings("a"), resources());
     edge.now += millis(3_900);
     let actions = edge.arrive(request(1, "safe", "free"));
@@ -224,7 +224,7 @@
     assert_eq!(
         by,
         Some(millis(104_000)),
-        "the last look is made at the write"
+        "the age is checked again at the write"
     );
     edge.now += millis(100);
     let actions = edge.arrive(request(2, "safe", "free"));
@@ -235,7 +235,7 @@
 }
 
 #[test]
-fn a_dispatch_that_lapsed_before_the_write_may_go_to_the_same_endpoint_again() {
+fn a_dispatch_that_expired_before_the_write_may_go_to_the_same_endpoint_again() {
     let mut edge = EdgeScheduler::new(edge_settings("a"), resources());
     let first = dispatched(&edge.arrive(request(1, "once", "free")));
     edge.now += millis(10_000);
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn refusals_that_an_endpoint_gave_are_no_attempts_but_count_as_second_tries() {
+fn refusals_by_endpoints_are_no_attempts_but_count_as_retries() {
     let mut all = resources();
     all.extend((3..40).map(|n| engine(&format!("e{n}"), "pool", 2)));
     let mut edge = EdgeScheduler::new(edge_settings("a"), all);
@@ -283,12 +283,12 @@
         }
         sent += 1;
     }
-    // A third of the slack of 30, as a full budget, after the first try.
+    // After the first attempt, a full budget of a third of the slack of 30.
     assert_eq!(sent, 11);
 }
 
 #[test]
-fn instances_share_the_slack_of_second_tries() {
+fn instances_share_the_slack_of_retries() {
     let mut all = resources();
     all.extend((3..40).map(|n| engine(&format!("e{n}"), "pool", 2)));
     let mut edge = EdgeScheduler::new(edge_settings("a"), all);
@@ -329,9 +329,9 @@
 }
 
 #[test]
-fn a_request_that_cannot_begin_in_time_is_refused_at_once() {
+fn a_request_that_cannot_start_in_time_is_refused_at_once() {
     let mut edge = EdgeScheduler::new(edge_settings("a"), resources());
-    // A pace of about two dispatches a second, with all places taken.
+    // A rate of about two dispatches a second, with all slots in use.
     for n in 0..40 {
         edge.now += millis(500);
         edge.step(Event::ConfigConfirmed(edge.now));
@@ -347,14 +347,14 @@
     let refused = actions
         .iter()
         .filter(|a| matches!(a, Action::Answer { .. }));
-    // Six are sent at once, which counts as the pace: two engines of two slots have three places
-    // each in calm times. Of the four that are held, the last has three before it and would wait
-    // for 0.5 s, longer than 0.8 of the target of 0.5 s.
+    // Six are sent at once, which counts as the rate: two engines with two slots may run three requests
+    // each at low load. Of the four that are held, the last has three before it and would wait for
+    // 0.5 s, longer than 0.8 of the target of 0.5 s.
     assert_eq!(refused.count(), 1);
 }
 
 #[test]
-fn places_of_all_instances_add_up_to_an_engines_slots() {
+fn budgets_of_all_instances_add_up_to_an_engines_slots() {
     let names: Vec<String> = (0..40).map(|n| format!("instance-{n}")).collect();
     let mut sums = [0_u32; 2];
     for me in &names {
@@ -372,12 +372,12 @@
             *sum += endpoints.get(at).budget;
         }
     }
-    // Two slots and a quarter more in calm times, in whole places.
+    // Two slots and a quarter more at low load, in integers.
     assert!(sums.iter().all(|s| (2..=3).contains(s)), "{sums:?}");
 }
 
 #[test]
-fn plain_servers_are_open_to_every_instance() {
+fn plain_servers_are_available_to_every_instance() {
     let mut all = resources();
     for resource in &mut all {
         if let Resource::Endpoint(e) = resource {
@@ -398,10 +398,10 @@
     );
 }
 
-/// Instances in numbers, each of which draws its places by itself: before hundreds of endpoints there is
-/// no time to reckon those of all others.
+/// Among many instances, each draws its slots independently: with hundreds of endpoints there is no time to
+/// compute the slots of all others.
 #[test]
-fn places_of_many_instances_add_up_to_the_engines_slots_in_the_mean() {
+fn budgets_of_many_instances_add_up_to_the_engines_slots_on_average() {
     const INSTANCES: usize = 40;
     let mut all = resources();
     all.retain(|r| !matches!(r, Resource::Endpoint(_)));
@@ -413,7 +413,7 @@
         all.push(Resource::Endpoint(e));
     }
     let zone = |n: usize| format!("zone-{}", n % 4);
-    let (mut places, mut near) = (0, 0);
+    let (mut budgets, mut in_own_zone) = (0, 0);
     for n in 0..INSTANCES {
         let mut settings = edge_settings(&format!("i{n}"));
         settings.zone = zone(n);
@@ -428,24 +428,24 @@
         }
         edge.advance(millis(300));
         for (_, e) in edge.scheduler.tables().endpoints.iter() {
-            places += e.budget;
-            near += if e.declared.zone == zone(n) {
+            budgets += e.budget;
+            in_own_zone += if e.declared.zone == zone(n) {
                 e.budget
             } else {
                 0
             };
         }
     }
-    // Eight slots and a quarter more in calm times at each of sixty engines.
-    assert!((550..=650).contains(&places), "{places}");
+    // Eight slots and a quarter more at low load on each of sixty engines.
+    assert!((550..=650).contains(&budgets), "{budgets}");
     assert!(
-        2 * near > places * 9 / 10,
-        "{near} of {places} in the own zone, a fourth of all"
+        2 * in_own_zone > budgets * 9 / 10,
+        "{in_own_zone} of {budgets} in the own zone, which has a quarter of the engines"
     );
 }
 
 #[test]
-fn a_request_whose_time_is_up_before_it_is_looked_at_is_not_sent() {
+fn a_request_that_arrives_past_its_deadline_is_not_sent() {
     let mut edge = EdgeScheduler::new(edge_settings("a"), resources());
     let mut new = request(1, "once", "free");
     new.deadline = Some(edge.now);
--- a/crates/firdock-policy/tests/policy/failures.rs
+++ b/crates/firdock-policy/tests/policy/failures.rs
@@ -1,4 +1,4 @@
-//! Endpoints that answer that they failed: what a caller gets once no other endpoint does better.
+//! Endpoints that answer with a failure: what the caller gets when no other endpoint succeeds.
 
 use firdock_policy::event::{BreakCause, DispatchUpdate};
 use firdock_policy::{Action, Event};
@@ -8,7 +8,7 @@
 
 const BROKE: DispatchUpdate = DispatchUpdate::Broke { delivered: 0 };
 
-/// The endpoint of a dispatch fails; its answer can be passed on.
+/// The endpoint of a dispatch fails with an answer that can be forwarded.
 fn fail_dispatch(edge: &mut EdgeScheduler, dispatch: u32) -> Vec<Action> {
     edge.update_dispatch(1, dispatch, DispatchUpdate::Failed);
     edge.update_dispatch(1, dispatch, DispatchUpdate::FailureKept);
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn the_last_endpoints_failure_is_passed_on_once_no_other_one_is_tried() {
+fn the_last_endpoints_failure_is_forwarded_when_no_other_is_tried() {
     let mut edge = arrived();
     let actions = fail_dispatch(&mut edge, 1);
     assert!(!is_forwarded(&actions), "another endpoint is tried first");
@@ -38,9 +38,9 @@
     assert!(is_forwarded(&actions), "{actions:?}");
 }
 
-// Guards against an outcome that is told known where a later try may still have run.
+// Guards against reporting a known outcome when a later attempt may still have run.
 #[test]
-fn a_failure_before_a_try_that_was_lost_is_not_passed_on() {
+fn a_failure_before_a_lost_attempt_is_not_forwarded() {
     let mut edge = arrived();
     fail_dispatch(&mut edge, 1);
     edge.update_dispatch(1, 2, DispatchUpdate::Breaking(BreakCause::Closed));
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_failure_is_passed_on_to_a_request_whose_time_is_up_before_another_try() {
+fn a_failure_is_forwarded_when_the_time_limit_expires_before_another_attempt() {
     let mut alone = resources();
     alone.retain(|r| !format!("{r:?}").contains("\"e2\""));
     let mut edge = EdgeScheduler::new(edge_settings("a"), alone);
--- a/crates/firdock-policy/tests/policy/linear_fit.rs
+++ b/crates/firdock-policy/tests/policy/linear_fit.rs
@@ -1,8 +1,8 @@
-//! The line by which the time to a first token is learned.
+//! Linear fit from which the time to the first token is predicted.
 
 use firdock_policy::table::linear_fit::LinearFit;
 
-/// Seconds to the first token of an engine that takes 0.04 s and reads 50,000 tokens a second.
+/// Seconds to the first token on an engine that takes 0.04 s and reads 50,000 tokens a second.
 fn observed(tokens: f64) -> f64 {
     0.04 + tokens / 50_000.0
 }
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn what_short_prompts_teach_does_not_make_long_ones_appear_slow() {
+fn samples_of_short_prompts_do_not_make_long_ones_appear_slow() {
     let mut fit = assumed();
     for n in 0..60 {
         let tokens = f64::from(200 + 97 * (n % 30));
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn samples_of_one_size_move_the_line_there_and_keep_it_rising() {
+fn samples_of_one_size_move_the_fit_there_and_keep_it_rising() {
     let mut fit = assumed();
     for _ in 0..40 {
         fit.learn(1_000.0, observed(1_000.0));
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn an_engine_that_turns_slow_is_known_after_some_samples() {
+fn an_engine_that_becomes_slow_is_detected_after_some_samples() {
     let mut fit = assumed();
     for slow in [1.0, 4.0] {
         for n in 0..30 {
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn one_sample_far_above_the_line_says_little() {
+fn one_sample_far_above_the_fit_has_little_effect() {
     let mut fit = assumed();
     for _ in 0..30 {
         fit.learn(1_000.0, 0.06);
--- a/crates/firdock-policy/tests/policy/overload.rs
+++ b/crates/firdock-policy/tests/policy/overload.rs
@@ -1,4 +1,4 @@
-//! What is decided where places are few: which engine a long answer gets.
+//! Choice of an engine under overload, above all for long answers.
 
 use firdock_core::resource::{Endpoint, Resource};
 use firdock_policy::NewRequest;
@@ -7,7 +7,7 @@
 use crate::edge::{EdgeScheduler, edge_settings, request, resources};
 use crate::fixtures::dispatched;
 
-/// The usual resources, with engines that take so many milliseconds for each token.
+/// The usual resources, with the given engines, each with its milliseconds per token.
 fn engines(token_millis: &[(&str, f64)], slots: u32) -> Vec<Resource> {
     let mut all = resources();
     all.retain(|r| !matches!(r, Resource::Endpoint(_)));
@@ -31,7 +31,7 @@
     }
 }
 
-/// Lets answers of so many tokens end, until the service's are known to be as long.
+/// Finishes answers of the given length until the service's answers are predicted to be as long.
 fn learn(edge: &mut EdgeScheduler, tokens: u32) {
     for n in 1_000..1_200 {
         edge.arrive(long(n));
@@ -54,7 +54,7 @@
         engines(&[("fast", 4.0), ("slow", 16.0)], 8),
     );
     learn(&mut edge, 800);
-    // The fast engine has more to read, so that a short answer begins sooner on the slow one.
+    // The fast engine has more prompts to read, so that a short answer would start sooner on the slow one.
     for n in 0..3 {
         edge.arrive(long(n));
     }
--- a/crates/firdock-policy/tests/policy/rules.rs
+++ b/crates/firdock-policy/tests/policy/rules.rs
@@ -1,4 +1,4 @@
-//! Single rules of the policy, each shown where it decides.
+//! Single rules of the policy, each in a case that it decides.
 
 use std::time::Duration;
 
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_refused_request_goes_to_each_endpoint_once_and_then_did_not_run() {
+fn a_refused_request_goes_to_each_endpoint_once_and_ends_as_not_run() {
     let mut d = TestScheduler::new(settings("a"));
     let first = dispatched(&d.arrive(request(1, "orders", "shop")));
     let second = dispatched(&d.update_dispatch(1, 1, REFUSED));
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn an_order_that_broke_is_unknown_and_never_sent_again() {
+fn an_order_that_broke_ends_as_unknown_and_is_never_sent_again() {
     let mut d = TestScheduler::new(settings("a"));
     d.arrive(request(1, "orders", "shop"));
     let end = d.update_dispatch(1, 1, BROKE);
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn late_news_of_an_earlier_dispatch_is_dropped() {
+fn late_updates_of_an_earlier_dispatch_are_dropped() {
     let mut d = TestScheduler::new(settings("a"));
     d.arrive(request(1, "draft", "shop"));
     d.update_dispatch(1, 1, BROKE);
@@ -87,9 +87,9 @@
 }
 
 #[test]
-fn the_lowest_tier_held_is_shed_first() {
+fn the_lowest_held_tier_is_shed_first() {
     let mut d = TestScheduler::new(settings("a"));
-    // Three go to the engines' slots, six are held.
+    // Three fill the engines' slots, six are held.
     for n in 1..=9 {
         d.arrive(request(n, "draft", "shop"));
     }
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_higher_tier_is_not_given_up_for_waiting_while_a_lower_one_is_held() {
+fn a_higher_tier_is_not_refused_for_waiting_while_a_lower_one_is_held() {
     let mut d = TestScheduler::new(settings("a"));
     for n in 1..=3 {
         d.arrive(request(n, "draft", "shop"));
@@ -119,7 +119,7 @@
     d.arrive(request(5, "draft", "shop"));
     assert!(
         verdicts(&d.advance(millis(1_500))).is_empty(),
-        "the guide request outlived its wait"
+        "the guide request is held past its maximum wait"
     );
     let ends = d.advance(millis(1_500));
     let expected = [
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn a_leaving_endpoint_gets_nothing_new_by_whichever_word_comes_first() {
+fn a_leaving_endpoint_gets_nothing_new() {
     let leave = |name: &str| ListedInstance {
         name: name.to_owned(),
         leaving: true,
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn an_older_configuration_never_comes_back() {
+fn an_older_configuration_is_ignored() {
     let mut d = TestScheduler::new(settings("a"));
     let more = endpoint("plain-2", EndpointKind::Plain, &["tiles"], 1);
     d.step(catalog(5, resources().into_iter().chain([more]).collect()));
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn a_resent_key_gets_the_kept_answer_or_is_told_to_wait() {
+fn a_resent_key_gets_the_cached_answer_or_is_refused_as_in_use() {
     let mut d = TestScheduler::new(settings("a"));
     d.own_all_keys();
     let minted = Some(LOG_START + millis(1));
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn an_owner_since_a_change_never_runs_keys_minted_before_its_grace() {
+fn a_new_owner_never_runs_keys_minted_before_its_grace_ends() {
     let mut d = TestScheduler::new(settings("a"));
     let me = d.scheduler.tables().settings.member.clone();
     let other = Member {
@@ -273,7 +273,7 @@
 }
 
 #[test]
-fn a_full_key_table_refuses_new_keys_rather_than_forgetting_old_ones() {
+fn a_full_key_table_refuses_new_keys_instead_of_evicting_old_ones() {
     let mut s = settings("a");
     s.max_keys = 1;
     let mut d = TestScheduler::new(s);
@@ -289,7 +289,7 @@
 }
 
 #[test]
-fn a_peers_request_that_is_shed_goes_back_to_the_peer() {
+fn a_peers_request_that_is_shed_is_returned_to_the_peer() {
     let mut d = TestScheduler::new(settings("a"));
     for n in 1..=9 {
         d.arrive(request(n, "guide", "shop"));
@@ -304,7 +304,7 @@
 }
 
 #[test]
-fn an_account_that_floods_is_shed_before_others_of_its_tier() {
+fn a_flooding_account_is_shed_before_others_of_its_tier() {
     let mut d = TestScheduler::new(settings("a"));
     for n in 1..=3 {
         d.arrive(request(n, "draft", "hall"));
@@ -317,12 +317,12 @@
     assert_eq!(shed.len(), 11);
     assert!(
         shed.iter().all(|(shed, _, _)| *shed != id(4)),
-        "the quiet account was shed"
+        "the account with little demand was shed"
     );
 }
 
 #[test]
-fn second_tries_have_a_budget() {
+fn retries_have_a_budget() {
     let mut d = TestScheduler::new(settings("a"));
     let mut unknown = 0;
     for n in 1..=40 {
@@ -346,7 +346,7 @@
 }
 
 #[test]
-fn an_account_that_was_taken_out_of_force_leaves_nothing_behind() {
+fn a_removed_account_leaves_no_row() {
     let mut d = TestScheduler::new(settings("a"));
     for n in 1..=3 {
         d.arrive(request(n, "draft", "shop"));
@@ -355,7 +355,7 @@
     for n in 5..=9 {
         d.arrive(request(n, "draft", "shop"));
     }
-    // The queue never empties, so the lane of `hall` stays behind once its request has gone.
+    // The queue never empties, so the lane of `hall` remains after its request is gone.
     for n in [1, 2, 4] {
         d.update_dispatch(n, 1, ENDED);
     }
@@ -375,7 +375,7 @@
 }
 
 #[test]
-fn a_hand_over_to_a_peer_that_fell_silent_ends() {
+fn a_hand_over_to_a_peer_that_stopped_reporting_ends() {
     let mut d = TestScheduler::new(settings("a"));
     let other = Member {
         name: "b".to_owned(),
--- a/crates/firdock-policy/tests/policy/shares.rs
+++ b/crates/firdock-policy/tests/policy/shares.rs
@@ -1,8 +1,8 @@
-//! Shares of accounts where room is short: who is served and who is refused under named loads.
+//! Shares of accounts when capacity is short: which requests are served and refused under given loads.
 //!
-//! Sixteen places of 200 ms serve 80 requests a second, or 100 with what calm times allow beyond the
-//! slots. Callers of one account are to notice another's flood by no more than a tenth of what
-//! their share is, and by less than a half over any four seconds, which is as long as one waits.
+//! Sixteen slots at 200 ms a request serve 80 requests a second, or 100 with the extra slots allowed at low
+//! load. A flood of one account may cost another at most a tenth of its share, and less than half over any
+//! four seconds, which is as long as a caller waits.
 
 mod groups;
 mod load;
@@ -15,10 +15,10 @@
 use crate::fixtures::{dispatched, id, millis};
 use load::{AccountDemand, LoadGenerator, secs};
 
-/// Part of its share that an account is to keep whatever others ask for.
+/// Part of its share that an account keeps whatever the demand of others.
 const MIN_SHARE_RATIO: f64 = 0.9;
 
-/// Eight accounts, of which the first asks for ten times its share.
+/// Eight accounts, of which the first has ten times the demand of the others.
 fn flood() -> Vec<AccountDemand> {
     let mut demands: Vec<AccountDemand> = (0..8)
         .map(|n| AccountDemand::new(&format!("a{n}"), 14.0))
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_flood_at_equal_rank_takes_nothing_from_the_shares_of_others() {
+fn a_flood_at_equal_rank_does_not_reduce_the_shares_of_others() {
     let mut load = LoadGenerator::new(&flood());
     load.run(secs(8));
     let even = load.served_all(secs(4)) / 8.0;
@@ -40,10 +40,10 @@
 }
 
 #[test]
-fn no_account_has_less_than_half_of_its_share_over_any_four_seconds() {
+fn no_account_gets_less_than_half_of_its_share_over_any_four_seconds() {
     let mut demands = flood();
     for (n, demand) in demands.iter_mut().enumerate() {
-        // Waves that meet, and bursts of two seconds.
+        // Waves in phase, and bursts of two seconds.
         demand.swing = 0.6;
         demand.burst = (n % 3 == 0).then_some((secs(3), 4.0));
     }
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn accounts_have_what_is_done_by_their_weights() {
+fn accounts_get_work_in_proportion_to_their_weights() {
     let mut demands: Vec<AccountDemand> = (0..4)
         .map(|n| AccountDemand::new(&format!("a{n}"), 100.0))
         .collect();
@@ -80,9 +80,9 @@
     }
 }
 
-/// Work counts, not requests: an account of short answers is not put behind one of long ones.
+/// Shares count work, not requests: an account with short prompts gets more requests than one with long ones.
 #[test]
-fn accounts_have_shares_of_work_and_not_of_requests() {
+fn accounts_get_shares_of_work_and_not_of_requests() {
     let mut demands = vec![
         AccountDemand::new("long", 150.0),
         AccountDemand::new("short", 150.0),
@@ -90,14 +90,14 @@
     demands[0].prompt_tokens = 900;
     let mut load = LoadGenerator::new(&demands);
     load.run(secs(8));
-    // Of 4,000 prompt tokens a second: 0.23 s and some 0.03 s, and 0.25 s of answer each.
+    // At 4,000 prompt tokens a second: 0.23 s and about 0.03 s of prompt, and 0.25 s of answer each.
     let (long, short) = (load.served("long", secs(4)), load.served("short", secs(4)));
     let ratio = short / long;
     assert!((1.3..=2.2).contains(&ratio), "{short} to {long}");
 }
 
 #[test]
-fn an_account_that_asks_alone_has_everything() {
+fn the_only_account_with_demand_gets_all_capacity() {
     let mut load = LoadGenerator::new(&[
         AccountDemand::new("only", 300.0),
         AccountDemand::new("idle", 0.0),
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn what_was_lent_comes_back_within_a_second() {
+fn lent_capacity_returns_within_a_second() {
     let mut demands = flood();
     for demand in &mut demands[1..] {
         demand.from = secs(4);
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn an_account_that_comes_for_the_first_time_has_its_share_at_once() {
+fn a_new_account_gets_its_share_at_once() {
     let mut demands = flood();
     demands[7].from = secs(5);
     let mut load = LoadGenerator::new(&demands);
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_higher_rank_goes_first_whoever_floods_it() {
+fn a_higher_rank_goes_first_whichever_account_floods_it() {
     let mut demands = flood();
     demands[0].rank = 0;
     demands[0].rate = 50.0;
@@ -145,8 +145,12 @@
     let mut load = LoadGenerator::new(&demands);
     load.run(secs(8));
     assert!(load.served("a0", secs(4)) >= 4.0 * 48.0);
-    assert_eq!(load.refused("a0"), 0, "the higher rank is within the room");
-    // What is left is shared as ever.
+    assert_eq!(
+        load.refused("a0"),
+        0,
+        "the higher rank is within the capacity"
+    );
+    // The remaining capacity is shared as usual.
     let rest = load.served_all(secs(4)) - load.served("a0", secs(4));
     for n in 1..8 {
         let got = load.served(&format!("a{n}"), secs(4));
@@ -186,10 +190,10 @@
     demands
 }
 
-/// Without a share over all tiers, the higher goes first whoever asks for it: others have all that they
-/// ask of it, and the flood the rest of the 80 a second.
+/// Without a share over all tiers, the higher tier goes first whichever account uses it: others get all that
+/// they ask for in it, and the flood gets the rest of the 80 requests a second.
 #[test]
-fn each_tier_is_shared_by_itself_unless_the_share_is_over_all() {
+fn each_tier_is_shared_by_itself_without_a_share_over_all_tiers() {
     let mut load = LoadGenerator::by_tier(&tiers());
     load.run(secs(8));
     for n in 1..8 {
@@ -203,10 +207,10 @@
     );
 }
 
-/// Most of the work of a flood is of the highest tier, where there is room for all of it. Other accounts
-/// keep what they have of the lower tier all the same, and their own higher tier goes first.
+/// Most of a flood is in the highest tier, which has the capacity for all of it. Other accounts still keep
+/// their shares of the lower tier, and their own requests of the higher tier go first.
 #[test]
-fn a_flood_of_a_high_tier_takes_nothing_of_what_others_have_of_lower_ones() {
+fn a_flood_of_a_high_tier_does_not_reduce_the_shares_of_lower_tiers() {
     let mut load = LoadGenerator::new(&tiers());
     load.run(secs(8));
     let even = load.served_all(secs(4)) / 8.0;
@@ -218,8 +222,8 @@
     }
 }
 
-/// While one beyond a share is held, no request of a higher tier is told that it has to go elsewhere; so
-/// it is not held past its target, from where on others wait until their callers leave.
+/// While a request beyond a share is held, no request of a higher tier is refused for lack of capacity. So it
+/// isn't held past its target, unlike others, which wait until their callers leave.
 #[test]
 fn a_request_beyond_a_share_is_not_held_past_its_target() {
     let mut load = LoadGenerator::new(&flood());
@@ -228,10 +232,10 @@
     assert!(!load.is_refused_past_target("a1"), "it is within its share");
 }
 
-/// A member does not see who is over his share: it goes by its coordinator's word, else requests beyond
-/// a share would be asked for again and again while the member holds one of a lower tier.
+/// A member doesn't know which accounts are over their shares and relies on its coordinator's refusal.
+/// Otherwise it would ask for requests beyond a share again and again while it holds one of a lower tier.
 #[test]
-fn a_member_gives_up_what_its_coordinator_refused_as_beyond_a_share() {
+fn a_member_refuses_what_its_coordinator_refused_as_beyond_a_share() {
     let demands = [AccountDemand::new("a0", 0.0), AccountDemand::new("a1", 0.0)];
     let refused = |reason| {
         let mut member = load::member(&demands);
@@ -249,7 +253,7 @@
     assert!(!refused(Reason::Overload), "a lower tier is held");
 }
 
-/// Without the setting, decisions are by rank and arrival: these are the figures of that order.
+/// Without the setting, decisions follow rank and arrival; the figures are those of that order.
 #[test]
 fn without_shares_the_flood_is_served_by_arrival() {
     let mut load = LoadGenerator::without_shares(&flood());
@@ -265,7 +269,7 @@
     EdgeScheduler::new(settings, resources())
 }
 
-/// Sums what accounts asked for and had done.
+/// Work that accounts asked for and work done for them, summed over all accounts.
 fn work(edge: &EdgeScheduler) -> (f64, f64) {
     let work = work_report(edge.scheduler.tables(), edge.now);
     let asked = work.iter().map(|w| w.asked).sum();
@@ -273,10 +277,11 @@
     (asked, done)
 }
 
-/// Under overload a member keeps what its coordinator refused while it holds a lower tier, and tells of it
-/// in each whole report; were each of these an ask, its account would seem to ask for ten times as much.
+/// Under overload a member keeps a request that its coordinator refused while it holds one of a lower tier,
+/// and repeats it in each full report. If each of these counted, the account would seem to ask for ten times
+/// as much.
 #[test]
-fn a_request_that_is_told_again_asks_once() {
+fn a_request_reported_again_counts_once() {
     let mut edge = coordinator();
     edge.arrive(request(1, "safe", "free"));
     let (once, _) = work(&edge);
@@ -290,9 +295,9 @@
     assert!(once > 0.0 && asked <= once, "{once}, {asked}");
 }
 
-/// A place that a member gives back did no work for its account.
+/// A placement that a member declines did no work for its account.
 #[test]
-fn a_place_that_is_given_back_is_not_charged() {
+fn a_declined_placement_is_not_charged() {
     let mut edge = coordinator();
     let placed = dispatched(&edge.arrive(request(1, "safe", "free")));
     assert_eq!(placed.len(), 1);
--- a/crates/firdock-policy/tests/policy/shares/groups.rs
+++ b/crates/firdock-policy/tests/policy/shares/groups.rs
@@ -1,17 +1,17 @@
-//! Two groups that place requests by themselves, each of which sees a part of what accounts ask for.
+//! Two groups that place requests independently, each of which sees a part of the accounts' demand.
 
 use std::time::Duration;
 
 use super::load::{AccountDemand, LoadGenerator, secs};
 
-/// Two groups of 80 to 100 requests a second each.
+/// Two groups that serve 80 to 100 requests a second each.
 struct Groups {
     east: LoadGenerator,
     west: LoadGenerator,
 }
 
 impl Groups {
-    /// Lets time pass, in which each lead tells the other so often; never, where `pause` is none.
+    /// Runs both groups for `time`; the leads exchange reports every `pause`, or never if it is `None`.
     fn run(&mut self, time: Duration, pause: Option<Duration>) {
         let step = LoadGenerator::heartbeat_interval();
         let mut since = Duration::ZERO;
@@ -33,7 +33,7 @@
     }
 }
 
-/// `everywhere` asks for much in both groups, the others for much in one of them each.
+/// `everywhere` has high demand in both groups, the others in one group each.
 fn unequal() -> Groups {
     let east = [
         AccountDemand::new("everywhere", 100.0),
@@ -60,7 +60,7 @@
     }
 }
 
-/// How far one account is over the least that another has, of those that ask for more than that.
+/// Ratio of what the best served account got to what the worst served one got; all ask for more.
 fn spread(groups: &Groups) -> f64 {
     let got = ["everywhere", "east", "west", "third"].map(|a| groups.served(a));
     let max = got.iter().copied().fold(0.0, f64::max);
@@ -68,10 +68,10 @@
     max / min
 }
 
-/// Each group for itself gives an account that asks in both a share in each: 2.5 times and more what
-/// another has. Told of each other's work, even a second late, both come near one share for each.
+/// Without reports, each group gives an account with demand in both a share of its own: 2.5 times what another
+/// gets, or more. With reports of each other's work, even a second late, each account gets about one share.
 #[test]
-fn groups_that_hear_each_other_give_one_share_together() {
+fn groups_that_exchange_reports_give_each_account_one_share() {
     let mut apart = unequal();
     apart.run(secs(8), None);
     let mut exchanged = unequal();
@@ -80,13 +80,13 @@
     late.run(secs(8), Some(secs(1)));
     let (apart, exchanged, late) = (spread(&apart), spread(&exchanged), spread(&late));
     assert!(apart > 2.0, "{apart}");
-    // East's own account has half of all places to itself, and no more.
+    // The account `east` gets half of all slots, and no more.
     assert!(exchanged < 1.6, "{exchanged}, apart {apart}");
     assert!(late < 1.9, "{late}, exchanged {exchanged}");
 }
 
 #[test]
-fn a_group_whose_other_lead_is_lost_goes_back_to_even_shares_of_its_own_places() {
+fn a_group_without_reports_returns_to_even_shares_of_its_own_slots() {
     let mut groups = unequal();
     groups.run(secs(6), Some(LoadGenerator::heartbeat_interval()));
     groups.run(secs(6), None);
@@ -98,12 +98,12 @@
             "{account}: {got} of {even}"
         );
     }
-    // And to exact ones when a new lead tells again.
+    // Reports of a new lead restore the common shares.
     groups.run(secs(6), Some(LoadGenerator::heartbeat_interval()));
     assert!(spread(&groups) < 1.6);
 }
 
-/// A new coordinator knows nothing of what was done; within two seconds shares are what they were.
+/// A new coordinator doesn't know the work done before it; shares are even again within two seconds.
 #[test]
 fn a_new_coordinator_gives_even_shares_from_the_start() {
     let mut demands: Vec<AccountDemand> = (0..8)
--- a/crates/firdock-policy/tests/policy/shares/load.rs
+++ b/crates/firdock-policy/tests/policy/shares/load.rs
@@ -1,4 +1,4 @@
-//! Callers of several accounts that ask a coordinator for places at given rates.
+//! Load generator: callers of several accounts that send requests to a coordinator at given rates.
 
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use crate::edge::{EdgeScheduler, edge_settings, request, resources};
 use crate::fixtures::millis;
 
-/// Pause between two steps, as in a daemon.
+/// Time between two steps, as in the daemon.
 const STEP: Duration = millis_of(25);
 /// Time that an engine takes for a request.
 const SERVICE_TIME: Duration = millis_of(200);
@@ -27,7 +27,7 @@
     Duration::from_secs(n)
 }
 
-/// What the callers of one account ask for.
+/// The demand of one account's callers.
 #[derive(Debug, Clone)]
 pub struct AccountDemand {
     pub account: String,
@@ -40,9 +40,9 @@
     pub service: &'static str,
     /// When it begins.
     pub from: Duration,
-    /// Part of the rate by which it goes up and down over three seconds.
+    /// Part of the rate by which it oscillates, with a period of three seconds.
     pub swing: f64,
-    /// Begin of two seconds in which it asks for so many times as much.
+    /// Start of a burst of two seconds, and the factor on the rate during it.
     pub burst: Option<(Duration, f64)>,
 }
 
@@ -79,7 +79,7 @@
     edge: EdgeScheduler,
     started_at: Time,
     demands: Vec<AccountDemand>,
-    /// Parts of requests that are due, by account.
+    /// Requests due, with fractions, for each demand.
     due: Vec<f64>,
     next: u64,
     accounts: BTreeMap<RequestId, String>,
@@ -87,7 +87,7 @@
     running: VecDeque<(Time, RequestId, u32)>,
     sent: Vec<(Time, String)>,
     served: Vec<(Time, String)>,
-    /// Those of the service `safe`.
+    /// Of these, the requests of the service `safe`.
     served_safe: Vec<(Time, String)>,
     refused: Vec<(String, Reason)>,
 }
@@ -192,7 +192,7 @@
         }
     }
 
-    /// Sends what is due, one request of each account by turns.
+    /// Sends the requests that are due, one of each account in turn.
     fn send(&mut self) {
         let age = self.age();
         for (due, demand) in self.due.iter_mut().zip(&self.demands) {
@@ -260,7 +260,7 @@
         }
     }
 
-    /// Work conserving: nothing waits while a place is free that it may use.
+    /// Checks that the scheduler is work conserving: no request is held while a slot that it may use is free.
     fn assert_work_conserving(&self) {
         let t = self.edge.scheduler.tables();
         if t.requests.held() == 0 {
@@ -282,7 +282,7 @@
         counted.count() as f64
     }
 
-    /// Requests of an account that were placed within the last time.
+    /// Requests of an account that were placed within the time `last`.
     pub fn served(&self, account: &str, last: Duration) -> f64 {
         self.count(&self.served, account, last)
     }
@@ -310,7 +310,7 @@
         self.refused.iter().filter(over).count()
     }
 
-    /// Tells whether a request that was held past its target before it came here is refused at once.
+    /// Whether a request that was held past its target before it arrived here is refused at once.
     pub fn is_refused_past_target(&mut self, account: &str) -> bool {
         let new = NewRequest {
             age: millis(600),
@@ -327,12 +327,12 @@
         actions.iter().any(refused)
     }
 
-    /// What the group tells of the work that it placed.
+    /// The group's report of the work that it placed.
     pub fn work_report(&self) -> Vec<AccountWork> {
         work_report(self.edge.scheduler.tables(), self.edge.now)
     }
 
-    /// Takes the word of another group's lead.
+    /// Receives the report of another group's lead.
     pub fn receive_report(&mut self, zone: &str, work: Vec<AccountWork>) {
         let zone = zone.to_owned();
         let actions = self.edge.step(Event::GroupWork(GroupWork { zone, work }));
