--- a/crates/firdock-policy/tests/policy/buffers.rs
+++ b/crates/firdock-policy/tests/policy/buffers.rs
@@ -130,7 +130,10 @@
     let mut buffers = buffers_with(1_000, &[(1, "a")]);
     buffers.hold(at(0), 1, 700);
     buffers.close(1);
-    assert!(buffers.hold(at(1), 1, 700).is_empty(), "a late part");
+    assert!(
+        buffers.hold(at(1), 1, 700).is_empty(),
+        "a part that arrives late"
+    );
     buffers.consume(at(1), 1, 700);
     buffers.close(1);
     assert_eq!(buffers.bytes(), 0);
@@ -175,7 +178,7 @@
         assert!(cut_answer.bytes > 0);
         for kept in model.values().filter(|s| s.bytes > 0) {
             if cut_answer.complete {
-                assert!(kept.complete, "an unfinished answer was left");
+                assert!(kept.complete, "an incomplete answer was kept");
             }
             if kept.complete == cut_answer.complete {
                 let (cut_total, kept_total) = (total(cut_answer.account), total(kept.account));
--- a/crates/firdock-policy/tests/policy/coordinate.rs
+++ b/crates/firdock-policy/tests/policy/coordinate.rs
@@ -284,7 +284,7 @@
     all
 }
 
-/// Slots that the coordinator of `zone` may use in each zone, at the given demands of both.
+/// Slots that the coordinator of `zone` may use in each availability zone, at the given demands of both.
 fn slots_by_zone(zone: &str, east: f64, west: f64) -> (u32, u32) {
     let mut settings = coordinator_settings();
     zone.clone_into(&mut settings.zone);
--- a/crates/firdock-policy/tests/policy/notices.rs
+++ b/crates/firdock-policy/tests/policy/notices.rs
@@ -1,10 +1,10 @@
 //! Notices that endpoints send with their answers: that they leave, or that they ask for a backoff.
 //!
 //! These tests guard against the head of an answer being used for its own request alone. In one incident
-//! a server announced that it was leaving while the platform's store was unavailable, and the same
-//! instance sent it requests for up to 11.7 s more. In another, servers refused requests and asked for
-//! 3 s without any: each got 17 to 27 in that time, mostly first attempts, since a server that refuses at
-//! once looks idle and fast. The log of state changes showed none in either incident.
+//! an endpoint announced that it was leaving while the platform's store was unavailable, and the same
+//! instance sent it requests for up to 11.7 s more. In another, endpoints refused requests and asked for
+//! 3 s without any: they got 17 to 27 in that time, mostly first attempts, since an endpoint that refuses
+//! at once looks idle and fast. The log of state changes showed none in either incident.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -201,7 +201,7 @@
     assert!(dispatched_endpoints(&mut edge, 4..9).contains(&"e1".to_owned()));
 }
 
-/// A server that asks for a backoff is healthy: neither refusals nor failures in that time count against
+/// An endpoint that asks for a backoff is healthy: neither refusals nor failures in that time count against
 /// it, and it is fully usable after it.
 #[test]
 fn a_backoff_is_no_failure() {
--- a/crates/firdock-policy/tests/policy/pace_reports.rs
+++ b/crates/firdock-policy/tests/policy/pace_reports.rs
@@ -1,4 +1,4 @@
-//! Servers that report their current pace. The figures are those of 60 engines of which a third take four
+//! Endpoints that report their current pace. The figures are those of 60 engines of which a third take four
 //! times as long as the others, and 15 in 100 take 2.5 times their own time for half a second at a time.
 
 use firdock_core::resource::{Endpoint, EndpointKind, PoolWeight, Resource, Service};
@@ -79,7 +79,7 @@
         new.deadline = None;
         let placed = dispatched(&edge.arrive(new));
         let Some((_, at)) = placed.first() else {
-            panic!("an engine is free");
+            panic!("no engine is free");
         };
         let slow = if at == "e1" { 0.68 } else { 3.0 };
         report_pace(edge, &at.clone(), (100.0 * slow) as u32);
@@ -229,7 +229,7 @@
     assert_eq!(at, Some("e2".to_owned()));
 }
 
-/// Gives the slow engine slow phases, at the rate that is usual for servers on shared hardware.
+/// Gives the slow engine slow phases, at the rate that is usual for endpoints on shared hardware.
 fn add_slow_phases(edge: &mut EdgeScheduler) {
     for n in 0..600 {
         edge.now += millis(100);
@@ -288,7 +288,7 @@
     for n in 0..40_u64 {
         let new = request_with_tokens(n, "safe", 4_000, 385);
         let Some(at) = place(&mut edge, new) else {
-            panic!("an engine is free");
+            panic!("no engine is free");
         };
         let slow = if at == "e1" { 0.68 } else { 3.0 };
         report_pace(&mut edge, &at, if at == "e1" { 68 } else { 10 });
@@ -301,9 +301,9 @@
     edge
 }
 
-/// A server that reports far too low a pace would otherwise attract all long prompts.
+/// An endpoint that reports far too low a pace would otherwise attract all long prompts.
 #[test]
-fn a_server_with_false_pace_reports_is_predicted_from_its_answers() {
+fn an_endpoint_with_false_pace_reports_is_predicted_from_its_answers() {
     let mut edge = with_false_paces();
     assert_eq!(
         place(&mut edge, request_with_tokens(900, "safe", 47_000, 385)),
@@ -333,7 +333,7 @@
         row.is_some_and(|r| r.tried.last().is_some_and(|at| at == "e1"))
     };
     let Some(n) = (901..=904).find(there) else {
-        panic!("the engine is full");
+        panic!("no request runs on e1");
     };
     let placed = dispatched(&edge.update_dispatch(n, 1, ended(1_800, 385)));
     assert_eq!(placed, vec![(id(905), "e1".to_owned())]);
@@ -363,7 +363,7 @@
     let mut edge = EdgeScheduler::new(edge_settings("a"), all);
     for n in 1..=60 {
         let new = request(n, "safe", "free");
-        let at = place(&mut edge, new).expect("a server is free");
+        let at = place(&mut edge, new).expect("an endpoint is free");
         edge.now += millis(20);
         report_pace(&mut edge, &at, 100);
         edge.end(n);
--- a/crates/firdock-policy/tests/policy/restart.rs
+++ b/crates/firdock-policy/tests/policy/restart.rs
@@ -1,6 +1,6 @@
 //! Endpoints that restart under the same name: requests that ran there, assumed state, and stale reports.
 //!
-//! The case is a server that crashes and is back within a second while callers stream from it: the
+//! The case is an endpoint that crashes and is back within a second while callers stream from it: the
 //! platform lists the new start before the connections to the old process are found to be dead.
 
 use std::time::Duration;
@@ -55,7 +55,7 @@
 
 fn row<'a>(d: &'a TestScheduler, name: &str) -> &'a EndpointRow {
     let endpoints = &d.scheduler.tables().endpoints;
-    endpoints.get(endpoints.find(name).expect("it is listed"))
+    endpoints.get(endpoints.find(name).expect("the endpoint is listed"))
 }
 
 fn given_up(actions: &[Action]) -> Vec<(u64, u32)> {
@@ -103,7 +103,7 @@
     let again = dispatched(&d.update_dispatch(1, 1, BROKE));
     assert_eq!(again, [(id(1), name)]);
     let rows = &d.scheduler.tables().requests;
-    assert_eq!(rows.get(id(1)).expect("it runs").tried.len(), 2);
+    assert_eq!(rows.get(id(1)).expect("the request runs").tried.len(), 2);
 }
 
 #[test]
--- a/crates/firdock-policy/tests/policy/rollout.rs
+++ b/crates/firdock-policy/tests/policy/rollout.rs
@@ -208,7 +208,7 @@
     let mut site = RolloutSite::ordered();
     while site.stage() == Stage::Watching {
         site.run_second(|n, _| n.is_multiple_of(2));
-        assert!(site.sent < 1_200, "its failures were not seen");
+        assert!(site.sent < 1_200, "its failures were not detected");
     }
     let exposed = site.exposed;
     assert_eq!(
--- a/crates/firdock-policy/tests/policy/suspects.rs
+++ b/crates/firdock-policy/tests/policy/suspects.rs
@@ -1,8 +1,8 @@
 //! Requests that make endpoints exit.
 //!
-//! In two incidents a request made every server exit that began to run it, and its caller sent it again
+//! In two incidents a request made every endpoint exit that began to run it, and its caller sent it again
 //! under another id and to any instance: it was dispatched 10 and 20 times more after the third exit, and
-//! 20 and 27 servers exited. Each retry counted as a first attempt, since nothing that an instance learned
+//! 20 and 27 endpoints exited. Each retry counted as a first attempt, since nothing that an instance learned
 //! about a request outlived the request's row. Logs of a replay showed one attempt per dispatch; the traffic
 //! below reproduces this without a network.
 
--- a/crates/firdock-policy/tests/policy/suspects/evidence.rs
+++ b/crates/firdock-policy/tests/policy/suspects/evidence.rs
@@ -67,7 +67,7 @@
     assert!(!is_quarantined(&pool.edge, "hot"));
 }
 
-/// Servers are killed one after the other for other reasons, each while it runs the same request.
+/// Endpoints are killed one after the other for other reasons, each while it runs the same request.
 #[test]
 fn endpoints_killed_for_other_reasons_leave_no_evidence_against_an_answered_request() {
     let mut pool = TestPool::new(8);
@@ -272,7 +272,7 @@
     assert_eq!(
         liveness_checks(&break_connection(&mut edge, 2, 1)),
         0,
-        "one is under way"
+        "a check is in progress"
     );
     edge.now += millis(10);
     assert_eq!(
--- a/crates/firdock-policy/tests/policy/use_aggregator.rs
+++ b/crates/firdock-policy/tests/policy/use_aggregator.rs
@@ -93,7 +93,10 @@
         assert_eq!(lead_units(&mut aggregator), [35.0]);
     }
     aggregator.add_member_report(START, &peer_use("a", 1, 30.0));
-    assert!(group_units(&mut aggregator).is_empty(), "nothing rose");
+    assert!(
+        group_units(&mut aggregator).is_empty(),
+        "no count increased"
+    );
 }
 
 #[test]
@@ -280,7 +283,7 @@
             others: 0.0,
         })
         .collect();
-    // Two leads of each zone count.
+    // Each availability zone has two leads that count.
     let mut leads: Vec<Option<UseAggregator>> = (0..ZONES * 2).map(|_| Some(lead())).collect();
     let (mut all, mut longest, mut rows) = (0.0, 0, 0);
     let ticks = secs * 5;
