--- a/crates/firdock-policy/tests/policy/coordinate.rs
+++ b/crates/firdock-policy/tests/policy/coordinate.rs
@@ -318,14 +318,18 @@
 
 #[test]
 fn a_group_with_more_demand_uses_what_another_leaves_and_slots_are_assigned_once() {
-    let (own, far) = slots_by_zone("east", 30.0, 10.0);
-    let (left, home) = slots_by_zone("west", 30.0, 10.0);
-    assert_eq!(own, 30);
-    assert_eq!(left, 0);
-    assert_eq!(far + home, 30, "each slot is assigned once");
+    let (east_in_east, east_in_west) = slots_by_zone("east", 30.0, 10.0);
+    let (west_in_east, west_in_west) = slots_by_zone("west", 30.0, 10.0);
+    assert_eq!(east_in_east, 30);
+    assert_eq!(west_in_east, 0);
+    assert_eq!(
+        east_in_west + west_in_west,
+        30,
+        "each slot is assigned once"
+    );
     assert!(
-        (13..=17).contains(&far),
-        "half of the slots in the west: {far}"
+        (13..=17).contains(&east_in_west),
+        "half of the slots in the west: {east_in_west}"
     );
 }
 
--- a/crates/firdock-policy/tests/policy/shares/max_min.rs
+++ b/crates/firdock-policy/tests/policy/shares/max_min.rs
@@ -13,9 +13,9 @@
     #[test]
     fn shares_add_up_and_none_exceeds_its_demand(capacity in 0.0..500.0_f64, demands in demands()) {
         let shares = max_min_shares(capacity, &demands);
-        let wanted: f64 = demands.iter().map(|a| a.amount).sum();
-        let given: f64 = shares.iter().sum();
-        prop_assert!((given - capacity.min(wanted)).abs() < 1e-6, "{given} of {capacity}, asked {wanted}");
+        let total_demand: f64 = demands.iter().map(|a| a.amount).sum();
+        let total_share: f64 = shares.iter().sum();
+        prop_assert!((total_share - capacity.min(total_demand)).abs() < 1e-6, "{total_share} of {capacity}, demand {total_demand}");
         for (share, demand) in shares.iter().zip(&demands) {
             prop_assert!(*share <= demand.amount + 1e-9);
         }
--- a/crates/firdock-policy/tests/policy/simulation/message.rs
+++ b/crates/firdock-policy/tests/policy/simulation/message.rs
@@ -208,18 +208,19 @@
         };
         let now = self.now;
         let instance = &mut self.instances[i];
-        let lived = ended.is_some_and(|id| instance.scheduler.tables().requests.get(id).is_some());
+        let existed =
+            ended.is_some_and(|id| instance.scheduler.tables().requests.get(id).is_some());
         let mut out = Vec::new();
         instance.scheduler.step(now, event, &mut out);
         instance.scheduler.check_invariants(now);
-        if let Some(id) = ended.filter(|_| lived) {
-            let gone = self.instances[i]
+        if let Some(id) = ended.filter(|_| existed) {
+            let finished = self.instances[i]
                 .scheduler
                 .tables()
                 .requests
                 .get(id)
                 .is_none();
-            if gone {
+            if finished {
                 self.record_result(i, id, "answered", None);
             }
         }
