--- a/crates/firdock-policy/tests/policy/allowance.rs
+++ b/crates/firdock-policy/tests/policy/allowance.rs
@@ -9,7 +9,7 @@
 const EVALUATION_INTERVAL: Duration = Duration::from_millis(50);
 /// Time that the order allows.
 const ROLLOUT_TIME: Duration = Duration::from_secs(6);
-/// Uncertainty of the order's start: the time since the read of the log before the one that showed it.
+/// Uncertainty of the order's start: the interval between the read that found it and the one before.
 const UNCERTAINTY: Duration = Duration::from_millis(200);
 /// Minimum time left when all traffic moves: two evaluations, and a call to the store with its answer.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(125);
--- a/crates/firdock-policy/tests/policy/pace_reports.rs
+++ b/crates/firdock-policy/tests/policy/pace_reports.rs
@@ -30,7 +30,7 @@
 }
 
 /// A coordinator of a fast engine `e1` and a slow one `e2`. The service `safe` streams events of seven
-/// tokens and has a gap target of 300 ms.
+/// tokens and has a gap target of 300 ms, as that of the users' listeners.
 fn fast_and_slow_engines() -> EdgeScheduler {
     fast_and_slow_engines_with_slots(2)
 }
