--- a/src/api.rs
+++ b/src/api.rs
@@ -1,4 +1,4 @@
-//! Client of the resource API, for the operator's subcommands.
+//! Client of the resource API, for the subcommands of `firdock`.
 
 use std::time::Duration;
 
@@ -11,8 +11,8 @@
 
 use crate::cmd::CmdError;
 
-/// Time for a call; watches wait up to 55 seconds.
-const CALL_TIME: Duration = Duration::from_secs(70);
+/// Time limit for a call; a watch takes up to 55 seconds.
+const CALL_TIMEOUT: Duration = Duration::from_secs(70);
 
 /// Client of one instance's resource API.
 #[derive(Debug, Clone)]
@@ -22,7 +22,7 @@
 }
 
 impl Api {
-    /// Makes a client from the `--server` argument.
+    /// Creates a client from the `--server` argument.
     #[must_use]
     pub fn new(args: &ArgMatches) -> Self {
         let server = args
@@ -30,7 +30,7 @@
             .cloned()
             .unwrap_or_default();
         let config = Agent::config_builder()
-            .timeout_global(Some(CALL_TIME))
+            .timeout_global(Some(CALL_TIMEOUT))
             .http_status_as_error(false)
             .build();
         Self {
@@ -39,31 +39,31 @@
         }
     }
 
-    /// Reads a path.
+    /// Sends a GET request for a path.
     ///
     /// # Errors
     ///
-    /// Fails if the instance is not reached or refuses.
+    /// Fails if the instance cannot be reached or refuses the request.
     pub fn get(&self, path: &str) -> Result<Value, CmdError> {
         let url = self.url(path);
         read(&url, self.agent.get(&url).call())
     }
 
-    /// Sends a body to a path.
+    /// Sends a POST request with a body to a path.
     ///
     /// # Errors
     ///
-    /// Fails if the instance is not reached or refuses.
+    /// Fails if the instance cannot be reached or refuses the request.
     pub fn post(&self, path: &str, body: &str) -> Result<Value, CmdError> {
         let url = self.url(path);
         read(&url, self.agent.post(&url).send(body))
     }
 
-    /// Deletes a path.
+    /// Sends a DELETE request for a path.
     ///
     /// # Errors
     ///
-    /// Fails if the instance is not reached or refuses.
+    /// Fails if the instance cannot be reached or refuses the request.
     pub fn delete(&self, path: &str) -> Result<Value, CmdError> {
         let url = self.url(path);
         read(&url, self.agent.delete(&url).call())
@@ -82,10 +82,10 @@
     if status < 300 {
         return serde_json::from_str(&text).context(crate::cmd::AnswerSnafu { url });
     }
-    Err(refusal(status, &text))
+    Err(api_error(status, &text))
 }
 
-fn refusal(status: u16, text: &str) -> CmdError {
+fn api_error(status: u16, text: &str) -> CmdError {
     let body = serde_json::from_str::<Value>(text).unwrap_or_default();
     let detail = body["detail"].as_str().unwrap_or(text).to_owned();
     match status {
--- a/src/bin/firdockd.rs
+++ b/src/bin/firdockd.rs
@@ -6,5 +6,5 @@
 
 fn main() -> ExitCode {
     let matches = cmd::daemon_command().get_matches();
-    exit::code_of(cmd::run_daemon(&matches))
+    exit::report(cmd::run_daemon(&matches))
 }
--- a/src/cmd.rs
+++ b/src/cmd.rs
@@ -17,14 +17,14 @@
 pub use error::CmdError;
 pub(crate) use error::{AnswerSnafu, CallSnafu};
 
-/// Address of the resource API where none is given.
+/// Default address of the resource API.
 const DEFAULT_SERVER: &str = "127.0.0.1:7080";
-/// What the exit codes mean, shown by `--help`.
+/// Meaning of the exit codes, shown by `--help`.
 const EXIT_CODES: &str = "Exit codes: 0 done, 1 failed, 2 wrong usage, 3 findings in the input \
-    (nothing changed), 4 the resource changed meanwhile (nothing changed), 5 no such resource, \
-    6 instance or log out of reach.";
+    (nothing changed), 4 the resource was changed concurrently (nothing changed), 5 no such resource, \
+    6 instance or log not reachable.";
 
-/// Makes the command line of `firdock`.
+/// Creates the argument parser of `firdock`.
 #[must_use]
 pub fn operator_command() -> Command {
     let server = Arg::new("server")
@@ -39,7 +39,7 @@
         .global(true)
         .help("Print JSON, for scripts");
     Command::new("firdock")
-        .about("Drives firdock through its resource API")
+        .about("Operates firdock through its resource API")
         .after_help(EXIT_CODES)
         .subcommand_required(true)
         .arg_required_else_help(true)
@@ -60,7 +60,7 @@
 ///
 /// # Errors
 ///
-/// Fails as the subcommand does.
+/// Fails if the subcommand does.
 pub fn run_operator(matches: &ArgMatches) -> Result<(), CmdError> {
     match matches.subcommand() {
         Some(("apply", args)) => apply::execute(args),
@@ -72,11 +72,11 @@
         Some(("release", args)) => release::execute(args),
         Some(("check", args)) => check::execute(args),
         Some(("explain", args)) => explain::execute(args),
-        _ => unreachable!("the argument parser knows the subcommands"),
+        _ => unreachable!("the argument parser rejects other subcommands"),
     }
 }
 
-/// Makes the command line of `firdockd`.
+/// Creates the argument parser of `firdockd`.
 #[must_use]
 pub fn daemon_command() -> Command {
     Command::new("firdockd")
@@ -91,15 +91,15 @@
 ///
 /// # Errors
 ///
-/// Fails as the subcommand does.
+/// Fails if the subcommand does.
 pub fn run_daemon(matches: &ArgMatches) -> Result<(), CmdError> {
     match matches.subcommand() {
         Some(("serve", args)) => serve::execute(args),
-        _ => unreachable!("the argument parser knows the subcommands"),
+        _ => unreachable!("the argument parser rejects other subcommands"),
     }
 }
 
-/// Gives a required argument.
+/// Returns a required argument.
 fn required<'a>(args: &'a ArgMatches, name: &str) -> &'a str {
     args.get_one::<String>(name).map_or("", String::as_str)
 }
--- a/src/cmd/apply.rs
+++ b/src/cmd/apply.rs
@@ -1,4 +1,4 @@
-//! `firdock apply`: puts the resources of a file in force.
+//! `firdock apply`: applies the resources of a file.
 
 use clap::{Arg, ArgMatches, Command};
 use firdock_core::resource::parse_resources;
@@ -8,15 +8,15 @@
 use super::{CmdError, required};
 use crate::api::Api;
 
-/// Makes the subcommand.
+/// Creates the subcommand.
 #[must_use]
 pub fn make_subcommand() -> Command {
     Command::new("apply")
-        .about("Put the resources of a TOML file in force")
+        .about("Apply the resources of a TOML file")
         .long_about(
             "Checks the whole file first and changes nothing if there is any finding. Then \
-             writes each resource that differs from what is in force; running it again after a \
-             failure goes on where it stopped.",
+             writes each resource that differs from the one in force; after a failure, running \
+             the command again continues where it stopped.",
         )
         .arg(
             Arg::new("file")
@@ -32,7 +32,7 @@
 ///
 /// # Errors
 ///
-/// Fails with the findings, the conflict, or what kept the instance from answering.
+/// Fails with the findings or the conflict, or if the instance does not answer.
 pub fn execute(args: &ArgMatches) -> Result<(), CmdError> {
     let path = required(args, "file");
     let text = read_file(path)?;
--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -1,4 +1,4 @@
-//! `firdock check`: checks settings and resource files without any instance.
+//! `firdock check`: checks settings and resource files offline.
 
 use std::fs;
 
@@ -11,7 +11,7 @@
 use super::CmdError;
 use super::error::ReadFileSnafu;
 
-/// Makes the subcommand.
+/// Creates the subcommand.
 #[must_use]
 pub fn make_subcommand() -> Command {
     let settings = Arg::new("settings").long("settings").value_name("FILE");
@@ -27,7 +27,7 @@
 ///
 /// # Errors
 ///
-/// Fails with every finding of the first file that has any.
+/// Fails with all findings of the first file that has any.
 pub fn execute(args: &ArgMatches) -> Result<(), CmdError> {
     if let Some(path) = args.get_one::<String>("settings") {
         read_settings(path)?;
--- a/src/cmd/delete.rs
+++ b/src/cmd/delete.rs
@@ -1,17 +1,17 @@
-//! `firdock delete`: takes a resource out of force.
+//! `firdock delete`: deletes a resource.
 
 use clap::{Arg, ArgMatches, Command, value_parser};
 
 use super::{CmdError, required};
 use crate::api::Api;
 
-/// Makes the subcommand.
+/// Creates the subcommand.
 #[must_use]
 pub fn make_subcommand() -> Command {
     let kind = Arg::new("kind").value_name("KIND").required(true);
     let name = Arg::new("name").value_name("NAME").required(true);
     Command::new("delete")
-        .about("Take a resource out of force")
+        .about("Delete a resource")
         .arg(kind.help("tier, account, service or endpoint"))
         .arg(name.help("Name of the resource"))
         .arg(
@@ -27,7 +27,7 @@
 ///
 /// # Errors
 ///
-/// Fails if there is no such resource, if it changed meanwhile, or if the instance does not answer.
+/// Fails if the resource does not exist or was changed concurrently, or if the instance does not answer.
 pub fn execute(args: &ArgMatches) -> Result<(), CmdError> {
     let (kind, name) = (required(args, "kind"), required(args, "name"));
     let base = args
--- a/src/cmd/error.rs
+++ b/src/cmd/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong in a subcommand, printed as one chain.
+//! Errors of the subcommands, which are printed with their chain of causes.
 
 use firdock_core::Findings;
 use firdock_node::StartError;
@@ -6,15 +6,15 @@
 
 use crate::exit;
 
-/// Why a subcommand failed.
+/// Errors of the subcommands.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 #[non_exhaustive]
 pub enum CmdError {
     /// A file could not be read.
-    #[snafu(display("read {path}"))]
+    #[snafu(display("failed to read {path}"))]
     ReadFile {
-        /// Path as it was given.
+        /// Path from the command line.
         path: String,
         /// Cause.
         source: std::io::Error,
@@ -22,53 +22,53 @@
     /// A file has findings.
     #[snafu(display("{path}: {} finding(s), nothing was changed\n{findings}", findings.as_slice().len()))]
     BadFile {
-        /// Path as it was given.
+        /// Path from the command line.
         path: String,
         /// Every finding.
         findings: Findings,
     },
-    /// The resource API found fault with the input.
+    /// The resource API reported findings in the input.
     #[snafu(display("{} finding(s), nothing was changed\n{findings}", findings.as_slice().len()))]
     BadInput {
         /// Every finding.
         findings: Findings,
     },
-    /// The resource changed meanwhile.
+    /// The resource was changed concurrently.
     #[snafu(display("{detail}"))]
     Conflict {
-        /// What the API said.
+        /// Detail from the API.
         detail: String,
     },
-    /// There is no such resource.
+    /// The resource does not exist, or no log line is about the request.
     #[snafu(display("{detail}"))]
     NotFound {
-        /// What the API said.
+        /// Detail from the API.
         detail: String,
     },
-    /// The log is out of reach of the instance, or its word on a change is missing.
+    /// The instance cannot reach the log, or the log did not confirm a change.
     #[snafu(display("{detail}"))]
     Unavailable {
-        /// What the API said.
+        /// Detail from the API.
         detail: String,
     },
-    /// The instance refused for another reason.
+    /// The instance refused the call for another reason.
     #[snafu(display("status {status}: {detail}"))]
     Refused {
         /// Status.
         status: u16,
-        /// What the API said.
+        /// Detail from the API.
         detail: String,
     },
-    /// The instance was not reached.
-    #[snafu(display("call {url}"))]
+    /// The instance could not be reached.
+    #[snafu(display("failed to call {url}"))]
     Call {
         /// URL.
         url: String,
         /// Cause.
         source: ureq::Error,
     },
-    /// The instance's answer could not be read.
-    #[snafu(display("read the answer of {url}"))]
+    /// The instance's response could not be parsed.
+    #[snafu(display("failed to parse the response of {url}"))]
     Answer {
         /// URL.
         url: String,
@@ -76,13 +76,13 @@
         source: serde_json::Error,
     },
     /// The instance did not start.
-    #[snafu(display("start the instance"))]
+    #[snafu(display("failed to start the instance"))]
     Start {
         /// Cause.
         source: StartError,
     },
     /// The runtime could not be started.
-    #[snafu(display("start the runtime"))]
+    #[snafu(display("failed to start the runtime"))]
     Runtime {
         /// Cause.
         source: std::io::Error,
@@ -90,7 +90,7 @@
 }
 
 impl CmdError {
-    /// Gives the exit code that fits.
+    /// Returns the exit code for the error.
     #[must_use]
     pub fn exit_code(&self) -> u8 {
         match self {
--- a/src/cmd/explain.rs
+++ b/src/cmd/explain.rs
@@ -1,4 +1,4 @@
-//! `firdock explain`: tells from logs what became of a request, and why, or what became of all.
+//! `firdock explain`: explains from logs the outcome of a request, or summarizes the outcomes of all.
 
 use std::io::{self, Read as _};
 
@@ -11,17 +11,17 @@
 use crate::summary::Summary;
 use crate::timeline::{Line, request_timeline};
 
-/// Name by which standard input is given.
+/// File name that stands for standard input.
 const STDIN: &str = "-";
 
-/// Makes the subcommand.
+/// Creates the subcommand.
 #[must_use]
 pub fn make_subcommand() -> Command {
     Command::new("explain")
-        .about("Tell from the instances' logs what became of a request, and why")
+        .about("Explain the outcome of a request from the logs of the instances")
         .long_about(
-            "Prints the log lines about one request in order, over all instances, with what they \
-             believed of its endpoints and of their configuration meanwhile. See docs/OPERATIONS.md.",
+            "Prints the log lines about one request in order, from all instances, with the changes of \
+             their assumed state of its endpoints and of their configuration. See docs/OPERATIONS.md.",
         )
         .arg(
             Arg::new("id")
@@ -43,7 +43,7 @@
                 .value_name("FILE")
                 .num_args(1..)
                 .conflicts_with("id")
-                .help("Count instead what became of all requests, by service, account and time"),
+                .help("Count the outcomes of all requests instead, by service, account and time"),
         )
 }
 
@@ -61,7 +61,7 @@
     let lines = read_lines(paths)?;
     let timeline = request_timeline(&lines, id);
     if timeline.is_empty() {
-        let detail = format!("no line of {} is about {id}", lines.len());
+        let detail = format!("none of the {} lines is about {id}", lines.len());
         return Err(CmdError::NotFound { detail });
     }
     for line in timeline {
@@ -73,7 +73,10 @@
 fn summarize(lines: &[Line]) -> Result<(), CmdError> {
     let summary = Summary::new(lines);
     if summary.is_empty() {
-        let detail = format!("no line of {} tells the end of a request", lines.len());
+        let detail = format!(
+            "none of the {} lines reports the outcome of a request",
+            lines.len()
+        );
         return Err(CmdError::NotFound { detail });
     }
     print!("{summary}");
--- a/src/cmd/get.rs
+++ b/src/cmd/get.rs
@@ -6,7 +6,7 @@
 use super::CmdError;
 use crate::api::Api;
 
-/// Makes the subcommand.
+/// Creates the subcommand.
 #[must_use]
 pub fn make_subcommand() -> Command {
     Command::new("get")
@@ -27,7 +27,7 @@
 ///
 /// # Errors
 ///
-/// Fails if there is no such resource or the instance does not answer.
+/// Fails if the resource does not exist or the instance does not answer.
 pub fn execute(args: &ArgMatches) -> Result<(), CmdError> {
     let parts = ["kind", "name"]
         .into_iter()
--- a/src/cmd/release.rs
+++ b/src/cmd/release.rs
@@ -1,20 +1,20 @@
-//! `firdock release`: lets a request go from quarantine.
+//! `firdock release`: releases a request from quarantine.
 
 use clap::{Arg, ArgMatches, Command};
 
 use super::{CmdError, required};
 use crate::api::Api;
 
-/// Makes the subcommand.
+/// Creates the subcommand.
 #[must_use]
 pub fn make_subcommand() -> Command {
     Command::new("release")
-        .about("Let a request go from quarantine, at all instances")
+        .about("Release a request from quarantine, at all instances")
         .arg(
             Arg::new("content")
                 .value_name("CONTENT")
                 .required(true)
-                .help("Hash of what the request asks for, as `firdock suspects` prints it"),
+                .help("Hash of the content of the request, as `firdock suspects` prints it"),
         )
 }
 
@@ -22,7 +22,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the instance does not answer, or knows of no end under such a request.
+/// Fails if the instance does not answer, or knows of no exit of an endpoint during such a request.
 pub fn execute(args: &ArgMatches) -> Result<(), CmdError> {
     let content = required(args, "content");
     let path = format!("/v1/suspects/{content}/release");
--- a/src/cmd/serve.rs
+++ b/src/cmd/serve.rs
@@ -1,4 +1,4 @@
-//! `firdockd serve`: runs an entry instance until it is told to stop.
+//! `firdockd serve`: runs an entry instance until it receives a signal to stop.
 
 use std::io;
 
@@ -14,17 +14,18 @@
 use super::error::{RuntimeSnafu, StartSnafu};
 use super::{CmdError, required};
 
-/// Threads for callers, endpoints and peers; the scheduler and the platform have their own.
-const WORKERS: usize = 2;
+/// Worker threads for callers, endpoints and peers; the scheduler and the platform's log have threads of
+/// their own.
+const WORKER_THREADS: usize = 2;
 
-/// Makes the subcommand.
+/// Creates the subcommand.
 #[must_use]
 pub fn make_subcommand() -> Command {
     Command::new("serve")
         .about("Run an entry instance until SIGTERM or SIGINT")
         .long_about(
-            "Runs an entry instance. On SIGTERM or SIGINT it turns its readiness off, passes held \
-             requests to its peers, finishes the streams that run and exits with 0.",
+            "Runs an entry instance. On SIGTERM or SIGINT, it reports that it is not ready, hands \
+             held requests over to its peers, finishes the running streams and exits with 0.",
         )
         .arg(
             Arg::new("settings")
@@ -39,11 +40,11 @@
 ///
 /// # Errors
 ///
-/// Fails with the findings in the settings, or with what kept the instance from starting.
+/// Fails with the findings in the settings, or if the instance does not start.
 pub fn execute(args: &ArgMatches) -> Result<(), CmdError> {
     let settings = read_settings(required(args, "settings"))?;
     let runtime = Builder::new_multi_thread()
-        .worker_threads(WORKERS)
+        .worker_threads(WORKER_THREADS)
         .enable_all()
         .build();
     runtime.context(RuntimeSnafu)?.block_on(serve(settings))
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -1,4 +1,4 @@
-//! `firdock status`: prints which version is in force where.
+//! `firdock status`: prints the version of the configuration that is in force at each instance.
 
 use clap::{ArgMatches, Command};
 use firdock_node::operator::Status;
@@ -7,10 +7,11 @@
 use super::{AnswerSnafu, CmdError};
 use crate::api::Api;
 
-/// Makes the subcommand.
+/// Creates the subcommand.
 #[must_use]
 pub fn make_subcommand() -> Command {
-    Command::new("status").about("Print which version of the configuration is in force where")
+    Command::new("status")
+        .about("Print the version of the configuration that is in force at each instance")
 }
 
 /// Runs the subcommand.
--- a/src/cmd/suspects.rs
+++ b/src/cmd/suspects.rs
@@ -1,4 +1,4 @@
-//! `firdock suspects`: prints requests under which endpoints ended.
+//! `firdock suspects`: prints requests during which endpoints exited.
 
 use clap::{ArgMatches, Command};
 use firdock_node::telemetry::SuspectStates;
@@ -7,14 +7,14 @@
 use super::{AnswerSnafu, CmdError};
 use crate::api::Api;
 
-/// Makes the subcommand.
+/// Creates the subcommand.
 #[must_use]
 pub fn make_subcommand() -> Command {
     Command::new("suspects")
-        .about("Print requests under which endpoints ended, and which of them are not sent any more")
+        .about("Print requests during which endpoints exited, and which of them are no longer sent")
         .long_about(
-            "Prints requests under which endpoints ended, by the hash of what they ask for, with the \
-             ends that count. Those in quarantine are not sent until `firdock release` lets them go. \
+            "Prints requests during which endpoints exited, by the hash of their content, with the \
+             exits that count. Those in quarantine are not sent until `firdock release` releases them. \
              See docs/design/suspects.md.",
         )
 }
--- a/src/cmd/watch.rs
+++ b/src/cmd/watch.rs
@@ -1,4 +1,4 @@
-//! `firdock watch`: prints changes as they come into force.
+//! `firdock watch`: prints changes as they take effect.
 
 use clap::{Arg, ArgMatches, Command, value_parser};
 use firdock_node::operator::WatchResponse;
@@ -6,11 +6,11 @@
 use super::CmdError;
 use crate::api::Api;
 
-/// Makes the subcommand.
+/// Creates the subcommand.
 #[must_use]
 pub fn make_subcommand() -> Command {
     Command::new("watch")
-        .about("Print changes as they come into force at the instance")
+        .about("Print changes as they take effect at the instance")
         .arg(
             Arg::new("after")
                 .long("after")
@@ -32,23 +32,23 @@
 ///
 /// # Errors
 ///
-/// Fails if the instance does not answer, or does not keep the changes asked for any more.
+/// Fails if the instance does not answer, or no longer has the requested changes.
 pub fn execute(args: &ArgMatches) -> Result<(), CmdError> {
     let api = Api::new(args);
     let json = args.get_flag("json");
     let mut after = args.get_one::<u64>("after").copied().unwrap_or(0);
-    let mut left = args
+    let mut remaining = args
         .get_one::<usize>("count")
         .copied()
         .unwrap_or(usize::MAX);
-    while left > 0 {
+    while remaining > 0 {
         let answer = api.get(&format!("/v1/watch?after={after}&wait=25"))?;
         let Ok(watched) = serde_json::from_value::<WatchResponse>(answer) else {
             continue;
         };
         after = watched.version;
-        for change in watched.changes.into_iter().take(left) {
-            left -= 1;
+        for change in watched.changes.into_iter().take(remaining) {
+            remaining -= 1;
             if json {
                 println!("{change}");
                 continue;
--- a/src/exit.rs
+++ b/src/exit.rs
@@ -1,4 +1,4 @@
-//! Exit codes, which scripts can rely on.
+//! Exit codes, on which scripts can rely.
 
 use std::process::ExitCode;
 
@@ -6,22 +6,22 @@
 
 use crate::cmd::CmdError;
 
-/// Something failed that is not told apart below.
+/// Any failure that has no code of its own.
 pub const FAILED: u8 = 1;
-/// The command line was wrong (given by the argument parser).
+/// The command line is invalid (set by the argument parser).
 pub const USAGE: u8 = 2;
 /// Settings or resources have findings; nothing was changed.
 pub const FINDINGS: u8 = 3;
-/// The resource changed meanwhile; nothing was changed.
+/// The resource was changed concurrently; the command changed nothing.
 pub const CONFLICT: u8 = 4;
-/// There is no such resource.
+/// The resource does not exist.
 pub const NOT_FOUND: u8 = 5;
-/// The instance or the platform's log is out of reach, or its word on a change is missing.
+/// The instance or the platform's log cannot be reached, or did not confirm a change.
 pub const UNAVAILABLE: u8 = 6;
 
-/// Prints an error with its causes and gives the exit code that fits it.
+/// Prints an error with its causes; returns the exit code for the result.
 #[must_use]
-pub fn code_of(result: Result<(), CmdError>) -> ExitCode {
+pub fn report(result: Result<(), CmdError>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
 //! The programs `firdock` (for operators) and `firdockd` (the entry instance).
 //!
-//! Both are thin: each subcommand is a file in [`cmd`] over the library crates of the workspace.
+//! Both are thin wrappers of the workspace's library crates, with a file in [`cmd`] for each subcommand.
 
 pub mod api;
 pub mod cmd;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! `firdock`: the operator's program.
+//! `firdock`: the command line tool for operators.
 
 use std::process::ExitCode;
 
@@ -6,5 +6,5 @@
 
 fn main() -> ExitCode {
     let matches = cmd::operator_command().get_matches();
-    exit::code_of(cmd::run_operator(&matches))
+    exit::report(cmd::run_operator(&matches))
 }
--- a/src/starts.rs
+++ b/src/starts.rs
@@ -1,11 +1,11 @@
-//! How long instances took from their start to each step towards serving, from their log lines.
+//! Times from the starts of instances to each step of their startup, from their log lines.
 
 use std::collections::BTreeMap;
 use std::fmt::{self, Display, Formatter};
 
 use crate::timeline::Line;
 
-/// Steps of a start in their usual order: the line that tells of each first, and what it is called.
+/// Steps of the startup in their usual order: the message that first reports each, and its name.
 const STEPS: [(&str, &str); 4] = [
     ("manifest taken", "configuration known"),
     ("instances known", "other instances known"),
@@ -16,31 +16,31 @@
 /// Times from the starts of instances to each step.
 #[derive(Debug, Default)]
 pub struct Starts {
-    /// When each instance last started, and the steps that it has not taken since.
-    running: BTreeMap<String, (f64, Vec<&'static str>)>,
+    /// Time of the last start of each instance, and the steps that it has not completed since.
+    current: BTreeMap<String, (f64, Vec<&'static str>)>,
     seconds: BTreeMap<&'static str, Vec<f64>>,
     count: u64,
 }
 
 impl Starts {
-    /// Takes a line over; those of one instance have to come in order.
-    pub fn take(&mut self, line: &Line) {
+    /// Adds a line; the lines of an instance have to be added in order.
+    pub fn add_line(&mut self, line: &Line) {
         let instance = line.text("instance");
         let msg = line.text("msg");
         if msg == "started" {
             let steps = STEPS.iter().map(|(line, _)| *line).collect();
             let start = (line.second(), steps);
-            self.running.insert(instance.to_owned(), start);
+            self.current.insert(instance.to_owned(), start);
             self.count += 1;
             return;
         }
-        let Some((started, open)) = self.running.get_mut(instance) else {
+        let Some((started, remaining)) = self.current.get_mut(instance) else {
             return;
         };
-        let Some(at) = open.iter().position(|step| *step == msg) else {
+        let Some(at) = remaining.iter().position(|step| *step == msg) else {
             return;
         };
-        let step = open.remove(at);
+        let step = remaining.remove(at);
         let took = line.second() - *started;
         self.seconds.entry(step).or_default().push(took);
     }
@@ -58,14 +58,14 @@
             };
             let mut sorted = seconds.clone();
             sorted.sort_by(f64::total_cmp);
-            let part = |tenths: usize| sorted[(sorted.len() * tenths).div_ceil(10) - 1];
+            let quantile = |tenths: usize| sorted[(sorted.len() * tenths).div_ceil(10) - 1];
             writeln!(
                 f,
                 "  {name:<24} {:>7}  half after {:.2} s, nine in ten after {:.2} s, last after {:.2} s",
                 sorted.len(),
-                part(5),
-                part(9),
-                part(10)
+                quantile(5),
+                quantile(9),
+                quantile(10)
             )?;
         }
         Ok(())
--- a/src/summary.rs
+++ b/src/summary.rs
@@ -1,5 +1,5 @@
-//! What became of requests, counted from the log lines of all instances: for the question why many
-//! were late or refused, where [`crate::timeline`] answers for one.
+//! Counts of the outcomes of requests, from the log lines of all instances. They help to find out why many
+//! requests were late or refused; [`crate::timeline`] does so for a single request.
 
 use std::collections::BTreeMap;
 use std::fmt::{self, Display, Formatter};
@@ -7,92 +7,101 @@
 use crate::starts::Starts;
 use crate::timeline::Line;
 
-/// Seconds of a log that are counted together.
+/// Length of a period of the log that is counted together, in seconds.
 const PERIOD_SECS: f64 = 10.0;
-/// What counts of requests stand under where a line does not name a service or account.
-const UNNAMED: &str = "(none)";
+/// Name under which requests are counted whose line has no service or account.
+const NO_NAME: &str = "(none)";
 
-/// How often each thing became of requests.
+/// Number of requests by outcome, or of other events by kind.
 type Counts = BTreeMap<String, u64>;
 
-/// Counts of what became of requests by service, by account and over time, of calls to the platform's
-/// store, of lines left out, and how long instances took to serve.
+/// Counts of the outcomes of requests by service, account and period, of calls to the platform's store and
+/// of suppressed log lines, and the startup times of instances.
 #[derive(Debug, Default)]
 pub struct Summary {
     services: BTreeMap<String, Counts>,
     accounts: BTreeMap<String, Counts>,
-    /// How many times its share each account had at most.
+    /// Highest ratio of each account's usage to its share.
     shares: BTreeMap<String, f64>,
     periods: BTreeMap<u64, Counts>,
-    left_out: Counts,
+    suppressed: Counts,
     store_calls: Counts,
     starts: Starts,
 }
 
 impl Summary {
-    /// Counts lines.
+    /// Creates a summary of lines.
     #[must_use]
     pub fn new<'a>(lines: impl IntoIterator<Item = &'a Line>) -> Self {
         let mut summary = Self::default();
         for line in lines {
-            summary.take(line);
+            summary.add_line(line);
         }
         summary
     }
 
-    /// Tells whether no line told what became of a request.
+    /// Returns whether no line reports the outcome of a request.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.services.is_empty()
     }
 
-    fn take(&mut self, line: &Line) {
+    fn add_line(&mut self, line: &Line) {
         if line.text("msg") == "lines left out" {
             let count = line.number("count").unwrap_or_default() as u64;
             *self
-                .left_out
+                .suppressed
                 .entry(line.text("kind").to_owned())
                 .or_default() += count;
             return;
         }
         if line.text("msg") == "account over its share" {
-            self.take_share(line);
+            self.record_share(line);
             return;
         }
-        self.starts.take(line);
+        self.starts.add_line(line);
         if line.text("msg") == "store called" {
             *self.store_calls.entry(store_call(line)).or_default() += 1;
             return;
         }
-        let Some(end) = end_of(line) else {
+        let Some(outcome) = request_outcome(line) else {
             return;
         };
         let period = (line.second() / PERIOD_SECS) as u64;
-        let service = self.services.entry(named(line, "service")).or_default();
-        let account = self.accounts.entry(named(line, "account")).or_default();
+        let service = self
+            .services
+            .entry(name_or_placeholder(line, "service"))
+            .or_default();
+        let account = self
+            .accounts
+            .entry(name_or_placeholder(line, "account"))
+            .or_default();
         let period = self.periods.entry(period).or_default();
         for counts in [service, account, period] {
-            *counts.entry(end.clone()).or_default() += 1;
+            *counts.entry(outcome.clone()).or_default() += 1;
         }
     }
 
-    /// Notes how many times its share an account had.
-    fn take_share(&mut self, line: &Line) {
+    /// Records the ratio of an account's usage to its share.
+    fn record_share(&mut self, line: &Line) {
         let secs = |field| line.number(field).unwrap_or_default();
         let times = secs("done_secs") / secs("share_secs").max(f64::MIN_POSITIVE);
-        let most = self.shares.entry(named(line, "account")).or_default();
-        *most = most.max(times);
+        let peak = self
+            .shares
+            .entry(name_or_placeholder(line, "account"))
+            .or_default();
+        *peak = peak.max(times);
     }
 }
 
-fn named(line: &Line, field: &str) -> String {
+fn name_or_placeholder(line: &Line, field: &str) -> String {
     match line.text(field) {
-        "" => UNNAMED.to_owned(),
+        "" => NO_NAME.to_owned(),
         name => name.to_owned(),
     }
 }
 
-/// Gives what a call to the platform's store was for.
+/// Returns the topic, operation, reason and outcome of a call to the platform's store.
 fn store_call(line: &Line) -> String {
     let words = ["topic", "call", "reason"].map(|field| line.text(field));
     let failed = line.flag("failed");
@@ -100,8 +109,8 @@
     format!("{}{outcome}", words.join(" "))
 }
 
-/// Gives what became of the request that a line is about, if it tells of an end.
-fn end_of(line: &Line) -> Option<String> {
+/// Returns the outcome of the request that a line is about, if the line reports one.
+fn request_outcome(line: &Line) -> Option<String> {
     let reason = line.text("reason");
     Some(match line.text("msg") {
         "answered" => timeliness(line).to_owned(),
@@ -113,7 +122,8 @@
     })
 }
 
-/// Tells whether an answer began in time; where not, on which side it waited longer.
+/// Returns whether an answer began in time, and if not, whether it waited longer in firdock or at the
+/// endpoint.
 fn timeliness(line: &Line) -> &'static str {
     let millis = |name| line.number(name).unwrap_or_default();
     let (first, held) = (millis("first_millis"), millis("held_millis"));
@@ -157,14 +167,14 @@
             write_group(f, "calls to the store", rows)?;
         }
         write!(f, "{}", self.starts)?;
-        for (kind, count) in &self.left_out {
+        for (kind, count) in &self.suppressed {
             writeln!(f, "left out of the logs: {count} lines of kind {kind}")?;
         }
         Ok(())
     }
 }
 
-/// Writes the rows of a group, the most frequent ends of each first.
+/// Writes the rows of a group, with the most frequent outcomes of each row first.
 fn write_group<'a>(
     f: &mut Formatter<'_>,
     title: &str,
@@ -173,10 +183,13 @@
     writeln!(f, "{title}")?;
     for (name, counts) in rows {
         let total: u64 = counts.values().sum();
-        let mut ends: Vec<(&String, &u64)> = counts.iter().collect();
-        ends.sort_by(|a, b| b.1.cmp(a.1));
-        let ends: Vec<String> = ends.iter().map(|(end, n)| format!("{end} {n}")).collect();
-        writeln!(f, "  {name:<24} {total:>7}  {}", ends.join(", "))?;
+        let mut outcomes: Vec<(&String, &u64)> = counts.iter().collect();
+        outcomes.sort_by(|a, b| b.1.cmp(a.1));
+        let outcomes: Vec<String> = outcomes
+            .iter()
+            .map(|(outcome, n)| format!("{outcome} {n}"))
+            .collect();
+        writeln!(f, "  {name:<24} {total:>7}  {}", outcomes.join(", "))?;
     }
     Ok(())
 }
