--- a/src/api.rs
+++ b/src/api.rs
@@ -11,7 +11,7 @@
 
 use crate::cmd::CmdError;
 
-/// Time limit for a call; a watch takes up to 55 seconds.
+/// Time limit for a call; a watch may wait up to 55 seconds.
 const CALL_TIMEOUT: Duration = Duration::from_secs(70);
 
 /// Client of one instance's resource API.
--- a/src/cmd/apply.rs
+++ b/src/cmd/apply.rs
@@ -46,8 +46,8 @@
         return Ok(());
     }
     for row in serde_json::from_value::<Vec<AppliedResource>>(answer).unwrap_or_default() {
-        let word = if row.changed { "changed" } else { "unchanged" };
-        println!("{:<40} {word:<9} version {}", row.resource, row.version);
+        let outcome = if row.changed { "changed" } else { "unchanged" };
+        println!("{:<40} {outcome:<9} version {}", row.resource, row.version);
     }
     Ok(())
 }
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -27,12 +27,12 @@
     }
     let url = "/v1/status";
     let status = serde_json::from_value::<Status>(answer).context(AnswerSnafu { url })?;
-    let word = if status.converged {
+    let convergence = if status.converged {
         "in force everywhere"
     } else {
         "not in force everywhere yet"
     };
-    println!("version {}, {word}", status.version);
+    println!("version {}, {convergence}", status.version);
     match status.log_lag_millis {
         Some(lag) => println!(
             "log read to its end {lag} ms ago, next offset {}",
@@ -54,9 +54,9 @@
         } else {
             ", not a member"
         };
-        let heard = format!("{} ms", s.heard_millis);
+        let last_seen = format!("{} ms", s.heard_millis);
         println!(
-            "{name:<24} {:<16} {:>8} {heard:>10}  {state}{member}",
+            "{name:<24} {:<16} {:>8} {last_seen:>10}  {state}{member}",
             s.zone, s.version
         );
     }
--- a/src/cmd/suspects.rs
+++ b/src/cmd/suspects.rs
@@ -39,8 +39,8 @@
             "suspected"
         };
         println!("{content} {state}, {} {} {}", s.account, s.service, s.path);
-        for end in &s.ends {
-            println!("  {} ended {} ms ago", end.endpoint, end.age_millis);
+        for exit in &s.ends {
+            println!("  {} ended {} ms ago", exit.endpoint, exit.age_millis);
         }
     }
     Ok(())
--- a/src/cmd/watch.rs
+++ b/src/cmd/watch.rs
@@ -54,14 +54,14 @@
                 continue;
             }
             let (kind, name) = (&change["key"]["kind"], &change["key"]["name"]);
-            let word = if change["resource"].is_null() {
+            let action = if change["resource"].is_null() {
                 "deleted"
             } else {
                 "set"
             };
             let kind = kind.as_str().unwrap_or_default();
             let name = name.as_str().unwrap_or_default();
-            println!("version {:<8} {word:<8} {kind}/{name}", change["version"]);
+            println!("version {:<8} {action:<8} {kind}/{name}", change["version"]);
         }
     }
     Ok(())
--- a/src/summary.rs
+++ b/src/summary.rs
@@ -85,12 +85,12 @@
     /// Records the ratio of an account's usage to its share.
     fn record_share(&mut self, line: &Line) {
         let secs = |field| line.number(field).unwrap_or_default();
-        let times = secs("done_secs") / secs("share_secs").max(f64::MIN_POSITIVE);
+        let ratio = secs("done_secs") / secs("share_secs").max(f64::MIN_POSITIVE);
         let peak = self
             .shares
             .entry(name_or_placeholder(line, "account"))
             .or_default();
-        *peak = peak.max(times);
+        *peak = peak.max(ratio);
     }
 }
 
@@ -152,13 +152,13 @@
         if !self.shares.is_empty() {
             writeln!(f, "over their shares")?;
         }
-        for (account, times) in &self.shares {
+        for (account, ratio) in &self.shares {
             let counts = self.accounts.get(account);
             let refused = |reason| counts.and_then(|c| c.get(reason)).unwrap_or(&0);
             let (over, within) = (refused("not-run over-share"), refused("not-run overload"));
             writeln!(
                 f,
-                "  {account:<24} {times:>7.2}  times its share at most; refused over it {over}, within it {within}"
+                "  {account:<24} {ratio:>7.2}  times its share at most; refused over it {over}, within it {within}"
             )?;
         }
         write_group(f, "from", periods)?;
