--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -1,4 +1,4 @@
-//! `firdock status`: prints which version is in force where.
+//! `firdock status`: prints the version of the configuration that is in force at each instance.
 
 use clap::{ArgMatches, Command};
 use firdock_node::operator::Status;
@@ -7,10 +7,11 @@
 use super::{AnswerSnafu, CmdError};
 use crate::api::Api;
 
-/// Makes the subcommand.
+/// Creates the subcommand.
 #[must_use]
 pub fn make_subcommand() -> Command {
-    Command::new("status").about("Print which version of the configuration is in force where")
+    Command::new("status")
+        .about("Print the version of the configuration that is in force at each instance")
 }
 
 /// Runs the subcommand.
@@ -26,12 +27,12 @@
     }
     let url = "/v1/status";
     let status = serde_json::from_value::<Status>(answer).context(AnswerSnafu { url })?;
-    let word = if status.converged {
+    let convergence = if status.converged {
         "in force everywhere"
     } else {
         "not in force everywhere yet"
     };
-    println!("version {}, {word}", status.version);
+    println!("version {}, {convergence}", status.version);
     match status.log_lag_millis {
         Some(lag) => println!(
             "log read to its end {lag} ms ago, next offset {}",
@@ -53,9 +54,9 @@
         } else {
             ", not a member"
         };
-        let heard = format!("{} ms", s.heard_millis);
+        let last_seen = format!("{} ms", s.heard_millis);
         println!(
-            "{name:<24} {:<16} {:>8} {heard:>10}  {state}{member}",
+            "{name:<24} {:<16} {:>8} {last_seen:>10}  {state}{member}",
             s.zone, s.version
         );
     }
