--- a/tests/testsuite/command_line.rs
+++ b/tests/testsuite/command_line.rs
@@ -75,7 +75,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn apply_get_watch_delete_and_status_work_together() {
     let site = Site::start(Spec::new(50)).await;
-    let server = site.nodes[0].operators.to_string();
+    let server = site.instances[0].operators.to_string();
     let run = move |args: &[&str]| {
         let mut all = vec!["--server", server.as_str()];
         all.extend(args);
--- a/tests/testsuite/configuration.rs
+++ b/tests/testsuite/configuration.rs
@@ -8,27 +8,35 @@
 
 use crate::helper::{SHOP, Site, Spec, http};
 
-/// Writes a tier with a wait that tells it apart.
-async fn write_tier(site: &Site, node: usize, wait: u64, base: Option<u64>) -> (u16, u64) {
+/// Writes a tier whose `wait_millis` identifies the write; returns the status and the version.
+async fn write_tier(site: &Site, instance: usize, wait: u64, base: Option<u64>) -> (u16, u64) {
     let body = json!({"name": "draft", "rank": 2, "wait_millis": wait}).to_string();
     let base = base.map(|b| format!("?base={b}")).unwrap_or_default();
     let path = format!("/v1/resources/tier/draft{base}");
-    let (status, answer) = http(Method::PUT, site.nodes[node].operators, &path, &body).await;
+    let (status, answer) = http(
+        Method::PUT,
+        site.instances[instance].operators,
+        &path,
+        &body,
+    )
+    .await;
     let version = answer["version"]
         .as_u64()
         .or_else(|| answer["present"].as_u64());
     (status, version.unwrap_or(0))
 }
 
-async fn wait_of(site: &Site, node: usize) -> u64 {
-    let (_, entry) = site.nodes[node].get("/v1/resources/tier/draft").await;
+async fn wait_of(site: &Site, instance: usize) -> u64 {
+    let (_, entry) = site.instances[instance]
+        .get("/v1/resources/tier/draft")
+        .await;
     entry["resource"]["wait_millis"].as_u64().unwrap_or(0)
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_write_whose_reply_is_lost_is_accepted_once() {
     let site = Site::start(Spec {
-        nodes: 2,
+        instances: 2,
         ..Spec::new(30)
     })
     .await;
@@ -53,12 +61,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn of_two_racing_operators_one_wins_everywhere() {
     let site = Site::start(Spec {
-        nodes: 2,
+        instances: 2,
         ..Spec::new(31)
     })
     .await;
     for round in 0..8 {
-        let (_, entry) = site.nodes[0].get("/v1/resources/tier/draft").await;
+        let (_, entry) = site.instances[0].get("/v1/resources/tier/draft").await;
         let base = entry["version"].as_u64();
         let (a, b) = tokio::join!(
             write_tier(&site, 0, 10_000 + round, base),
@@ -84,7 +92,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn without_the_log_writes_are_refused_and_serving_goes_on() {
     let site = Site::start(Spec {
-        nodes: 2,
+        instances: 2,
         ..Spec::new(32)
     })
     .await;
@@ -92,9 +100,9 @@
     site.list.faults.change(|f| f.outage = true);
     let (status, _) = write_tier(&site, 0, 9_000, None).await;
     assert_eq!(status, 503);
-    for node in 0..2 {
+    for instance in 0..2 {
         let got = site
-            .call(node, &Call::model(SHOP, "draft", "in an outage", 5))
+            .call(instance, &Call::model(SHOP, "draft", "in an outage", 5))
             .await;
         assert!(got.answered(), "{got:?}");
     }
@@ -116,14 +124,14 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_instance_that_starts_in_an_outage_takes_a_peers_state() {
     let mut site = Site::start(Spec {
-        nodes: 2,
+        instances: 2,
         ..Spec::new(33)
     })
     .await;
     site.log.faults.change(|f| f.outage = true);
-    site.add_node(2);
+    site.add_instance(2);
     site.wait("state taken", async |s| {
-        s.nodes[2].get("/readyz").await.0 == 200
+        s.instances[2].get("/readyz").await.0 == 200
     })
     .await;
     let got = site
@@ -136,12 +144,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_paused_instance_catches_up_past_retention() {
     let spec = Spec {
-        nodes: 3,
+        instances: 3,
         retention: Duration::from_secs(4),
         ..Spec::new(34)
     };
     let site = Site::start(spec).await;
-    site.nodes[2].signal("STOP");
+    site.instances[2].signal("STOP");
     for i in 0..12 {
         let (status, _) = write_tier(&site, i % 2, 30_000 + i as u64, None).await;
         assert_eq!(status, 200);
@@ -162,11 +170,11 @@
             .is_some_and(|r| r.offset > newest.saturating_sub(12))
     })
     .await;
-    site.nodes[2].signal("CONT");
+    site.instances[2].signal("CONT");
     site.wait("caught up", async |s| wait_of(s, 2).await == 30_011)
         .await;
     site.wait("converged", async |s| {
-        s.nodes[0].get("/v1/status").await.1["converged"] == true
+        s.instances[0].get("/v1/status").await.1["converged"] == true
     })
     .await;
 }
@@ -174,7 +182,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn all_instances_replaced_one_by_one_keep_the_configuration() {
     let mut site = Site::start(Spec {
-        nodes: 3,
+        instances: 3,
         ..Spec::new(35)
     })
     .await;
@@ -185,7 +193,7 @@
     }
     for i in 0..3 {
         assert_eq!(wait_of(&site, i).await, 12_345);
-        let (_, entry) = site.nodes[i].get("/v1/resources/tier/draft").await;
+        let (_, entry) = site.instances[i].get("/v1/resources/tier/draft").await;
         assert_eq!(entry["version"].as_u64(), Some(version));
     }
 }
@@ -193,7 +201,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_bad_file_changes_nothing_and_shows_every_finding() {
     let site = Site::start(Spec::new(36)).await;
-    let version = site.nodes[0].get("/v1/status").await.1["version"].clone();
+    let version = site.instances[0].get("/v1/status").await.1["version"].clone();
     let text = "[[tier]]\nname = \"new\"\nrank = 99\n\n[[service]]\nname = \"x y\"\n\
                 matches = \"m\"\ntier = \"nowhere\"\n\n[[endpoint]]\nname = \"e\"\nslot = 3\n";
     let (status, answer) = site.apply(text).await;
@@ -207,29 +215,34 @@
     assert!(paths.contains(&"tier[0].rank"), "{paths:?}");
     assert!(paths.contains(&"service[0].name"), "{paths:?}");
     assert!(paths.contains(&"endpoint[0].slot"), "{paths:?}");
-    assert_eq!(site.nodes[0].get("/v1/status").await.1["version"], version);
+    assert_eq!(
+        site.instances[0].get("/v1/status").await.1["version"],
+        version
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_watch_shows_changes_in_order_and_no_others() {
     let site = Site::start(Spec::new(37)).await;
-    let version = site.nodes[0].get("/v1/status").await.1["version"]
+    let version = site.instances[0].get("/v1/status").await.1["version"]
         .as_u64()
         .expect("a version");
     let path = format!("/v1/watch?after={version}&wait=10");
-    let (watched, written) =
-        tokio::join!(site.nodes[0].get(&path), write_tier(&site, 0, 4_444, None));
+    let (watched, written) = tokio::join!(
+        site.instances[0].get(&path),
+        write_tier(&site, 0, 4_444, None)
+    );
     assert_eq!(written.0, 200);
     assert_eq!(watched.1["version"].as_u64(), Some(written.1));
     assert_eq!(watched.1["changes"][0]["resource"]["wait_millis"], 4_444);
     let path = format!("/v1/watch?after={}&wait=0", written.1);
-    assert_eq!(site.nodes[0].get(&path).await.1["changes"], json!([]));
+    assert_eq!(site.instances[0].get(&path).await.1["changes"], json!([]));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_slow_log_slows_writes_and_nothing_else() {
     let site = Site::start(Spec {
-        nodes: 2,
+        instances: 2,
         ..Spec::new(38)
     })
     .await;
@@ -245,10 +258,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn many_watchers_leave_room_for_health_checks() {
     let site = Site::start(Spec::new(39)).await;
-    let version = site.nodes[0].get("/v1/status").await.1["version"]
+    let version = site.instances[0].get("/v1/status").await.1["version"]
         .as_u64()
         .expect("a version");
-    let at = site.nodes[0].operators;
+    let at = site.instances[0].operators;
     let path = format!("/v1/watch?after={version}&wait=14");
     let watchers: Vec<_> = (0..80)
         .map(|_| {
@@ -256,12 +269,12 @@
             tokio::spawn(async move { http(Method::GET, at, &path, "").await.0 })
         })
         .collect();
-    // All have arrived once those beyond the bound were refused.
+    // All watchers have arrived once those beyond the limit were refused.
     site.wait("refused", async |_: &Site| {
         watchers.iter().filter(|w| w.is_finished()).count() == 48
     })
     .await;
-    assert_eq!(site.nodes[0].get("/healthz").await.0, 200);
+    assert_eq!(site.instances[0].get("/healthz").await.0, 200);
     assert_eq!(write_tier(&site, 0, 3_333, None).await.0, 200);
     let mut statuses = Vec::new();
     for watcher in watchers {
--- a/tests/testsuite/dispatch_once.rs
+++ b/tests/testsuite/dispatch_once.rs
@@ -1,4 +1,4 @@
-//! At most one dispatch to an endpoint, and orders that run at most once.
+//! Each request is dispatched to an endpoint at most once, and orders run at most once.
 
 use std::time::Duration;
 
@@ -17,7 +17,8 @@
     order(&key).with_key(&key)
 }
 
-/// Waits until keys minted from now on are past the grace of the last change of members.
+/// Waits until keys that are generated from now on are newer than the grace period after the last change
+/// of members.
 pub async fn pass_grace() {
     tokio::time::sleep(Duration::from_millis(1_200)).await;
 }
@@ -113,7 +114,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_key_sent_to_every_instance_at_once_runs_once() {
     let site = Site::start(Spec {
-        nodes: 3,
+        instances: 3,
         services: 2,
         ..spec(14)
     })
@@ -121,7 +122,7 @@
     pass_grace().await;
     for _ in 0..6 {
         let call = timed_order();
-        let addresses: Vec<_> = site.nodes.iter().map(|n| n.callers).collect();
+        let addresses: Vec<_> = site.instances.iter().map(|n| n.callers).collect();
         let calls = addresses
             .iter()
             .chain(&addresses)
@@ -145,7 +146,7 @@
     let settings = "[keys]\ngrace_seconds = 1\n[endpoints]\nsilence_millis = 1000\n".to_owned();
     let work = Duration::from_millis(150);
     let spec = Spec {
-        nodes: 3,
+        instances: 3,
         services: 2,
         settings,
         work,
@@ -154,7 +155,7 @@
     let mut site = Site::start(spec).await;
     pass_grace().await;
     let calls: Vec<Call> = (0..24).map(|_| timed_order()).collect();
-    let addresses: Vec<_> = site.nodes.iter().map(|n| n.callers).collect();
+    let addresses: Vec<_> = site.instances.iter().map(|n| n.callers).collect();
     let sending = calls
         .iter()
         .zip(addresses.iter().cycle())
@@ -162,7 +163,7 @@
     let sending = futures(sending);
     let killing = async {
         tokio::time::sleep(Duration::from_millis(60)).await;
-        site.nodes[0].kill();
+        site.instances[0].kill();
         site.list.remove("node-0");
     };
     let (first, ()) = tokio::join!(sending, killing);
@@ -202,16 +203,16 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_paused_owner_that_wakes_after_a_takeover_runs_nothing_twice() {
     let spec = Spec {
-        nodes: 3,
+        instances: 3,
         services: 2,
         ..spec(16)
     };
     let site = Site::start(spec).await;
     pass_grace().await;
-    site.nodes[0].signal("STOP");
+    site.instances[0].signal("STOP");
     let calls: Vec<Call> = (0..12).map(|_| timed_order()).collect();
-    let addresses: Vec<_> = site.nodes.iter().map(|n| n.callers).collect();
-    // A third of them wait in the paused instance and are sent again to the others.
+    let addresses: Vec<_> = site.instances.iter().map(|n| n.callers).collect();
+    // All calls wait in the paused instance and are sent to the others as well.
     let paused = calls.iter().map(|c| client::call(addresses[0], c));
     let paused = futures(paused);
     let others = async {
@@ -221,7 +222,7 @@
             futures(sending.map(|(c, address)| client::call(*address, c))).await;
             tokio::time::sleep(Duration::from_millis(300)).await;
         }
-        site.nodes[0].signal("CONT");
+        site.instances[0].signal("CONT");
     };
     let (late, ()) = tokio::join!(paused, others);
     let mut runs = std::collections::BTreeMap::<String, u32>::new();
@@ -242,10 +243,10 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn keys_go_on_through_planned_restarts() {
-    // The grace is long, so only the word of earlier owners can let new keys run at once.
+    // The grace period is long, so that only reports of earlier owners let new keys run at once.
     let settings = "[keys]\ngrace_seconds = 60\n".to_owned();
     let spec = Spec {
-        nodes: 3,
+        instances: 3,
         services: 2,
         settings,
         ..Spec::new(17)
@@ -334,7 +335,7 @@
     assert!(again.await.is_err(), "the order was sent again");
 }
 
-/// Waits for all of some calls at once.
+/// Runs calls concurrently and returns their results.
 async fn futures<F>(calls: impl Iterator<Item = F>) -> Vec<Got>
 where
     F: Future<Output = Got>,
--- a/tests/testsuite/explain.rs
+++ b/tests/testsuite/explain.rs
@@ -127,7 +127,7 @@
     assert!(Summary::new(&[]).is_empty());
 }
 
-/// Whoever is refused is to see whether it was for his own account's load or for that of all.
+/// The summary must show whether requests were refused for their own account's load or for the total load.
 #[test]
 fn a_summary_tells_who_was_refused_against_his_share() {
     let over = |done: f64| {
--- a/tests/testsuite/helper.rs
+++ b/tests/testsuite/helper.rs
@@ -1,6 +1,6 @@
-//! A site on loopback: stand-ins in this process, entry instances as processes of their own.
+//! A site on loopback: stand-ins in this process, instances as separate processes.
 //!
-//! Each test has loopback addresses of its own, so that tests never meet.
+//! Each test has its own loopback addresses, so that tests don't interfere with each other.
 
 use std::fmt::Write as _;
 use std::fs::File;
@@ -19,18 +19,18 @@
 use hyper::Method;
 use serde_json::Value;
 
-/// Longest wait for anything that must come about.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Time limit for any condition that a test waits for.
+pub const WAIT_LIMIT: Duration = Duration::from_secs(20);
 /// Bearer key of the account `shop`.
 pub const SHOP: &str = "shop-key";
 /// Bearer key of the account `hall`.
 pub const HALL: &str = "hall-key";
 
-/// What a site consists of.
+/// Configuration of a site.
 #[derive(Debug, Clone)]
 pub struct Spec {
     pub net: u8,
-    pub nodes: u8,
+    pub instances: u8,
     pub engines: u8,
     pub services: u8,
     pub engine: EngineSpec,
@@ -46,7 +46,7 @@
     pub fn new(net: u8) -> Self {
         Self {
             net,
-            nodes: 1,
+            instances: 1,
             engines: 1,
             services: 1,
             engine: EngineSpec {
@@ -72,11 +72,11 @@
     pub list: StandinInstances,
     pub engines: Vec<StandinEngine>,
     pub services: Vec<StandinService>,
-    pub nodes: Vec<Node>,
+    pub instances: Vec<InstanceProcess>,
 }
 
-/// An entry instance in a process of its own.
-pub struct Node {
+/// An instance in a separate process.
+pub struct InstanceProcess {
     pub name: String,
     pub callers: SocketAddr,
     pub operators: SocketAddr,
@@ -85,7 +85,7 @@
     child: Child,
 }
 
-impl Node {
+impl InstanceProcess {
     pub fn signal(&self, name: &str) {
         let status = Command::new("kill")
             .args([format!("-{name}"), self.child.id().to_string()])
@@ -99,9 +99,9 @@
         let _ = self.child.wait();
     }
 
-    /// Waits until the process ended by itself.
+    /// Waits until the process exits by itself.
     pub async fn ended(&mut self) -> ExitStatus {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + WAIT_LIMIT;
         loop {
             if let Some(status) = self.child.try_wait().expect("a child can be waited for") {
                 return status;
@@ -133,7 +133,7 @@
     }
 }
 
-impl Drop for Node {
+impl Drop for InstanceProcess {
     fn drop(&mut self) {
         self.kill();
     }
@@ -153,7 +153,7 @@
             list: list.expect("list starts"),
             engines: Vec::new(),
             services: Vec::new(),
-            nodes: Vec::new(),
+            instances: Vec::new(),
             spec,
         };
         for i in 0..site.spec.engines {
@@ -164,8 +164,8 @@
             let service = StandinService::start(address(net, 60 + i, 7000), site.spec.work);
             site.services.push(service.expect("service starts"));
         }
-        for i in 0..site.spec.nodes {
-            site.add_node(i);
+        for i in 0..site.spec.instances {
+            site.add_instance(i);
         }
         site.wait_ready().await;
         let (status, answer) = site.apply(&site.resources()).await;
@@ -174,49 +174,49 @@
         site
     }
 
-    /// Starts the instance `i`, or starts it again.
-    pub fn add_node(&mut self, i: u8) {
-        let node = start_node(&self.spec, i);
+    /// Starts the instance `i`, or restarts it.
+    pub fn add_instance(&mut self, i: u8) {
+        let instance = start_instance(&self.spec, i);
         self.list.set(ListedRow {
-            name: node.name.clone(),
+            name: instance.name.clone(),
             zone: "zone-a".to_owned(),
-            peers: Some(node.peers),
+            peers: Some(instance.peers),
             leaving: false,
         });
-        match self.nodes.iter_mut().find(|n| n.name == node.name) {
-            Some(slot) => *slot = node,
-            None => self.nodes.push(node),
+        match self.instances.iter_mut().find(|n| n.name == instance.name) {
+            Some(slot) => *slot = instance,
+            None => self.instances.push(instance),
         }
     }
 
-    /// Stops an instance in order, starts it again and waits until all know it.
+    /// Restarts an instance with a planned stop and waits until all instances know it.
     pub async fn restart(&mut self, i: u8) {
-        let node = &mut self.nodes[usize::from(i)];
-        node.signal("TERM");
-        assert!(node.ended().await.success());
-        self.add_node(i);
+        let instance = &mut self.instances[usize::from(i)];
+        instance.signal("TERM");
+        assert!(instance.ended().await.success());
+        self.add_instance(i);
         self.wait_ready().await;
         self.wait_converged().await;
     }
 
     pub async fn wait_ready(&self) {
-        for node in &self.nodes {
-            let end = Instant::now() + PATIENCE;
+        for instance in &self.instances {
+            let end = Instant::now() + WAIT_LIMIT;
             loop {
-                let ready = connect(node.operators, Duration::from_millis(100))
+                let ready = connect(instance.operators, Duration::from_millis(100))
                     .await
                     .is_ok();
                 if ready && self.log.faults.get().outage {
                     break;
                 }
-                if ready && node.get("/v1/status").await.1["log_lag_millis"].is_u64() {
+                if ready && instance.get("/v1/status").await.1["log_lag_millis"].is_u64() {
                     break;
                 }
                 assert!(
                     Instant::now() < end,
                     "{} is not ready: {}",
-                    node.name,
-                    node.logged()
+                    instance.name,
+                    instance.logged()
                 );
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
@@ -224,10 +224,10 @@
     }
 
     pub async fn wait_converged(&self) {
-        let all = self.nodes.len();
+        let all = self.instances.len();
         self.wait("converged", async |site: &Self| {
-            for node in &site.nodes {
-                let status = node.get("/v1/status").await.1;
+            for instance in &site.instances {
+                let status = instance.get("/v1/status").await.1;
                 let seen = status["instances"]
                     .as_object()
                     .map_or(0, serde_json::Map::len);
@@ -242,7 +242,7 @@
     }
 
     pub async fn wait(&self, what: &str, ready: impl AsyncFn(&Self) -> bool) {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + WAIT_LIMIT;
         while !ready(self).await {
             assert!(Instant::now() < end, "waited in vain: {what}");
             tokio::time::sleep(Duration::from_millis(50)).await;
@@ -250,14 +250,15 @@
     }
 
     pub async fn apply(&self, text: &str) -> (u16, Value) {
-        http(Method::POST, self.nodes[0].operators, "/v1/apply", text).await
+        http(Method::POST, self.instances[0].operators, "/v1/apply", text).await
     }
 
-    pub async fn call(&self, node: usize, call: &Call) -> Got {
-        client::call(self.nodes[node].callers, call).await
+    pub async fn call(&self, instance: usize, call: &Call) -> Got {
+        client::call(self.instances[instance].callers, call).await
     }
 
-    /// Tiers `instant` (0), `guide` (1) and `draft` (2); services for each.
+    /// Returns the site's resources: the tiers `instant` (0), `guide` (1) and `draft` (2), with services for
+    /// each, and accounts and endpoints.
     pub fn resources(&self) -> String {
         let (shop, hall) = (to_hex(&hash_bearer(SHOP)), to_hex(&hash_bearer(HALL)));
         let wait = self.spec.max_wait_millis;
@@ -310,7 +311,7 @@
     SocketAddr::from(([127, 77, net, host], port))
 }
 
-fn start_node(spec: &Spec, i: u8) -> Node {
+fn start_instance(spec: &Spec, i: u8) -> InstanceProcess {
     let name = format!("node-{i}");
     let host = 100 + i;
     let at = |port| address(spec.net, host, port);
@@ -339,7 +340,7 @@
         .stderr(Stdio::from(stderr))
         .spawn()
         .expect("firdockd starts");
-    Node {
+    InstanceProcess {
         name,
         callers,
         operators,
--- a/tests/testsuite/limits.rs
+++ b/tests/testsuite/limits.rs
@@ -1,4 +1,4 @@
-//! Limits: tiers in order, bodies in bounds, strangers kept out, leaving endpoints left alone.
+//! Limits: shedding by tier, size and time limits, unauthenticated peers, leaving and refusing endpoints.
 
 use std::time::Duration;
 
@@ -12,14 +12,14 @@
 
 use crate::helper::{HALL, SHOP, Site, Spec};
 
-fn held(max: usize) -> String {
+fn max_held_settings(max: usize) -> String {
     format!("[limits]\nmax_held = {max}\n")
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_burst_of_all_tiers_sheds_the_lowest_first() {
     let site = Site::start(Spec {
-        settings: held(12),
+        settings: max_held_settings(12),
         ..Spec::new(40)
     })
     .await;
@@ -53,8 +53,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_full_instance_hands_higher_tiers_to_one_that_holds_lower_ones() {
     let spec = Spec {
-        nodes: 2,
-        settings: held(6),
+        instances: 2,
+        settings: max_held_settings(6),
         ..Spec::new(41)
     };
     let site = Site::start(spec).await;
@@ -66,16 +66,18 @@
         .collect();
     let low = futures_util::future::join_all(drafts.iter().map(|c| site.call(1, c)));
     let high = async {
-        let held = "firdock_held{tier=\"draft\"}";
-        site.wait("held", async |s| s.nodes[1].metric(held).await >= 4.0)
-            .await;
+        let held_metric = "firdock_held{tier=\"draft\"}";
+        site.wait("held", async |s| {
+            s.instances[1].metric(held_metric).await >= 4.0
+        })
+        .await;
         tokio::time::sleep(Duration::from_millis(300)).await;
         futures_util::future::join_all(guides.iter().map(|c| site.call(0, c))).await
     };
     let (low, high) = tokio::join!(low, high);
     assert!(high.iter().all(Got::answered), "{high:?}");
     assert!(low.iter().all(Got::is_sound), "{low:?}");
-    assert!(site.nodes[0].metric("firdock_handed_over_total").await >= 1.0);
+    assert!(site.instances[0].metric("firdock_handed_over_total").await >= 1.0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -97,7 +99,7 @@
         .call(0, &Call::plain(SHOP, Method::GET, &long, ""))
         .await;
     assert!([0, 414, 431].contains(&got.status), "{got:?}");
-    let mut slow = TcpStream::connect(site.nodes[0].callers)
+    let mut slow = TcpStream::connect(site.instances[0].callers)
         .await
         .expect("a connection");
     slow.write_all(b"GET /tiles HTTP/1.1\r\nHost: a")
@@ -123,7 +125,7 @@
         &[0, 0, 0, 4, 1, 2, 3, 4],
         &[0xff; 64],
     ] {
-        let mut stranger = TcpStream::connect(site.nodes[0].peers)
+        let mut stranger = TcpStream::connect(site.instances[0].peers)
             .await
             .expect("a connection");
         stranger.write_all(rubbish).await.expect("some bytes");
@@ -133,7 +135,7 @@
         assert!(closed.is_ok() && rest.is_empty());
     }
     site.wait("logged", async |s| {
-        s.nodes[0].logged().matches("peer cut off").count() >= 3
+        s.instances[0].logged().matches("peer cut off").count() >= 3
     })
     .await;
     let got = site
@@ -145,7 +147,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leaving_endpoint_gets_nothing_new_while_the_log_is_down() {
     let site = Site::start(Spec {
-        nodes: 2,
+        instances: 2,
         services: 2,
         ..Spec::new(44)
     })
@@ -170,15 +172,15 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_instance_that_missed_the_news_hears_it_from_a_peer() {
     let mut site = Site::start(Spec {
-        nodes: 1,
+        instances: 1,
         services: 2,
         ..Spec::new(45)
     })
     .await;
-    site.add_node(1);
+    site.add_instance(1);
     site.wait_ready().await;
     site.wait_converged().await;
-    // The list goes silent for all, and the endpoint says so itself to whoever asks.
+    // The list is unavailable to all instances, so that only the endpoint itself reports that it is leaving.
     site.list.faults.change(|f| f.outage = true);
     site.services[0].faults.change(|f| f.leaving = true);
     tokio::time::sleep(Duration::from_millis(1_500)).await;
@@ -199,7 +201,7 @@
          Content-Length: {}\r\n\r\n{body}",
         body.len()
     );
-    let mut slow = TcpStream::connect(site.nodes[0].callers)
+    let mut slow = TcpStream::connect(site.instances[0].callers)
         .await
         .expect("a connection");
     slow.write_all(head.as_bytes()).await.expect("a request");
@@ -216,21 +218,21 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_thousand_connections_at_once_are_taken() {
     let site = Site::start(Spec {
-        settings: held(2_000),
+        settings: max_held_settings(2_000),
         ..Spec::new(47)
     })
     .await;
-    let at = site.nodes[0].callers;
-    let opened = (0..1_000).map(|_| connect(at, Duration::from_secs(10)));
+    let address = site.instances[0].callers;
+    let opened = (0..1_000).map(|_| connect(address, Duration::from_secs(10)));
     let opened = futures_util::future::join_all(opened).await;
     assert_eq!(opened.iter().filter(|c| c.is_ok()).count(), 1_000);
     drop(opened);
     let call = Call::plain(SHOP, Method::GET, "/tiles/1", "");
-    let got = futures_util::future::join_all((0..50).map(|_| client::call(at, &call))).await;
+    let got = futures_util::future::join_all((0..50).map(|_| client::call(address, &call))).await;
     assert!(got.iter().all(Got::answered));
 }
 
-/// What an endpoint of firdock's own protocol refuses may say for how long it wants nothing.
+/// An endpoint of firdock's own protocol may ask for a backoff time when it refuses a request.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_endpoint_that_asked_for_a_time_gets_nothing_in_it() {
     let site = Site::start(Spec {
@@ -254,7 +256,7 @@
     for n in 0..8 {
         call(n).await;
     }
-    // They would answer now, and are not asked.
+    // They would accept requests again, but the backoff time has not passed.
     asks(false);
     for n in 8..24 {
         call(n).await;
--- a/tests/testsuite/main.rs
+++ b/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the whole path: real instances as processes, stand-ins in the test.
+//! End-to-end tests: real instances as processes, with stand-ins for all else in the test process.
 
 mod command_line;
 mod configuration;
--- a/tests/testsuite/planned_stop.rs
+++ b/tests/testsuite/planned_stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts nothing off, and a frozen instance goes on where it was.
+//! A planned stop interrupts no request, and a suspended instance resumes its requests.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn sigterm_finishes_streams_and_exits_with_zero() {
     let mut site = Site::start(Spec {
-        nodes: 2,
+        instances: 2,
         ..Spec::new(3)
     })
     .await;
@@ -19,40 +19,40 @@
     let streams: Vec<_> = calls
         .into_iter()
         .map(|call| {
-            let at = site.nodes[0].callers;
-            tokio::spawn(async move { client::call(at, &call).await })
+            let address = site.instances[0].callers;
+            tokio::spawn(async move { client::call(address, &call).await })
         })
         .collect();
     site.wait("running", async |s| s.engines[0].busy() == 4)
         .await;
-    site.nodes[0].signal("TERM");
+    site.instances[0].signal("TERM");
     site.wait("not ready", async |s| {
-        s.nodes[0].get("/readyz").await.0 == 503
+        s.instances[0].get("/readyz").await.0 == 503
     })
     .await;
     for stream in streams {
         let got = stream.await.expect("a caller ends");
         assert!(got.answered(), "{got:?}");
     }
-    assert!(site.nodes[0].ended().await.success());
+    assert!(site.instances[0].ended().await.success());
     assert!(site.engines[0].runs().most() == 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_frozen_instance_goes_on_where_it_was() {
     let site = Site::start(Spec::new(4)).await;
-    let at = site.nodes[0].callers;
+    let address = site.instances[0].callers;
     let call = Call::model(SHOP, "draft", "a long one", 200);
-    let stream = tokio::spawn(async move { client::call(at, &call).await });
+    let stream = tokio::spawn(async move { client::call(address, &call).await });
     site.wait("running", async |s| s.engines[0].busy() == 1)
         .await;
-    site.nodes[0].signal("STOP");
+    site.instances[0].signal("STOP");
     tokio::time::sleep(Duration::from_secs(1)).await;
-    site.nodes[0].signal("CONT");
+    site.instances[0].signal("CONT");
     let got = stream.await.expect("the caller ends");
     assert!(got.answered(), "{got:?}");
     site.wait("counted", async |s| {
-        s.nodes[0].metric("firdock_goodput_total").await >= 1.0
+        s.instances[0].metric("firdock_goodput_total").await >= 1.0
     })
     .await;
 }
@@ -60,14 +60,14 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_site_stops_one_instance_after_another_under_load() {
     let mut site = Site::start(Spec {
-        nodes: 3,
+        instances: 3,
         engines: 2,
         ..Spec::new(5)
     })
     .await;
     let (stop, stopped) = tokio::sync::watch::channel(false);
     let addresses: Vec<_> = site
-        .nodes
+        .instances
         .iter()
         .map(|n| (n.callers, n.operators))
         .collect();
@@ -87,7 +87,7 @@
     assert!(site.engines.iter().all(|e| e.runs().most() <= 1));
 }
 
-/// Calls whichever instance is ready, as the balancer does, and checks every answer.
+/// Sends requests to ready instances, as a load balancer does, and checks every answer.
 async fn call_until(
     addresses: Vec<(std::net::SocketAddr, std::net::SocketAddr)>,
     i: usize,
@@ -118,10 +118,10 @@
         ..Spec::new(6)
     })
     .await;
-    let at = site.nodes[0].callers;
+    let address = site.instances[0].callers;
     let stream = |n: usize| {
         let call = Call::model(SHOP, "draft", &format!("dossier {n}"), 400);
-        tokio::spawn(async move { client::call(at, &call).await })
+        tokio::spawn(async move { client::call(address, &call).await })
     };
     let running: Vec<_> = (0..4).map(stream).collect();
     site.wait("running", async |s| s.engines.iter().all(|e| e.busy() == 2))
--- a/tests/testsuite/suspects.rs
+++ b/tests/testsuite/suspects.rs
@@ -1,5 +1,5 @@
-//! A request under which plain servers end, at two real instances: what its caller is told, what the
-//! operator sees, and how it is let go.
+//! A request that crashes plain servers, at two real instances: the caller's answers, the operator's list
+//! of suspects, and the release from quarantine.
 
 use std::fmt::Write as _;
 use std::io::{Read as _, Write as _};
@@ -12,12 +12,12 @@
 
 use crate::helper::{SHOP, Site, Spec};
 
-/// Servers, more than a request may end.
+/// Number of servers, more than a request may crash.
 const SERVERS: u8 = 6;
-/// Time in which a look and a word to the other instance are over.
-const WORD: Duration = Duration::from_millis(500);
+/// Time within which a liveness check and the report to the other instance are finished.
+const PROPAGATION_TIME: Duration = Duration::from_millis(500);
 
-/// A server that answers each request in turn, and ends under one that asks for doom.
+/// Starts a server that answers requests one by one, and stops listening at a request for `/orders/doom`.
 fn start_server(address: SocketAddr) {
     let listener = TcpListener::bind(address).expect("the server listens");
     std::thread::spawn(move || {
@@ -26,7 +26,7 @@
             let mut buffer = [0; 4_096];
             let n = stream.read(&mut buffer).unwrap_or(0);
             if String::from_utf8_lossy(&buffer[..n]).contains("/orders/doom") {
-                // The listener goes first, as a process closes its descriptors in order.
+                // The listener closes before the connection, as in a process that closes its descriptors in order.
                 drop(listener);
                 return;
             }
@@ -50,11 +50,11 @@
     let (status, answer) = site.apply(&text).await;
     assert_eq!(status, 200, "{answer}");
     site.wait_converged().await;
-    tokio::time::sleep(WORD).await;
+    tokio::time::sleep(PROPAGATION_TIME).await;
 }
 
 fn firdock(site: &Site, args: &[&str]) -> String {
-    let server = site.nodes[1].operators.to_string();
+    let server = site.instances[1].operators.to_string();
     let mut all = vec!["--server", server.as_str()];
     all.extend(args);
     let command = || {
@@ -70,7 +70,7 @@
 async fn a_request_that_ends_servers_is_held_back_until_an_operator_lets_it_go() {
     let net = 71;
     let mut spec = Spec::new(net);
-    spec.nodes = 2;
+    spec.instances = 2;
     spec.services = 0;
     let site = Site::start(spec).await;
     add_servers(&site, net).await;
@@ -82,10 +82,10 @@
             (502, "unknown"),
             "{got:?}"
         );
-        tokio::time::sleep(WORD).await;
+        tokio::time::sleep(PROPAGATION_TIME).await;
     }
-    for node in [0, 1] {
-        let got = site.call(node, &doom()).await;
+    for instance in [0, 1] {
+        let got = site.call(instance, &doom()).await;
         assert_eq!(
             (got.status, got.outcome.as_str()),
             (503, "not-run"),
@@ -104,13 +104,13 @@
     assert_eq!(listed.matches("ended").count(), 3, "{listed}");
     assert!(!listed.contains("the same body"));
     let content = listed.split(' ').next().expect("a content").to_owned();
-    let log = site.nodes[0].logged();
+    let log = site.instances[0].logged();
     assert!(log.contains("\"request quarantined\"") && log.contains(&content));
     assert!(!log.contains("the same body"), "bodies stay out of logs");
-    // Let go by the second instance, it is sent by the first one again.
+    // After a release at the second instance, the first one dispatches the request again.
     let released = firdock(&site, &["release", &content]);
     assert!(released.contains("may be sent again"), "{released}");
-    tokio::time::sleep(WORD).await;
+    tokio::time::sleep(PROPAGATION_TIME).await;
     assert_eq!(site.call(0, &doom()).await.status, 502);
     assert!(!firdock(&site, &["suspects"]).contains("in quarantine"));
     assert!(!firdock(&site, &["release", "no content"]).contains("may be sent"));
--- a/tests/testsuite/whole_answer.rs
+++ b/tests/testsuite/whole_answer.rs
@@ -1,4 +1,4 @@
-//! Every caller gets the whole answer to its own request and no other.
+//! Every caller gets the complete answer to its own request and no other.
 
 use std::time::Duration;
 
@@ -29,13 +29,13 @@
         ..Spec::new(21)
     })
     .await;
-    let at = site.nodes[0].callers;
+    let address = site.instances[0].callers;
     let calls: Vec<_> = (0..6)
         .map(|i| {
             let streamed = i % 2 == 0;
             let call = Call::model(SHOP, "draft", &format!("dossier {i}"), 200);
             let call = call.with_stream(streamed);
-            tokio::spawn(async move { client::call(at, &call).await })
+            tokio::spawn(async move { client::call(address, &call).await })
         })
         .collect();
     site.wait("running", async |s| s.engines.iter().all(|e| e.busy() >= 2))
@@ -58,9 +58,9 @@
         ..Spec::new(22)
     })
     .await;
-    let at = site.nodes[0].callers;
+    let address = site.instances[0].callers;
     let call = Call::model(SHOP, "draft", "dossier", 200);
-    let stream = tokio::spawn(async move { client::call(at, &call).await });
+    let stream = tokio::spawn(async move { client::call(address, &call).await });
     site.wait("running", async |s| s.engines.iter().any(|e| e.busy() == 1))
         .await;
     tokio::time::sleep(Duration::from_millis(100)).await;
@@ -118,7 +118,7 @@
     assert!(got.answered(), "{got:?}");
 }
 
-// Guards against a part of an answer that is kept for its key and replayed as whole for good.
+// Guards against a partial answer that is cached for its key and replayed as complete.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_plain_answer_without_framing_claims_no_end_and_neither_does_its_replay() {
     let site = Site::start(Spec::new(29)).await;
@@ -143,11 +143,11 @@
     assert_eq!(site.services[0].runs().most(), 1);
 }
 
-// Guards against a last chunk for an answer without framing that came over another instance.
+// Guards against a last chunk for an answer without framing that was forwarded by another instance.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_plain_answer_without_framing_claims_no_end_over_a_hand_over_either() {
     let site = Site::start(Spec {
-        nodes: 2,
+        instances: 2,
         settings: "[keys]\ngrace_seconds = 1\n".to_owned(),
         ..Spec::new(51)
     })
@@ -190,11 +190,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_that_goes_away_frees_the_engine() {
     let site = Site::start(Spec::new(26)).await;
-    let at = site.nodes[0].callers;
+    let address = site.instances[0].callers;
     let calls: Vec<_> = (0..6)
         .map(|i| {
             let call = Call::model(SHOP, "draft", &format!("long {i}"), 4_000);
-            tokio::spawn(async move { client::call(at, &call).await })
+            tokio::spawn(async move { client::call(address, &call).await })
         })
         .collect();
     site.wait("running", async |s| s.engines[0].busy() == 4)
@@ -205,7 +205,7 @@
     site.wait("cancelled", async |s| s.engines[0].busy() == 0)
         .await;
     site.wait("forgotten", async |s| {
-        s.nodes[0].metric("firdock_held{tier=\"draft\"}").await == 0.0
+        s.instances[0].metric("firdock_held{tier=\"draft\"}").await == 0.0
     })
     .await;
     let got = site.call(0, &Call::model(SHOP, "draft", "short", 3)).await;
--- a/tests/testsuite/whole_path.rs
+++ b/tests/testsuite/whole_path.rs
@@ -1,4 +1,4 @@
-//! A request goes from its caller through an entry instance to an endpoint and back.
+//! A request goes from its caller through an instance to an endpoint, and the answer comes back.
 
 use firdock_standin::client::Call;
 use hyper::Method;
@@ -27,7 +27,7 @@
         .await;
     assert!(plain.answered(), "{plain:?}");
     assert_eq!(site.engines[0].runs().most(), 1);
-    let log = site.nodes[0].logged();
+    let log = site.instances[0].logged();
     for span in ["\"door\"", "\"endpoint\""] {
         assert!(log.contains(span), "no span {span}");
     }
