--- a/tests/testsuite/dispatch_once.rs
+++ b/tests/testsuite/dispatch_once.rs
@@ -135,7 +135,7 @@
         );
         assert!(got.iter().any(Got::answered), "{got:?}");
         let late = site.call(2, &call).await;
-        assert!(late.answered(), "the kept answer: {late:?}");
+        assert!(late.answered(), "the cached answer: {late:?}");
     }
     let most = site.services.iter().map(|s| s.runs().most()).max();
     assert_eq!(most, Some(1));
@@ -169,7 +169,7 @@
     let (first, ()) = tokio::join!(sending, killing);
     assert!(
         first.iter().any(|g| !g.answered()),
-        "the kill hit something"
+        "the kill must interrupt at least one call"
     );
     let end = std::time::Instant::now() + Duration::from_secs(4);
     while std::time::Instant::now() < end {
@@ -318,7 +318,7 @@
         (502, "unknown"),
         "{got:?}"
     );
-    let (orders, listener) = resetting.await.expect("the endpoint lives");
+    let (orders, listener) = resetting.await.expect("the endpoint's task finishes");
     assert_eq!(orders, 1);
     let again = tokio::time::timeout(Duration::from_millis(300), async {
         loop {
--- a/tests/testsuite/helper.rs
+++ b/tests/testsuite/helper.rs
@@ -106,7 +106,7 @@
             if let Some(status) = self.child.try_wait().expect("a child can be waited for") {
                 return status;
             }
-            assert!(Instant::now() < end, "{} did not end", self.name);
+            assert!(Instant::now() < end, "{} did not exit", self.name);
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
@@ -244,7 +244,7 @@
     pub async fn wait(&self, what: &str, ready: impl AsyncFn(&Self) -> bool) {
         let end = Instant::now() + WAIT_LIMIT;
         while !ready(self).await {
-            assert!(Instant::now() < end, "waited in vain: {what}");
+            assert!(Instant::now() < end, "timed out waiting for: {what}");
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     }
--- a/tests/testsuite/limits.rs
+++ b/tests/testsuite/limits.rs
@@ -109,7 +109,7 @@
     let closed = tokio::time::timeout(Duration::from_secs(10), slow.read_to_end(&mut rest)).await;
     assert!(
         closed.is_ok(),
-        "a caller that never ends its head is cut off"
+        "a caller that never completes its request head must be disconnected"
     );
     let got = site
         .call(0, &Call::plain(SHOP, Method::GET, "/tiles/1", ""))
--- a/tests/testsuite/planned_stop.rs
+++ b/tests/testsuite/planned_stop.rs
@@ -81,7 +81,7 @@
     stop.send_replace(true);
     let mut answered = 0;
     for caller in callers {
-        answered += caller.await.expect("a caller ends well");
+        answered += caller.await.expect("a caller finishes");
     }
     assert!(answered > 50, "only {answered} calls were made");
     assert!(site.engines.iter().all(|e| e.runs().most() <= 1));
--- a/tests/testsuite/suspects.rs
+++ b/tests/testsuite/suspects.rs
@@ -106,7 +106,10 @@
     let content = listed.split(' ').next().expect("a content").to_owned();
     let log = site.instances[0].logged();
     assert!(log.contains("\"request quarantined\"") && log.contains(&content));
-    assert!(!log.contains("the same body"), "bodies stay out of logs");
+    assert!(
+        !log.contains("the same body"),
+        "request bodies must not be logged"
+    );
     // After a release at the second instance, the first one dispatches the request again.
     let released = firdock(&site, &["release", &content]);
     assert!(released.contains("may be sent again"), "{released}");
--- a/tests/testsuite/whole_path.rs
+++ b/tests/testsuite/whole_path.rs
@@ -33,7 +33,7 @@
     }
     assert!(
         !log.contains(SHOP) && !log.contains("Kebnekaise"),
-        "keys and prompts stay out of logs"
+        "keys and prompts must not be logged"
     );
 }
 
