--- a/crates/firdock-wire/src/message.rs
+++ b/crates/firdock-wire/src/message.rs
@@ -73,32 +73,32 @@
     #[prost(bytes = "vec", tag = "1")]
     pub proof: ::prost::alloc::vec::Vec<u8>,
 }
-/// What an instance tells of itself, several times a second.
+/// Status that an instance reports about itself several times a second.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct Heartbeat {
     #[prost(string, tag = "1")]
     pub zone: ::prost::alloc::string::String,
-    /// Requests held by rank of tier, highest tier first.
+    /// Number of requests held per tier rank, highest tier first.
     #[prost(uint32, repeated, tag = "2")]
     pub held: ::prost::alloc::vec::Vec<u32>,
     #[prost(message, repeated, tag = "3")]
     pub demand: ::prost::alloc::vec::Vec<PoolDemand>,
     #[prost(bool, tag = "4")]
     pub draining: bool,
-    /// Starts of endpoints known to be leaving (docs/design/restarts.md).
+    /// Starts of endpoints that are known to be shutting down (docs/design/restarts.md).
     #[prost(string, repeated, tag = "5")]
     pub leaving: ::prost::alloc::vec::Vec<::prost::alloc::string::String>,
     /// Version of the configuration in force.
     #[prost(uint64, tag = "6")]
     pub version: u64,
-    /// Next offset of the log that it will fold.
+    /// Offset of the next log record that the sender will fold.
     #[prost(uint64, tag = "7")]
     pub log_next: u64,
-    /// Requests under which endpoints ended, as far as they are new or it is their turn.
+    /// Requests during which endpoints exited: the new ones, and the others in turn.
     #[prost(message, repeated, tag = "8")]
     pub suspects: ::prost::alloc::vec::Vec<Suspect>,
 }
-/// A request under which endpoints ended (docs/design/suspects.md).
+/// A request during which endpoints exited (docs/design/suspects.md).
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Suspect {
     /// 16 bytes: hash of account, method, target and body.
@@ -114,7 +114,7 @@
     #[prost(message, repeated, tag = "5")]
     pub ends: ::prost::alloc::vec::Vec<SuspectEnd>,
 }
-/// One end of an endpoint with a request on board; times are ages in milliseconds.
+/// One exit of an endpoint while it ran a request. Times are ages in milliseconds.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct SuspectEnd {
     /// Start of the endpoint.
@@ -124,11 +124,11 @@
     pub sent_ago: u64,
     #[prost(uint64, tag = "3")]
     pub ended_ago: u64,
-    /// Whether it counts no more.
+    /// Whether this exit no longer counts.
     #[prost(bool, tag = "4")]
     pub void: bool,
 }
-/// One datagram between instances that know each other by address alone.
+/// One datagram between instances that know each other only by address.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct Datagram {
     #[prost(oneof = "datagram::Body", tags = "1, 2, 3, 5, 6, 7, 8, 9")]
@@ -163,34 +163,35 @@
     #[prost(uint64, tag = "1")]
     pub asked: u64,
 }
-/// Tells the sender's clock.
+/// Reports the sender's clock.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct ClockAnswer {
     #[prost(string, tag = "1")]
     pub instance: ::prost::alloc::string::String,
-    /// 16 bytes: the start of the sender, which its clock belongs to.
+    /// 16 bytes: the start of the sender to which its clock belongs.
     #[prost(bytes = "vec", tag = "2")]
     pub incarnation: ::prost::alloc::vec::Vec<u8>,
-    /// As in the question.
+    /// Copied from the question.
     #[prost(uint64, tag = "3")]
     pub asked: u64,
     /// The sender's clock, in milliseconds.
     #[prost(uint64, tag = "4")]
     pub clock: u64,
 }
-/// What an instance knows to be the newest, by its own clock.
+/// How recent the sender's data from the platform's store is, by the sender's clock.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Reads {
-    /// When the configuration was the newest, in milliseconds of the sender's clock.
+    /// Time at which the configuration was last confirmed to be the newest, in milliseconds of the
+    /// sender's clock.
     #[prost(uint64, tag = "2")]
     pub config_at: u64,
-    /// When the list of endpoints was the newest, likewise.
+    /// Time at which the list of endpoints was last confirmed to be the newest, on the same clock.
     #[prost(uint64, tag = "3")]
     pub endpoints_at: u64,
     /// Version of that configuration. The heartbeat's own version is published less often.
     #[prost(uint64, tag = "4")]
     pub version: u64,
-    /// Since when the list of endpoints has been read without an outage of it, by the sender's clock.
+    /// Time since which the list of endpoints has been read without an outage, by the sender's clock.
     #[prost(uint64, tag = "5")]
     pub steady_since: u64,
     /// Offset after the last record of the list of endpoints that the sender knows.
@@ -214,7 +215,7 @@
     pub incarnation: ::prost::alloc::vec::Vec<u8>,
     #[prost(message, optional, tag = "4")]
     pub heartbeat: ::core::option::Option<Heartbeat>,
-    /// What the sender let pass of limited accounts since its start.
+    /// Usage that the sender admitted for accounts with a limit since its start.
     #[prost(message, repeated, tag = "5")]
     pub used: ::prost::alloc::vec::Vec<AccountUse>,
     /// Other instances that the sender knows of.
@@ -222,51 +223,52 @@
     pub peers: ::prost::alloc::vec::Vec<PeerAddress>,
     #[prost(message, optional, tag = "7")]
     pub reads: ::core::option::Option<Reads>,
-    /// Instances of its group that the sender hears, itself among them; 0 if it does not lead it.
+    /// Number of live instances in the sender's group, including itself; 0 if it does not lead the group.
     #[prost(uint32, tag = "9")]
     pub group_heard: u32,
-    /// Instances of all groups that leads hear; 0 if the sender does not lead its group.
+    /// Number of live instances in all groups, as reported by their leads; 0 if the sender does not lead its
+    /// group.
     #[prost(uint32, tag = "10")]
     pub site_heard: u32,
-    /// Demand of the sender's group, if it leads it.
+    /// Demand of the sender's group, if the sender leads it.
     #[prost(message, repeated, tag = "11")]
     pub group_demand: ::prost::alloc::vec::Vec<PoolDemand>,
-    /// Processor that the sender has, in thousandths of a core; 0 where that is not set.
+    /// CPU capacity of the sender in millicores; 0 if it is not set.
     #[prost(uint32, tag = "12")]
     pub power: u32,
-    /// How far roll-outs are, as the sender knows it.
+    /// Progress of rollouts as known to the sender.
     #[prost(message, repeated, tag = "13")]
     pub rollouts: ::prost::alloc::vec::Vec<RolloutWord>,
-    /// What the sender saw of those that go on.
+    /// Results of the rollouts in progress as observed by the sender.
     #[prost(message, repeated, tag = "14")]
     pub rollout_seen: ::prost::alloc::vec::Vec<RolloutEvidence>,
-    /// What its group saw, if it leads it.
+    /// Results of the rollouts in progress as observed by the sender's group, if the sender leads it.
     #[prost(message, repeated, tag = "15")]
     pub group_rollout_seen: ::prost::alloc::vec::Vec<RolloutEvidence>,
-    /// What the endpoints that its group places requests on did lately, if it leads it.
+    /// Recent work of the endpoints on which the sender's group places requests, if the sender leads it.
     #[prost(message, repeated, tag = "16")]
     pub group_work: ::prost::alloc::vec::Vec<AccountWork>,
-    /// Counts of what the sender's group let pass of limited accounts, those that rose, if it leads the
-    /// group.
+    /// Usage that the sender's group admitted for accounts with a limit, if the sender leads the group. Holds
+    /// only the counts that increased.
     #[prost(message, repeated, tag = "17")]
     pub group_used: ::prost::alloc::vec::Vec<AccountUse>,
-    /// Counts of what all groups let pass, likewise.
+    /// The same counts for all groups.
     #[prost(message, repeated, tag = "18")]
     pub site_used: ::prost::alloc::vec::Vec<AccountUse>,
-    /// 16 bytes: the beginning of these counts, which tells them from earlier ones of the same sender.
+    /// 16 bytes: identifies the start of these counts, to tell them from earlier ones of the same sender.
     #[prost(bytes = "vec", tag = "19")]
     pub use_began: ::prost::alloc::vec::Vec<u8>,
-    /// Instances of its group that the sender knows of, heard or not, itself among them, and those of all
-    /// groups; 0 if it does not lead its group.
+    /// Number of instances known to the sender in its group, live or not and including itself, and in all
+    /// groups; 0 if the sender does not lead its group.
     #[prost(uint32, tag = "20")]
     pub group_known: u32,
     #[prost(uint32, tag = "21")]
     pub site_known: u32,
-    /// Whether none of these counts rose yet.
+    /// Whether none of these counts has increased yet.
     #[prost(bool, tag = "22")]
     pub use_fresh: bool,
 }
-/// What one account asked for and had of one pool lately, in requests of one rank and in seconds of work.
+/// Work that one account recently requested and received from one pool, for requests of one rank, in seconds.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct AccountWork {
     #[prost(string, tag = "1")]
@@ -280,31 +282,31 @@
     #[prost(double, tag = "5")]
     pub done: f64,
 }
-/// How far one roll-out is.
+/// Progress of one rollout.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct RolloutWord {
     #[prost(string, tag = "1")]
     pub pool: ::prost::alloc::string::String,
-    /// Offset of the order in the platform's log.
+    /// Offset of the rollout order in the platform's log.
     #[prost(uint64, tag = "2")]
     pub order: u64,
     #[prost(enumeration = "RolloutStage", tag = "3")]
     pub stage: i32,
-    /// Time since the order was first known of, in milliseconds.
+    /// Time since the order was first known, in milliseconds.
     #[prost(uint64, tag = "4")]
     pub age: u64,
-    /// Part of the pool's requests that the new version gets while it is watched.
+    /// Fraction of the pool's requests that the new version receives while it is being watched.
     #[prost(double, tag = "5")]
     pub ratio: f64,
 }
-/// What instances saw of one roll-out since its order.
+/// Results of one rollout, as observed by instances since its order.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct RolloutEvidence {
     #[prost(string, tag = "1")]
     pub pool: ::prost::alloc::string::String,
     #[prost(uint64, tag = "2")]
     pub order: u64,
-    /// Requests sent to the pool, and those among them to the new version.
+    /// Number of requests sent to the pool, and of those sent to the new version.
     #[prost(uint64, tag = "3")]
     pub sent: u64,
     #[prost(uint64, tag = "4")]
@@ -312,28 +314,28 @@
     #[prost(message, repeated, tag = "5")]
     pub tallies: ::prost::alloc::vec::Vec<RolloutTally>,
 }
-/// How answers to one service's requests went.
+/// Results of one service's requests.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct RolloutTally {
     #[prost(string, tag = "1")]
     pub service: ::prost::alloc::string::String,
-    /// Endpoint of the new version; empty for all of the old one.
+    /// Endpoint of the new version; empty for all endpoints of the old version together.
     #[prost(string, tag = "2")]
     pub endpoint: ::prost::alloc::string::String,
     #[prost(uint32, tag = "3")]
     pub failed: u32,
     #[prost(uint32, tag = "4")]
     pub lost: u32,
-    /// Whole answers by the band of the time that they took.
+    /// Number of complete answers per duration bin.
     #[prost(uint32, repeated, tag = "5")]
     pub bands: ::prost::alloc::vec::Vec<u32>,
 }
-/// Records of a topic that the sender read or was told of, so that its peers need not read them.
+/// Records of a topic that the sender read or received, so that its peers need not read them.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct TopicRecords {
     #[prost(string, tag = "1")]
     pub instance: ::prost::alloc::string::String,
-    /// 16 bytes: the start of the sender, which its clock belongs to.
+    /// 16 bytes: the start of the sender to which its clock belongs.
     #[prost(bytes = "vec", tag = "2")]
     pub incarnation: ::prost::alloc::vec::Vec<u8>,
     #[prost(enumeration = "Topic", tag = "3")]
@@ -344,10 +346,10 @@
     /// Offset after the last record.
     #[prost(uint64, tag = "5")]
     pub next: u64,
-    /// When the topic's end was there, in milliseconds of the sender's clock.
+    /// Time at which the topic ended at that offset, in milliseconds of the sender's clock.
     #[prost(uint64, tag = "6")]
     pub read_at: u64,
-    /// Entries, deflated.
+    /// An Entries message, compressed with deflate.
     #[prost(bytes = "vec", tag = "7")]
     pub entries: ::prost::alloc::vec::Vec<u8>,
 }
@@ -357,39 +359,40 @@
     #[prost(message, repeated, tag = "1")]
     pub entries: ::prost::alloc::vec::Vec<Entry>,
 }
-/// Asks for what the receiver knows of the platform's store.
+/// Asks for the receiver's snapshot of the platform's store.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct StateQuestion {
     /// The sender's clock, in milliseconds.
     #[prost(uint64, tag = "1")]
     pub asked: u64,
-    /// Topics asked for.
+    /// Requested topics.
     #[prost(enumeration = "Topic", repeated, tag = "2")]
     pub topics: ::prost::alloc::vec::Vec<i32>,
-    /// Whether the other instances are asked for as well.
+    /// Whether the list of instances is requested as well.
     #[prost(bool, tag = "3")]
     pub instances: bool,
-    /// Whether the topics are asked for however long they are: the sender has nobody nearer to ask.
+    /// Whether the topics are requested whatever their length, because the sender has no closer instance to ask.
     #[prost(bool, tag = "4")]
     pub whole: bool,
-    /// Of an answer that came in part: the state that it tells, and the numbers of its parts that lack.
+    /// For an answer received in part: the id of its state, and the numbers of the missing parts.
     #[prost(uint64, tag = "5")]
     pub state_id: u64,
     #[prost(uint32, repeated, tag = "6")]
     pub lacking: ::prost::alloc::vec::Vec<u32>,
-    /// Availability zone of the sender: of many instances, those of it are told, and the leads of others.
+    /// Availability zone of the sender. If there are many instances, the answer lists those of this zone and
+    /// the leads of others.
     #[prost(string, tag = "7")]
     pub zone: ::prost::alloc::string::String,
 }
-/// Tells what the sender knows of the platform's store: the newest record of each key.
+/// The sender's snapshot of the platform's store: the newest record of each key.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct StateAnswer {
     #[prost(string, tag = "1")]
     pub instance: ::prost::alloc::string::String,
-    /// 16 bytes: the start of the sender, which its clock belongs to.
+    /// 16 bytes: the start of the sender to which its clock belongs.
     #[prost(bytes = "vec", tag = "2")]
     pub incarnation: ::prost::alloc::vec::Vec<u8>,
-    /// As in the question.
+    /// Copied from the question.
     #[prost(uint64, tag = "3")]
     pub asked: u64,
     /// The sender's clock, in milliseconds.
@@ -397,28 +400,29 @@
     pub clock: u64,
     #[prost(message, optional, tag = "5")]
     pub reads: ::core::option::Option<Reads>,
-    /// The known state, deflated, or one part of that.
+    /// A KnownState message, compressed with deflate, or one part of it.
     #[prost(bytes = "vec", tag = "6")]
     pub state: ::prost::alloc::vec::Vec<u8>,
-    /// Whether the topics are left out for their length, to be asked of an instance of the own zone.
+    /// Whether the topics are left out because of their length and must be requested from an instance in the
+    /// own zone.
     #[prost(bool, tag = "7")]
     pub large: bool,
-    /// Number of the state among those that the sender made, the part's number from 0 and the number of
-    /// parts; 0 or 1 for a whole one.
+    /// Number of the state among those that the sender built, number of the part, counted from 0, and number of
+    /// parts, which is 0 or 1 for an undivided state.
     #[prost(uint64, tag = "8")]
     pub state_id: u64,
     #[prost(uint32, tag = "9")]
     pub part: u32,
     #[prost(uint32, tag = "10")]
     pub parts: u32,
-    /// Instances that there are, those that are not told among them; 0 where they are not counted.
+    /// Total number of instances, including those not listed; 0 if they are not counted.
     #[prost(uint32, tag = "11")]
     pub known: u32,
-    /// Whether this is no answer yet: many asked before, and it will come.
+    /// Whether the reply is delayed because many instances asked earlier. The reply follows.
     #[prost(bool, tag = "12")]
     pub queued: bool,
 }
-/// What an instance knows of the platform's store.
+/// Snapshot of the platform's store as known to an instance.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct KnownState {
     #[prost(message, repeated, tag = "1")]
@@ -437,35 +441,35 @@
     #[prost(message, repeated, tag = "3")]
     pub entries: ::prost::alloc::vec::Vec<Entry>,
 }
-/// A record of a topic with keys, as it stands there.
+/// A record of a keyed topic, as stored there.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Entry {
     #[prost(string, tag = "1")]
     pub name: ::prost::alloc::string::String,
-    /// Absent where the entry is gone.
+    /// Absent if the entry was deleted.
     #[prost(bytes = "vec", optional, tag = "2")]
     pub value: ::core::option::Option<::prost::alloc::vec::Vec<u8>>,
     /// Offset of the record.
     #[prost(uint64, tag = "3")]
     pub offset: u64,
 }
-/// What one instance let pass of one account's limit.
+/// Usage of one account's limit at one instance.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct AccountUse {
     #[prost(string, tag = "1")]
     pub account: ::prost::alloc::string::String,
     #[prost(double, tag = "2")]
     pub units: f64,
-    /// What its callers asked for, with what was refused for the limit.
+    /// Units that its callers requested, including those refused because of the limit.
     #[prost(double, tag = "3")]
     pub asked: f64,
-    /// Both before callers last came after a while in which none did.
+    /// Both values before callers last resumed after a period without requests.
     #[prost(double, tag = "4")]
     pub units_before: f64,
     #[prost(double, tag = "5")]
     pub asked_before: f64,
 }
-/// Where an instance takes heartbeats.
+/// Address at which an instance receives heartbeats.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct PeerAddress {
     #[prost(string, tag = "1")]
@@ -473,14 +477,14 @@
     /// IP:PORT.
     #[prost(string, tag = "2")]
     pub address: ::prost::alloc::string::String,
-    /// Availability zone; empty where it is not known.
+    /// Availability zone; empty if unknown.
     #[prost(string, tag = "3")]
     pub zone: ::prost::alloc::string::String,
-    /// Processor that it has, in thousandths of a core; 0 where that is not known.
+    /// CPU capacity of the instance in millicores; 0 if unknown.
     #[prost(uint32, tag = "4")]
     pub power: u32,
 }
-/// Demand for one pool, or for one service without a split, in requests a second.
+/// Demand for one pool, or for one service without a split, in requests per second.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct PoolDemand {
     #[prost(string, tag = "1")]
@@ -488,7 +492,7 @@
     #[prost(double, tag = "2")]
     pub rate: f64,
 }
-/// A request for the other instance to serve.
+/// A request that the receiver serves for the sender.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct HandOver {
     /// 16 bytes.
@@ -509,7 +513,7 @@
     pub headers: ::prost::alloc::vec::Vec<Header>,
     #[prost(bytes = "vec", tag = "8")]
     pub body: ::prost::alloc::vec::Vec<u8>,
-    /// Idempotency key as the caller gave it; empty for none.
+    /// Idempotency key as sent by the caller; empty if there is none.
     #[prost(string, tag = "9")]
     pub idempotency_key: ::prost::alloc::string::String,
     #[prost(string, tag = "10")]
@@ -530,7 +534,7 @@
     pub status: u32,
     #[prost(message, repeated, tag = "2")]
     pub headers: ::prost::alloc::vec::Vec<Header>,
-    /// Whether the answer had no framing, so that the caller's ends with its connection too.
+    /// Whether the answer had no framing, so that the answer to the caller also ends by closing the connection.
     #[prost(bool, tag = "3")]
     pub unframed: bool,
 }
@@ -542,21 +546,21 @@
 /// The whole answer has been sent.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct AnswerEnd {}
-/// The answer that was begun cannot be completed.
+/// The answer was started but cannot be completed.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct AnswerCut {}
-/// The request was not taken: it ran nowhere at the sender.
+/// The request was not accepted and did not run at the sender.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Refusal {
     #[prost(string, tag = "1")]
     pub reason: ::prost::alloc::string::String,
-    /// 0 for "coming back is no use".
+    /// 0 if a retry cannot succeed.
     #[prost(uint32, tag = "2")]
     pub retry_seconds: u32,
     #[prost(string, repeated, tag = "3")]
     pub tried: ::prost::alloc::vec::Vec<::prost::alloc::string::String>,
 }
-/// The request may have run; there will be no answer.
+/// The request may have run, but no answer will follow.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct UnknownOutcome {
     #[prost(string, tag = "1")]
@@ -564,7 +568,7 @@
     #[prost(uint32, tag = "2")]
     pub retry_seconds: u32,
 }
-/// Asks for the folded state, by an instance that cannot get it from the log.
+/// Asks for the folded state. Sent by an instance that cannot get it from the log.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct StateRequest {}
 /// A part of the folded state as JSON text.
@@ -584,14 +588,14 @@
     /// Newest member view that the sender has folded.
     #[prost(uint64, tag = "2")]
     pub view: u64,
-    /// Keys that it ran or is running, or that others transferred to it.
+    /// Keys of requests that the sender ran or is running, and keys that others transferred to it.
     #[prost(fixed64, repeated, tag = "3")]
     pub keys: ::prost::alloc::vec::Vec<u64>,
     /// Transfers that the sender knows of.
     #[prost(message, repeated, tag = "4")]
     pub known: ::prost::alloc::vec::Vec<KnownTransfer>,
 }
-/// That a member transferred its keys to another.
+/// Records that a member transferred its keys to another.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct KnownTransfer {
     /// 16 bytes: the start of the member that transferred them.
@@ -604,7 +608,7 @@
     #[prost(uint64, tag = "3")]
     pub view: u64,
 }
-/// What a member tells the coordinator of its group.
+/// Report of a member to the coordinator of its group.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct PlacementReport {
     #[prost(string, tag = "1")]
@@ -614,86 +618,86 @@
     pub incarnation: ::prost::alloc::vec::Vec<u8>,
     #[prost(string, tag = "3")]
     pub zone: ::prost::alloc::string::String,
-    /// Counts the sender's reports.
+    /// Sequence number of the sender's reports.
     #[prost(uint64, tag = "4")]
     pub number: u64,
-    /// Whether it tells of every request of the sender's, and is answered in any case.
+    /// Whether the report covers all requests of the sender. Such a report is always answered.
     #[prost(bool, tag = "5")]
     pub whole: bool,
-    /// Requests that wait for a place.
+    /// Requests that wait for placement.
     #[prost(message, repeated, tag = "6")]
     pub waiting: ::prost::alloc::vec::Vec<PlacementRequest>,
-    /// Requests that run.
+    /// Requests that are running.
     #[prost(message, repeated, tag = "7")]
     pub running: ::prost::alloc::vec::Vec<PlacementRun>,
-    /// What became of requests since the last report.
+    /// Progress of requests since the last report.
     #[prost(message, repeated, tag = "8")]
     pub news: ::prost::alloc::vec::Vec<PlacementNews>,
-    /// Whether requests were left out, since there are too many for one datagram.
+    /// Whether requests were left out because they do not fit into one datagram.
     #[prost(bool, tag = "9")]
     pub cut: bool,
-    /// What engines told of their pace since the last report.
+    /// Pace that engines reported since the last report.
     #[prost(message, repeated, tag = "10")]
     pub paces: ::prost::alloc::vec::Vec<PlacementPace>,
-    /// What engines said of themselves to the sender: what is new, or all that lasts in a whole report.
+    /// Notices that engines sent to the sender: new ones, or in a whole report all that still apply.
     #[prost(message, repeated, tag = "11")]
     pub notices: ::prost::alloc::vec::Vec<PlacementNotice>,
 }
-/// What an engine said of itself to a member.
+/// Notice that an engine sent about itself to a member.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct PlacementNotice {
     /// Start of the engine.
     #[prost(string, tag = "1")]
     pub endpoint: ::prost::alloc::string::String,
-    /// Whether it leaves.
+    /// Whether the engine is shutting down.
     #[prost(bool, tag = "2")]
     pub leaving: bool,
-    /// How much longer it wants no request from the member; 0 for not at all.
+    /// Remaining time for which the engine accepts no requests from the member; 0 for none.
     #[prost(uint64, tag = "3")]
     pub backoff_millis: u64,
 }
-/// How long work takes at an engine, as it told itself.
+/// Duration of work at an engine, as reported by the engine.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct PlacementPace {
     #[prost(string, tag = "1")]
     pub endpoint: ::prost::alloc::string::String,
-    /// Hundredths of the usual time.
+    /// Duration in hundredths of the usual one.
     #[prost(uint32, tag = "2")]
     pub hundredths: u32,
-    /// How long ago it was read.
+    /// Time since the value was read.
     #[prost(uint64, tag = "3")]
     pub age_millis: u64,
 }
-/// A request as far as its placement needs it.
+/// The properties of a request that its placement needs.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct PlacementRequest {
     /// 16 bytes.
     #[prost(bytes = "vec", tag = "1")]
     pub request_id: ::prost::alloc::vec::Vec<u8>,
-    /// Counts the places that the request was given or waits for.
+    /// Number of placements that the request was given or waits for.
     #[prost(uint32, tag = "2")]
     pub attempt: u32,
     #[prost(string, tag = "3")]
     pub service: ::prost::alloc::string::String,
     #[prost(string, tag = "4")]
     pub account: ::prost::alloc::string::String,
-    /// Drawn evenly, and picks the pool of a service that splits its requests.
+    /// Uniformly distributed random value that selects the pool if the service splits its requests.
     #[prost(uint32, tag = "5")]
     pub draw: u32,
     #[prost(uint32, tag = "6")]
     pub prompt_tokens: u32,
     #[prost(uint32, tag = "7")]
     pub output_tokens: u32,
-    /// How long it has been held.
+    /// Time for which the request has been held.
     #[prost(uint64, tag = "8")]
     pub age_millis: u64,
-    /// Time that its caller will wait.
+    /// Remaining time for which the caller will wait.
     #[prost(uint64, optional, tag = "9")]
     pub left_millis: ::core::option::Option<u64>,
-    /// Starts of endpoints that it must not go to.
+    /// Starts of endpoints to which the request must not be sent.
     #[prost(string, repeated, tag = "10")]
     pub avoid: ::prost::alloc::vec::Vec<::prost::alloc::string::String>,
-    /// 16 bytes: hash of what it asks for, of one under which an endpoint ended; empty for all others.
+    /// 16 bytes: hash of the request's content if an endpoint exited while it ran; empty for all others.
     #[prost(bytes = "vec", tag = "12")]
     pub content: ::prost::alloc::vec::Vec<u8>,
 }
@@ -713,18 +717,18 @@
     pub attempt: u32,
     #[prost(enumeration = "PlacementCourse", tag = "3")]
     pub course: i32,
-    /// Tokens of the prompt and of the answer, at its end.
+    /// Number of tokens of the prompt and of the answer, set when the request has ended.
     #[prost(uint32, tag = "4")]
     pub prompt_tokens: u32,
     #[prost(uint32, tag = "5")]
     pub output_tokens: u32,
 }
-/// What the coordinator answers.
+/// Reply of the coordinator.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct PlacementReply {
     #[prost(string, tag = "1")]
     pub instance: ::prost::alloc::string::String,
-    /// Number of the last whole report that was taken.
+    /// Number of the last whole report that was processed.
     #[prost(uint64, tag = "2")]
     pub number: u64,
     #[prost(message, repeated, tag = "3")]
@@ -745,7 +749,7 @@
     #[prost(uint64, tag = "4")]
     pub predicted_millis: u64,
 }
-/// The request will not be placed in time.
+/// The request cannot be placed in time.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct PlacementRefusal {
     /// 16 bytes.
@@ -758,7 +762,7 @@
     #[prost(uint64, tag = "4")]
     pub retry_millis: u64,
 }
-/// How far the move of a pool's traffic to another software version is.
+/// Stage of moving a pool's traffic to another software version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, ::prost::Enumeration)]
 #[repr(i32)]
 pub enum RolloutStage {
@@ -797,7 +801,7 @@
         }
     }
 }
-/// A topic of the platform's store that instances pass on to each other.
+/// A topic of the platform's store that instances forward to each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, ::prost::Enumeration)]
 #[repr(i32)]
 pub enum Topic {
@@ -862,21 +866,21 @@
         }
     }
 }
-/// What became of a request that was given a place.
+/// Progress of a request that was placed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, ::prost::Enumeration)]
 #[repr(i32)]
 pub enum PlacementCourse {
     Unspecified = 0,
-    /// The first token came.
+    /// The first token was received.
     Began = 1,
     Ended = 2,
     /// The connection broke, or the endpoint failed.
     Broke = 3,
     /// The endpoint refused it.
     Refused = 4,
-    /// The endpoint was not reached.
+    /// The endpoint could not be reached.
     Unreachable = 5,
-    /// It was not sent, or its caller left.
+    /// The request was not sent, or its caller disconnected.
     Dropped = 6,
 }
 impl PlacementCourse {
