--- a/crates/firdock-core/src/content.rs
+++ b/crates/firdock-core/src/content.rs
@@ -1,7 +1,7 @@
-//! Identity of a request's content, by which a request that comes again is known as the same.
+//! Content id of a request, which identifies repeated submissions of the same request.
 //!
-//! An id is minted anew with each try, and names of services change with the configuration; what an
-//! endpoint runs is the same as long as account, method, target and body are.
+//! Each attempt has a new request id, and names of services change with the configuration. The work of an
+//! endpoint is the same as long as account, method, target and body are.
 
 use std::fmt::{self, Display, Formatter};
 use std::str::FromStr;
@@ -11,28 +11,28 @@
 use sha2::{Digest, Sha256};
 use snafu::Snafu;
 
-/// Bytes of an identity: too many for anyone to find another request that has the same.
+/// Length of an id in bytes: long enough to make it infeasible to find a second request with the same id.
 const ID_BYTES: usize = 16;
-/// Bytes of a path that are kept for operators.
+/// Maximum length of the path shown to operators, in bytes.
 const PATH_BYTES: usize = 128;
 
 /// Hash of account, method, target and body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ContentId([u8; ID_BYTES]);
 
-/// The text is not the name of a content.
+/// The text is not a content id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 #[snafu(display("expected {} hexadecimal digits", 2 * ID_BYTES))]
 pub struct BadContentId;
 
 impl ContentId {
-    /// Gives the bytes, as messages carry them.
+    /// Returns the bytes as encoded in messages.
     #[must_use]
     pub fn as_bytes(&self) -> &[u8] {
         &self.0
     }
 
-    /// Reads the bytes of a message; `None` where they are too many or too few.
+    /// Decodes the bytes of a message; `None` if their number is wrong.
     #[must_use]
     pub fn from_bytes(bytes: &[u8]) -> Option<Self> {
         bytes.try_into().ok().map(Self)
@@ -71,24 +71,24 @@
     }
 }
 
-/// What a request asks for, with the part of it that operators are shown.
+/// Content id of a request, with the part of the request that is shown to operators.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Content {
-    /// Identity.
+    /// Hash of the content.
     pub id: ContentId,
-    /// Method and path, without the query, which may hold what is nobody's business.
+    /// Method and path, without the query, which may contain private data.
     pub path: Arc<str>,
 }
 
 impl Content {
-    /// Takes the identity of a request.
+    /// Computes the content id of a request.
     ///
-    /// The hash is cryptographic, so that no account can make a request that passes for another's.
+    /// The hash is cryptographic, so that no account can forge a request with the id of another one's.
     #[must_use]
     pub fn new(account: &str, method: &str, target: &str, body: &[u8]) -> Self {
         let mut hash = Sha256::new();
         for part in [account, method, target] {
-            // The length keeps parts apart, whatever they hold.
+            // The length prefix makes the concatenation of the parts unambiguous.
             hash.update((part.len() as u64).to_be_bytes());
             hash.update(part);
         }
--- a/crates/firdock-core/src/credential.rs
+++ b/crates/firdock-core/src/credential.rs
@@ -1,4 +1,4 @@
-//! Client accounts' bearer keys: hashed in resources, compared in constant time.
+//! Bearer keys of client accounts: stored as hashes in resources and compared in constant time.
 
 use sha2::{Digest, Sha256};
 use subtle::ConstantTimeEq;
@@ -6,13 +6,13 @@
 /// SHA-256 of a bearer key.
 pub type KeyHash = [u8; 32];
 
-/// Hashes a bearer key as Account resources hold it.
+/// Hashes a bearer key as stored in account resources.
 #[must_use]
 pub fn hash_bearer(key: &str) -> KeyHash {
     Sha256::digest(key.as_bytes()).into()
 }
 
-/// Writes a hash as lower-case hexadecimal digits.
+/// Formats a hash as lower-case hexadecimal digits.
 #[must_use]
 pub fn to_hex(hash: &KeyHash) -> String {
     use std::fmt::Write as _;
@@ -23,7 +23,7 @@
     text
 }
 
-/// Reads a hash from 64 hexadecimal digits; `None` for anything else.
+/// Parses a hash from 64 hexadecimal digits; `None` for any other text.
 #[must_use]
 pub fn from_hex(text: &str) -> Option<KeyHash> {
     if text.len() != 64 || !text.is_ascii() {
@@ -36,7 +36,7 @@
     Some(hash)
 }
 
-/// Compares two hashes without a time that tells where they differ.
+/// Compares two hashes in constant time, so that the duration does not reveal where they differ.
 #[must_use]
 pub fn matches(a: &KeyHash, b: &KeyHash) -> bool {
     a.ct_eq(b).into()
--- a/crates/firdock-core/src/finding.rs
+++ b/crates/firdock-core/src/finding.rs
@@ -1,20 +1,20 @@
-//! Findings about bad input, collected with their place and reported together.
+//! Findings about invalid input, collected with their location and reported together.
 //!
-//! An operator who mends a file wants to see every fault at once, so checks push findings here
+//! An operator who corrects a file wants to see all errors at once, so checks add findings here
 //! instead of stopping at the first (see `docs/design/style.md`).
 
 use std::fmt::{self, Display, Formatter};
 
 use serde::{Deserialize, Serialize};
 
-/// One fault in a settings file, a resource file or a request to the resource API.
+/// One error in a settings file, a resource file or a request to the resource API.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Finding {
-    /// Line in the source, counted from 1; `None` where the input has no lines (JSON bodies).
+    /// Line in the source, counted from 1; `None` if the input has no lines (JSON bodies).
     pub line: Option<usize>,
     /// Path of the field, such as `limits.max_held`; empty for the input as a whole.
     pub path: String,
-    /// What is wrong and what would be right.
+    /// Description of the error and of the expected value.
     pub message: String,
 }
 
@@ -30,12 +30,12 @@
     }
 }
 
-/// A list of findings that grows while a check runs.
+/// A list of findings, filled by checks.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Findings(Vec<Finding>);
 
 impl Findings {
-    /// Makes an empty list.
+    /// Creates an empty list.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
@@ -55,30 +55,30 @@
         self.0.extend(other.0);
     }
 
-    /// Fills in the lines of findings that have none, by their paths.
+    /// Sets the line of each finding that has none, looked up by its path.
     pub fn locate(&mut self, line_of: impl Fn(&str) -> Option<usize>) {
         for finding in self.0.iter_mut().filter(|f| f.line.is_none()) {
             finding.line = line_of(&finding.path);
         }
     }
 
-    /// Tells whether nothing was found.
+    /// Returns whether there are no findings.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Gives the findings in the order in which they were found.
+    /// Returns the findings in the order in which they were added.
     #[must_use]
     pub fn as_slice(&self) -> &[Finding] {
         &self.0
     }
 
-    /// Gives `value` where nothing was found, else the findings.
+    /// Returns `value` if there are no findings.
     ///
     /// # Errors
     ///
-    /// Returns the list itself when it holds at least one finding.
+    /// Returns the list itself if it has at least one finding.
     pub fn into_result<T>(self, value: T) -> Result<T, Self> {
         if self.is_empty() {
             Ok(value)
--- a/crates/firdock-core/src/ids.rs
+++ b/crates/firdock-core/src/ids.rs
@@ -1,25 +1,25 @@
-//! Type aliases for the ids that cross crate borders.
+//! Type aliases for the ids that are used across crates.
 //!
-//! Aliases keep signatures telling without conversions at each border, as the house style asks
+//! Aliases make signatures descriptive without conversions between crates, as the style guide requires
 //! (see `docs/design/style.md`).
 
 use uuid::Uuid;
 
 /// Id of one request at one entry instance, generated at the ingress.
 pub type RequestId = Uuid;
-/// Name of an entry instance, as the platform's instance list and the settings give it.
+/// Name of an entry instance, as in the platform's instance list and the settings.
 pub type InstanceId = String;
 /// Name of an endpoint: a model engine or a plain application server.
 pub type EndpointId = String;
-/// Name of one start of an endpoint: its id, and the time of the start where the platform tells it.
+/// Name of one start of an endpoint: its id, and the start time if the platform reports it.
 pub type StartId = String;
 /// Name of a client account.
 pub type AccountId = String;
-/// Name of a service, which requests are matched to.
+/// Name of a service, to which requests are matched.
 pub type ServiceId = String;
-/// Name of a pool: endpoints that take the same work.
+/// Name of a pool: a set of endpoints that accept the same work.
 pub type PoolId = String;
-/// Version of the software that an endpoint runs, as the endpoint tells it; empty where it does not.
+/// Version of the software that an endpoint runs, as reported by the endpoint; empty if not reported.
 pub type SoftwareVersion = String;
 /// Name of a tier.
 pub type TierId = String;
@@ -29,5 +29,5 @@
 pub type TierRank = u8;
 /// Position of a record in the platform's log, counted from 0.
 pub type Offset = u64;
-/// Version of a resource: the offset of the record that set it, plus one; 0 means "absent".
+/// Version of a resource: the offset of the record that set it, plus one; 0 if the resource is absent.
 pub type Version = u64;
--- a/crates/firdock-core/src/lib.rs
+++ b/crates/firdock-core/src/lib.rs
@@ -1,7 +1,7 @@
-//! The vocabulary that every part of firdock shares: ids, tiers, outcomes, resources, settings.
+//! Types shared by all crates of firdock: ids, tiers, outcomes, resources and settings.
 //!
-//! This crate does no I/O and knows no other crate of the workspace, so that the policy, the fold
-//! of the log and the daemons agree on one meaning of each word (see `docs/GLOSSARY.md`).
+//! This crate does no I/O and depends on no other crate of the workspace, so that the policy, the fold
+//! of the log and the daemons use the same definition of each term (see `docs/GLOSSARY.md`).
 
 pub mod content;
 pub mod credential;
--- a/crates/firdock-core/src/outcome.rs
+++ b/crates/firdock-core/src/outcome.rs
@@ -1,6 +1,6 @@
-//! The outcome that each request ends in, and the reason that callers are told.
+//! Outcome of a request, and the reason that is returned to the caller.
 //!
-//! Every request ends in exactly one outcome. What each promises is set out in `docs/PROVED.md`.
+//! Every request ends in exactly one outcome. `docs/PROVED.md` states what each one guarantees.
 
 use std::fmt::{self, Display, Formatter};
 
@@ -10,16 +10,16 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// The endpoint's answer was passed on.
+    /// The endpoint's answer was forwarded.
     Answered,
-    /// The request provably ran nowhere; the caller may send it again.
+    /// The request provably did not run at any endpoint; the caller may retry it.
     NotRun,
-    /// The request may have run; firdock does not dispatch it again if it may not be repeated.
+    /// The request may have run; firdock does not dispatch it again unless it is repeatable.
     Unknown,
 }
 
 impl Outcome {
-    /// Gives the header's value.
+    /// Returns the value of the header.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -40,42 +40,42 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reason {
-    /// More work was held than the instance or the account may hold.
+    /// The instance or the account exceeded its limit on held work.
     Overload,
-    /// The same, and the account had more than its share of what was done.
+    /// The same, and the account had received more than its share of the work.
     OverShare,
     /// The request waited longer than its tier allows.
     WaitedTooLong,
-    /// No endpoint of the service can take work.
+    /// No endpoint of the service can accept work.
     NoEndpoint,
-    /// All endpoints that could take it want no request for longer than the caller can wait.
+    /// All suitable endpoints are backing off for longer than the caller can wait.
     BackingOff,
-    /// Endpoints ended one after the other under requests with the same content.
+    /// Several endpoints exited in succession while they ran requests with the same content.
     EndsEndpoints,
     /// The endpoint stopped answering after the request was sent.
     EndpointLost,
-    /// The link to a peer broke after the request was handed over.
+    /// The connection to a peer was lost after the request was handed over.
     PeerLost,
     /// The idempotency key belongs to a request that is still running.
     KeyInUse,
     /// The idempotency key was used for another request.
     KeyMismatch,
-    /// The key is too old, or changed owner too recently, to tell whether it ran.
+    /// The key is too old, or changed owner too recently, to determine whether its request ran.
     KeyUncertain,
-    /// The key's owner cannot be confirmed while the log is out of reach.
+    /// The key's owner cannot be confirmed while the log is unreachable.
     KeyUnconfirmed,
-    /// The caller went away.
+    /// The caller disconnected.
     CallerLeft,
-    /// The request's time was up.
+    /// The time limit of the request expired.
     TimedOut,
-    /// The account had more than its limit served.
+    /// The account exceeded its rate limit.
     RateLimited,
-    /// The instance cannot tell whether its configuration is still the one in force.
+    /// The instance cannot determine whether its configuration is still in force.
     StateStale,
 }
 
 impl Reason {
-    /// Gives the reason as it appears in logs, metrics and problem documents.
+    /// Returns the reason as written to logs, metrics and problem documents.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -98,8 +98,8 @@
         }
     }
 
-    /// Gives the HTTP status that goes with the reason and the outcome: 429 and 503 say that a request
-    /// has not run, so that what may have run gets neither.
+    /// Returns the HTTP status for the reason and the outcome. 429 and 503 state that a request has not run,
+    /// so they are never used for a request that may have run.
     #[must_use]
     pub fn status(self, outcome: Outcome) -> u16 {
         match (self, outcome) {
--- a/crates/firdock-core/src/prefix.rs
+++ b/crates/firdock-core/src/prefix.rs
@@ -1,23 +1,23 @@
-//! Chained hashes of a prompt's blocks, by which firdock and engines name cached prefixes.
+//! Chained hashes of a prompt's blocks, which firdock and engines use to identify cached prefixes.
 //!
-//! Equal chains mean equal text up to that block, so a cache event or an own dispatch tells which
-//! part of a later prompt need not be computed again (see `docs/design/routing.md`).
+//! Equal hashes mean equal text up to that block, so a cache event or an own dispatch shows which
+//! part of a later prompt does not have to be computed again (see `docs/design/routing.md`).
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Hash of a prompt from its start to the end of one block.
 pub type BlockHash = u64;
 
-/// Bytes of prompt text in a block.
+/// Length of a block of prompt text, in bytes.
 pub const BLOCK_BYTES: usize = 512;
-/// Blocks of one prompt that are hashed; the rest of a longer prompt counts as uncached.
+/// Maximum number of blocks hashed per prompt; the rest of a longer prompt counts as uncached.
 pub const MAX_BLOCKS: usize = 512;
-/// Bytes of text that make about one token, for estimates before an engine has counted.
+/// Approximate length of a token in bytes, for estimates before an engine has counted the tokens.
 pub const BYTES_PER_TOKEN: usize = 4;
-/// Tokens in a block.
+/// Approximate number of tokens in a block.
 pub const BLOCK_TOKENS: u32 = (BLOCK_BYTES / BYTES_PER_TOKEN) as u32;
 
-/// Hashes the whole blocks of `text`, each chained to the one before.
+/// Hashes the complete blocks of `text`, each chained to the previous one.
 #[must_use]
 pub fn block_hashes(text: &[u8]) -> Vec<BlockHash> {
     let mut seed = 0;
@@ -29,7 +29,7 @@
     hashes
 }
 
-/// Estimates the tokens in a text of `bytes` bytes.
+/// Estimates the number of tokens in a text of `bytes` bytes.
 #[must_use]
 pub fn estimate_tokens(bytes: usize) -> u32 {
     u32::try_from(bytes.div_ceil(BYTES_PER_TOKEN)).unwrap_or(u32::MAX)
--- a/crates/firdock-core/src/rendezvous.rs
+++ b/crates/firdock-core/src/rendezvous.rs
@@ -1,11 +1,11 @@
-//! Rendezvous hashing: every instance picks the same member for a key without talking.
+//! Rendezvous hashing: all instances select the same member for a key without communication.
 //!
-//! A member that comes or goes moves only its own keys, which is why this was chosen over a ring
+//! A member that joins or leaves moves only its own keys, which is why this was chosen over a hash ring
 //! (see `docs/design/membership.md`).
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Gives the weight of `member` for `key`; the highest weight owns the key.
+/// Returns the weight of `member` for `key`; the member with the highest weight owns the key.
 #[must_use]
 pub fn weight(key: u64, member: &str) -> u64 {
     xxh3_64_with_seed(member.as_bytes(), key)
@@ -17,7 +17,7 @@
     xxh3_64_with_seed(text, 0)
 }
 
-/// Picks the owner of `key` among `members`; ties go to the greater name.
+/// Selects the owner of `key` among `members`; ties go to the greater name.
 pub fn owner<'a>(key: u64, members: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
     members.into_iter().max_by_key(|m| (weight(key, m), *m))
 }
--- a/crates/firdock-core/src/resource.rs
+++ b/crates/firdock-core/src/resource.rs
@@ -1,6 +1,6 @@
 //! The resources that operators declare: endpoints, tiers, client accounts and services.
 //!
-//! They are written through the resource API, kept in the platform's log and folded by every
+//! They are written through the resource API, stored in the platform's log and folded by every
 //! instance (see `docs/operators/resources.md`).
 
 mod account;
@@ -26,28 +26,28 @@
 
 use crate::Findings;
 
-/// Longest name of a resource, in bytes.
+/// Maximum length of a resource name, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
 
 /// The kinds of resource.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
-    /// A back end that answers requests.
+    /// An endpoint that answers requests.
     Endpoint,
-    /// A class of requests by importance.
+    /// A priority class of requests.
     Tier,
-    /// A customer of the site.
+    /// A client account.
     Account,
-    /// A group of requests that are served alike.
+    /// A group of requests that are handled in the same way.
     Service,
 }
 
 impl Kind {
-    /// Every kind, in the order in which resources are applied.
+    /// All kinds, in the order in which resources are applied.
     pub const ALL: [Self; 4] = [Self::Tier, Self::Account, Self::Service, Self::Endpoint];
 
-    /// Gives the kind's name in files and paths.
+    /// Returns the name of the kind in files and paths.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -65,7 +65,7 @@
     }
 }
 
-/// Text that names no kind of resource.
+/// The text is not a kind of resource.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UnknownKind(pub String);
 
@@ -100,7 +100,7 @@
 }
 
 impl ResourceKey {
-    /// Makes a key.
+    /// Creates a key.
     pub fn new(kind: Kind, name: impl Into<String>) -> Self {
         Self {
             kind,
@@ -119,7 +119,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "lowercase")]
 pub enum Resource {
-    /// A back end.
+    /// An endpoint.
     Endpoint(Endpoint),
     /// A tier.
     Tier(Tier),
@@ -130,7 +130,7 @@
 }
 
 impl Resource {
-    /// Gives the key under which the resource is kept.
+    /// Returns the key under which the resource is stored.
     #[must_use]
     pub fn key(&self) -> ResourceKey {
         match self {
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Checks the resource by itself, adding a finding for each bad field.
+    /// Checks the resource on its own and adds a finding for each invalid field.
     pub fn check(&self, line: Option<usize>, path: &str, found: &mut Findings) {
         check_name(&self.key().name, line, path, found);
         match self {
--- a/crates/firdock-core/src/resource/account.rs
+++ b/crates/firdock-core/src/resource/account.rs
@@ -1,4 +1,4 @@
-//! Client accounts and their shares.
+//! Client accounts, their shares and rate limits.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,7 +6,7 @@
 use crate::credential::{self, KeyHash};
 use crate::{AccountId, Findings, TierRank};
 
-/// A customer of the site.
+/// A client account.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Account {
@@ -14,19 +14,19 @@
     pub name: AccountId,
     /// SHA-256 of the bearer key, as 64 hexadecimal digits.
     pub key_sha256: String,
-    /// SHA-256 of further bearer keys, so that a key can be replaced while the old one still holds.
+    /// SHA-256 of further bearer keys, so that a key can be replaced while the old one is still valid.
     pub more_keys: Vec<String>,
-    /// Importance against other accounts: 0 goes first, before the tiers of the services.
+    /// Priority among accounts: 0 is the highest. It takes precedence over the tiers of the services.
     pub rank: u8,
-    /// What the account may have served over all instances; none for no limit.
+    /// Rate limit of the account over all instances; `None` if unlimited.
     pub limit: Option<RateLimit>,
-    /// Weight against other accounts of the same tier.
+    /// Weight relative to other accounts of the same tier.
     pub share: f64,
-    /// Weight in `limits.account_shares`, where a platform's adapter makes it from what its operator
-    /// declares; the share where none is given.
+    /// Weight for `limits.account_shares`, if a platform's adapter derives it from what its operator
+    /// declares. Defaults to the share.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub weight: Option<f64>,
-    /// Requests of this account that one instance holds before it sheds the account's own first.
+    /// Number of the account's requests that one instance holds before it sheds this account's requests first.
     pub max_held: u32,
 }
 
@@ -46,23 +46,23 @@
 }
 
 impl Account {
-    /// Name of the account that callers without a key share, at services that are public.
+    /// Name of the account shared by callers without a key, for public services.
     pub const ANONYMOUS: &'static str = "anonymous";
 
-    /// Greatest rank, so that the ranks of requests stay few (see [`request_rank`]).
+    /// Maximum rank. It keeps the number of request ranks small (see [`request_rank`]).
     pub const MAX_RANK: u8 = 3;
 
-    /// Least and greatest weight, so that no account is left with nothing.
+    /// Minimum and maximum weight, so that every account receives some share.
     pub const WEIGHTS: (f64, f64) = (0.01, 100.0);
 
-    /// Gives its weight against others of its rank where room is short.
+    /// Returns the weight relative to other accounts of the same rank when capacity is short.
     #[must_use]
     pub fn weight(&self) -> f64 {
         let weight = self.weight.unwrap_or(self.share);
         weight.clamp(Self::WEIGHTS.0, Self::WEIGHTS.1)
     }
 
-    /// Gives the hashes of all its bearer keys; a text that is no hash is left out.
+    /// Returns the hashes of all bearer keys of the account, skipping invalid hashes.
     pub fn key_hashes(&self) -> impl Iterator<Item = KeyHash> + '_ {
         let keys = std::iter::once(&self.key_sha256).chain(&self.more_keys);
         keys.filter_map(|key| credential::from_hex(key))
@@ -126,28 +126,28 @@
     }
 }
 
-/// What a [`RateLimit`] counts.
+/// Unit of a [`RateLimit`].
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LimitUnit {
     /// Each request counts as one.
     #[default]
     Requests,
-    /// A request counts as its prompt's tokens and the most that its answer may have.
+    /// Each request counts as the tokens of its prompt plus the maximum tokens of its answer.
     Tokens,
 }
 
-/// A limit over all instances together.
+/// A rate limit that applies to all instances together.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RateLimit {
-    /// Units a second.
+    /// Units per second.
     pub per_second: f64,
-    /// Units that may be saved up.
+    /// Maximum number of unused units that accumulate.
     pub burst: f64,
-    /// What is counted.
+    /// Unit that is counted.
     pub unit: LimitUnit,
-    /// Tokens that a request without token counts stands for.
+    /// Number of tokens charged for a request without token counts.
     pub plain_tokens: u32,
 }
 
@@ -157,7 +157,7 @@
         sane(self.per_second) && sane(self.burst)
     }
 
-    /// Gives what a request of `tokens` tokens counts as; 0 for one that names none.
+    /// Returns the units charged for a request of `tokens` tokens, 0 meaning that it has no token count.
     #[must_use]
     pub fn cost(&self, tokens: u32) -> f64 {
         match self.unit {
@@ -168,20 +168,20 @@
     }
 }
 
-/// Tiers told apart within one rank of accounts; lower ones share the last.
+/// Number of distinct tiers within one account rank; lower tiers share the last one.
 const TIERS_PER_ACCOUNT: u8 = 4;
 
-/// Gives the last of the ranks kept for accounts of a rank; tiers below the fourth of accounts of rank
-/// 0 go after it.
+/// Returns the last request rank reserved for an account rank. Tiers below the fourth of accounts of rank
+/// 0 rank lower.
 #[must_use]
 pub fn last_rank(account: u8) -> TierRank {
     request_rank(account, TIERS_PER_ACCOUNT - 1)
 }
 
-/// Gives the rank of a request: the account's rank goes before the tier's.
+/// Returns the rank of a request. The account's rank takes precedence over the tier's.
 ///
-/// Accounts of rank 0 keep all ranks of tiers apart, so that a site without ranked accounts goes
-/// by tiers alone.
+/// All tier ranks stay distinct for accounts of rank 0, so that a site without ranked accounts uses
+/// tiers alone.
 #[must_use]
 pub fn request_rank(account: u8, tier: TierRank) -> TierRank {
     if account == 0 {
--- a/crates/firdock-core/src/resource/catalog.rs
+++ b/crates/firdock-core/src/resource/catalog.rs
@@ -1,14 +1,14 @@
-//! All resources in force at one version, sorted by kind.
+//! All resources in force at one version, grouped by kind.
 
 use serde::{Deserialize, Serialize};
 
 use super::{Account, Endpoint, Resource, Rollout, Service, Tier};
 use crate::{Findings, Version};
 
-/// The declared resources at one version, as the policy takes them.
+/// The declared resources at one version, as input of the policy.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Catalog {
-    /// Version of the newest change among them.
+    /// Version of the newest change.
     pub version: Version,
     /// Tiers.
     pub tiers: Vec<Tier>,
@@ -18,13 +18,13 @@
     pub services: Vec<Service>,
     /// Endpoints.
     pub endpoints: Vec<Endpoint>,
-    /// Roll-outs that operators ordered, at most one of each pool.
+    /// Rollouts ordered by operators, at most one per pool.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub rollouts: Vec<Rollout>,
 }
 
 impl Catalog {
-    /// Makes an empty catalog at `version`.
+    /// Creates an empty catalog at `version`.
     #[must_use]
     pub fn new(version: Version) -> Self {
         Self {
--- a/crates/firdock-core/src/resource/endpoint.rs
+++ b/crates/firdock-core/src/resource/endpoint.rs
@@ -8,18 +8,18 @@
 use super::require;
 use crate::{EndpointId, Findings, PoolId, ServiceId, SoftwareVersion, StartId, ZoneId};
 
-/// What stands behind an endpoint.
+/// Type of the server at an endpoint.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum EndpointKind {
-    /// A model engine that batches continuously.
+    /// A model engine with continuous batching.
     #[default]
     Engine,
     /// A plain application server.
     Plain,
 }
 
-/// A back end that answers requests of some services.
+/// A server that answers requests of some services.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Endpoint {
@@ -27,29 +27,29 @@
     pub name: EndpointId,
     /// Engine or plain server.
     pub backend: EndpointKind,
-    /// IP number and port.
+    /// IP address and port.
     pub address: Option<SocketAddr>,
     /// Availability zone.
     pub zone: ZoneId,
-    /// Services whose requests it takes.
+    /// Services whose requests it accepts.
     pub services: Vec<ServiceId>,
-    /// Pool that it belongs to, for services that split their requests over pools; empty for none.
+    /// Pool of the endpoint, for services that split their requests over pools; empty if there is none.
     pub pool: PoolId,
-    /// Requests that it works on at once without queueing.
+    /// Number of requests that it processes concurrently without queueing.
     pub slots: u32,
-    /// Prompt tokens computed a second, before firdock has learned better.
+    /// Prompt tokens processed per second, used until firdock has measured the rate.
     pub prefill_rate: f64,
-    /// Milliseconds for each generated token, before firdock has learned better.
+    /// Milliseconds per generated token, used until firdock has measured the time.
     pub token_millis: f64,
-    /// Tokens that one event of its streams holds, for engines that do not say it themselves.
+    /// Tokens per stream event, for engines that do not report it themselves.
     pub event_tokens: u32,
-    /// Declares that the endpoint is leaving: it gets no new work.
+    /// Whether the endpoint is shutting down and must receive no new work.
     pub leaving: bool,
-    /// Version of its software, by which roll-outs tell endpoints apart.
+    /// Version of its software, by which rollouts distinguish endpoints.
     #[serde(skip_serializing_if = "SoftwareVersion::is_empty")]
     pub version: SoftwareVersion,
-    /// Unix time at which it started; a later start under the same name is another endpoint, which
-    /// knows nothing of what the earlier one had (`docs/design/restarts.md`).
+    /// Unix time at which it started. A later start under the same name is another endpoint, which has
+    /// none of the state of the earlier one (`docs/design/restarts.md`).
     #[serde(skip_serializing_if = "Option::is_none")]
     pub started: Option<Duration>,
 }
@@ -75,17 +75,17 @@
 }
 
 impl Endpoint {
-    /// Most requests that one endpoint may be declared to work on at once.
+    /// Maximum declared number of concurrent requests of one endpoint.
     pub const MAX_SLOTS: u32 = 4096;
 
-    /// Gives the declared time for each token, in seconds.
+    /// Returns the declared time per token, in seconds.
     #[must_use]
     pub fn token_secs(&self) -> f64 {
         self.token_millis / 1000.0
     }
 
-    /// Gives the name of this start of the endpoint, by which instances tell its starts apart: the
-    /// endpoint's own name where no start is told.
+    /// Returns the name of this start of the endpoint, by which instances distinguish its starts. This is the
+    /// endpoint's own name if no start time is known.
     #[must_use]
     pub fn start_id(&self) -> StartId {
         match self.started {
--- a/crates/firdock-core/src/resource/file.rs
+++ b/crates/firdock-core/src/resource/file.rs
@@ -1,4 +1,4 @@
-//! Reading of resources from TOML files and JSON bodies.
+//! Parsing of resources from TOML files and JSON bodies.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 use crate::Findings;
 use crate::table::{Source, SpannedTable, add_syntax, read_object, read_table};
 
-/// Reads a file of `[[tier]]`, `[[account]]`, `[[service]]` and `[[endpoint]]` tables.
+/// Parses a file of `[[tier]]`, `[[account]]`, `[[service]]` and `[[endpoint]]` tables.
 ///
 /// # Errors
 ///
@@ -38,7 +38,7 @@
     found.into_result(resources)
 }
 
-/// Reads one resource of `kind` from a JSON body.
+/// Parses one resource of `kind` from a JSON body.
 ///
 /// # Errors
 ///
--- a/crates/firdock-core/src/resource/rollout.rs
+++ b/crates/firdock-core/src/resource/rollout.rs
@@ -1,4 +1,4 @@
-//! Roll-outs: the move of a pool's traffic to endpoints of another software version.
+//! Rollouts: moving a pool's traffic to endpoints of another software version.
 
 use std::time::Duration;
 
@@ -8,22 +8,22 @@
 
 /// An operator's order to move a pool's traffic to the endpoints of one software version.
 ///
-/// How it is carried out, and when it is taken back, stands in `docs/design/rollouts.md`.
+/// `docs/design/rollouts.md` describes how it is carried out and when it is rolled back.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rollout {
     /// Pool whose traffic moves.
     pub pool: PoolId,
-    /// Version that it moves to; its endpoints may be starting still.
+    /// Target version; its endpoints may still be starting.
     pub version: SoftwareVersion,
-    /// Time within which the move has to be finished, in milliseconds.
+    /// Time limit for completing the rollout, in milliseconds.
     pub time_millis: u64,
-    /// Position of the order in the platform's log: a later order replaces an earlier one, and one
-    /// that is read again is told apart from a new one of the same content.
+    /// Offset of the order in the platform's log. A later order replaces an earlier one, and the offset
+    /// distinguishes an order that is read again from a new one with the same content.
     pub order: Offset,
 }
 
 impl Rollout {
-    /// Gives the time within which the move has to be finished.
+    /// Returns the time limit for completing the rollout.
     #[must_use]
     pub fn time(&self) -> Duration {
         Duration::from_millis(self.time_millis)
--- a/crates/firdock-core/src/resource/service.rs
+++ b/crates/firdock-core/src/resource/service.rs
@@ -1,4 +1,4 @@
-//! Services: which requests belong together, their tier and whether they may be repeated.
+//! Services: how requests are grouped, their tier and whether they may be repeated.
 
 use std::time::Duration;
 
@@ -14,11 +14,11 @@
     /// OpenAI-compatible calls, matched by model name.
     #[default]
     Model,
-    /// Plain HTTP calls, matched by the start of their path.
+    /// Plain HTTP calls, matched by path prefix.
     Plain,
 }
 
-/// A group of requests that are served alike.
+/// A group of requests that are handled in the same way.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[expect(
@@ -30,67 +30,67 @@
     pub name: ServiceId,
     /// Model calls or plain calls.
     pub protocol: ServiceKind,
-    /// Model name, or the start of the path.
+    /// Model name or path prefix.
     pub matches: String,
     /// Tier of its requests.
     pub tier: TierId,
-    /// Whether a request may run more than once; where not, it is dispatched once in all.
+    /// Whether a request may run more than once. If not, it is dispatched only once in total.
     pub repeatable: bool,
     /// Accounts that may call it; empty for all.
     pub accounts: Vec<String>,
-    /// Host that callers name; empty for any.
+    /// Host requested by callers; empty for any.
     pub host: String,
-    /// Pools that its requests are split over by weight; empty where endpoints name the service.
+    /// Pools over which its requests are split by weight; empty if endpoints list the service.
     pub split: Vec<PoolWeight>,
-    /// Endpoints that may have worked on one request at most; 0 for no bound.
+    /// Maximum number of endpoints that may have worked on one request; 0 for no limit.
     pub attempts: u32,
-    /// Longest time from arrival to the end of the answer, in milliseconds; 0 for no bound.
+    /// Maximum time from arrival to the end of the answer, in milliseconds; 0 for no limit.
     pub timeout_millis: u64,
-    /// Whether its answers are streams of events.
+    /// Whether its answers are event streams.
     pub streamed: bool,
-    /// Longest time that its callers wait for the next event of a stream, in milliseconds; 0 where
-    /// that is not known.
+    /// Maximum time that its callers wait for the next event of a stream, in milliseconds; 0 if
+    /// unknown.
     pub patience_millis: u64,
-    /// Longest pause between two events of a stream with which an answer is good, in milliseconds; 0 for
-    /// no bound.
+    /// Maximum acceptable pause between two events of a stream, in milliseconds; 0 for
+    /// no limit.
     #[serde(skip_serializing_if = "is_zero")]
     pub gap_millis: u64,
-    /// Whether a stream that broke may go on at another endpoint, from its last event.
+    /// Whether an interrupted stream may be resumed at another endpoint after its last event.
     pub resumable: bool,
-    /// Whether it is open to callers without an account.
+    /// Whether callers without an account may call it.
     pub public: bool,
 }
 
-/// Part of a service's requests that goes to one pool.
+/// Weight of one pool in a service's split.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PoolWeight {
     /// Pool.
     pub pool: PoolId,
-    /// Weight against the other pools of the service.
+    /// Weight relative to the other pools of the service.
     pub weight: u32,
 }
 
 impl Service {
-    /// Gives the time limit of its requests, if there is one.
+    /// Returns the time limit of its requests, if there is one.
     #[must_use]
     pub fn timeout(&self) -> Option<Duration> {
         (self.timeout_millis > 0).then(|| Duration::from_millis(self.timeout_millis))
     }
 
-    /// Gives the longest time that its callers wait for the next event, if that is known.
+    /// Returns the maximum time that its callers wait for the next event, if known.
     #[must_use]
     pub fn patience(&self) -> Option<Duration> {
         (self.patience_millis > 0).then(|| Duration::from_millis(self.patience_millis))
     }
 
-    /// Gives the longest pause in its streams with which an answer is good, if there is one.
+    /// Returns the maximum acceptable pause in its streams, if there is one.
     #[must_use]
     pub fn gap(&self) -> Option<Duration> {
         (self.gap_millis > 0).then(|| Duration::from_millis(self.gap_millis))
     }
 
-    /// Picks the pool of a request by an evenly drawn number; `None` without a split.
+    /// Selects the pool of a request by a uniformly distributed random number; `None` without a split.
     #[must_use]
     pub fn pick_pool(&self, draw: u32) -> Option<&PoolId> {
         let total: u64 = self.split.iter().map(|p| u64::from(p.weight)).sum();
@@ -108,7 +108,7 @@
         None
     }
 
-    /// Gives the pools that its requests may go to; its own name stands for endpoints that name it.
+    /// Returns the pools to which its requests may be sent. Its own name stands for the endpoints that list it.
     pub fn pools(&self) -> impl Iterator<Item = &PoolId> {
         let own = self.split.is_empty().then_some(&self.name);
         self.split.iter().map(|p| &p.pool).chain(own)
--- a/crates/firdock-core/src/resource/tier.rs
+++ b/crates/firdock-core/src/resource/tier.rs
@@ -1,4 +1,4 @@
-//! Tiers: how important requests are, and how long they may wait.
+//! Tiers: priority and maximum wait of requests.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use super::require;
 use crate::{Findings, TierId, TierRank};
 
-/// A class of requests by importance.
+/// A priority class of requests.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Tier {
@@ -15,9 +15,9 @@
     pub name: TierId,
     /// 0 is served first and shed last.
     pub rank: TierRank,
-    /// Longest wait in firdock, in milliseconds, after which the request is given up.
+    /// Maximum wait in firdock, in milliseconds, after which the request is abandoned.
     pub wait_millis: u64,
-    /// Time to the first token or byte, in milliseconds, within which an answer is good.
+    /// Target for the time to the first token or byte, in milliseconds.
     pub target_millis: u64,
 }
 
@@ -33,16 +33,16 @@
 }
 
 impl Tier {
-    /// Greatest rank, so that tables by rank stay small.
+    /// Maximum rank. It keeps tables indexed by rank small.
     pub const MAX_RANK: TierRank = 15;
 
-    /// Gives the longest wait.
+    /// Returns the maximum wait.
     #[must_use]
     pub fn wait(&self) -> Duration {
         Duration::from_millis(self.wait_millis)
     }
 
-    /// Gives the target for the first token or byte.
+    /// Returns the target for the time to the first token or byte.
     #[must_use]
     pub fn target(&self) -> Duration {
         Duration::from_millis(self.target_millis)
--- a/crates/firdock-core/src/settings.rs
+++ b/crates/firdock-core/src/settings.rs
@@ -1,6 +1,6 @@
 //! Settings of an entry instance, read from TOML: one typed struct for each table.
 //!
-//! A process learns its addresses and availability zone here and nowhere else
+//! This is the only source of a process's addresses and availability zone
 //! (see `docs/operators/settings.md`).
 
 mod check;
@@ -21,28 +21,28 @@
 /// All settings of one entry instance.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Settings {
-    /// Name, zone and addresses.
+    /// Name, availability zone and addresses.
     pub instance: Instance,
-    /// Where the platform's log and instance list are.
+    /// Addresses of the platform's log and instance list.
     pub platform: Platform,
-    /// Links to the other instances.
+    /// Connections to the other instances.
     pub peers: Peers,
-    /// Bounds on what callers can make the instance hold.
+    /// Limits on the resources that callers can occupy at the instance.
     pub limits: Limits,
-    /// Time limits towards endpoints.
+    /// Timeouts and retry budget for endpoints.
     pub endpoints: Endpoints,
-    /// How old the configuration may be that requests are served by.
+    /// Maximum age of the configuration with which requests are served.
     pub freshness: Freshness,
-    /// How much a version may be tried before it is known to be good.
+    /// Limits on the traffic to a new version before it has proved to be good.
     pub rollouts: Rollouts,
     /// Handling of idempotency keys.
     pub keys: Keys,
-    /// What is logged.
+    /// Log level and spans.
     pub logging: Logging,
 }
 
 impl Settings {
-    /// Reads and checks the settings file of an instance with its own interface.
+    /// Parses and checks the settings file of an instance that runs with its native interface.
     ///
     /// # Errors
     ///
@@ -51,7 +51,7 @@
         Self::parse_for(Profile::Own, text)
     }
 
-    /// Reads and checks a settings file.
+    /// Parses and checks a settings file.
     ///
     /// # Errors
     ///
@@ -102,7 +102,7 @@
     }
 }
 
-/// Gives the line of each field that the file sets, by its path.
+/// Returns the line of each field set in the file, keyed by the path of the field.
 fn field_lines(
     src: Source<'_>,
     tables: &BTreeMap<Spanned<String>, SpannedTable>,
--- a/crates/firdock-core/src/settings/check.rs
+++ b/crates/firdock-core/src/settings/check.rs
@@ -1,25 +1,25 @@
-//! Checks of settings beyond the type of each field.
+//! Validation of settings beyond the type of each field.
 
 use super::Settings;
 use crate::Findings;
 
-/// Shortest shared key, in bytes.
+/// Minimum length of the shared key, in bytes.
 const MIN_KEY_BYTES: usize = 16;
-/// Most addresses of instances that are asked first: three are named by a platform, and each costs a
-/// start some time if it is down.
+/// Maximum number of seed addresses. A platform names three, and each one that is down delays the
+/// start.
 const MAX_SEEDS: usize = 16;
-/// Least budget for answers that wait, in bytes: a long answer has some hundred thousand, and a few have
-/// to fit beside each other.
+/// Minimum budget for buffered answers, in bytes. A long answer has some hundred thousand bytes, and
+/// several must fit at the same time.
 const MIN_ANSWER_BYTES: usize = 1 << 20;
-/// Names of the log levels.
+/// Valid log levels.
 const LEVELS: [&str; 4] = ["error", "warning", "info", "debug"];
 
-/// What an instance is started as, which decides which addresses it needs.
+/// Mode in which an instance runs. It determines which addresses are required.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Profile {
-    /// With its own interface for callers and operators, and the log and instance list.
+    /// With the native interface for callers and operators, and the log and instance list.
     Own,
-    /// At the edge of a platform, whose interface an adapter reads.
+    /// At the edge of a platform, whose interface is read by an adapter.
     Edge,
 }
 
--- a/crates/firdock-core/src/settings/tables.rs
+++ b/crates/firdock-core/src/settings/tables.rs
@@ -1,4 +1,4 @@
-//! The tables of the settings file and their defaults.
+//! Tables of the settings file and their defaults.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 
 use crate::{InstanceId, ZoneId};
 
-/// `[instance]`: name, zone and addresses.
+/// `[instance]`: name, availability zone and addresses.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Instance {
@@ -15,26 +15,26 @@
     pub name: InstanceId,
     /// Availability zone.
     pub zone: ZoneId,
-    /// Address of the ingress, where callers connect.
+    /// Address on which ingress, where callers connect.
     pub callers: Option<SocketAddr>,
     /// Address of the resource API, health and metrics.
     pub operators: Option<SocketAddr>,
-    /// Address on which peers connect; at the edge, on which heartbeats come.
+    /// Address on which peers connect. At the edge, address on which heartbeats are received.
     pub peers: Option<SocketAddr>,
-    /// Address at which the balancer asks whether the instance is ready, at the edge.
+    /// Address of the readiness check for the load balancer, at the edge.
     pub ready: Option<SocketAddr>,
-    /// Address of the metrics at the edge; elsewhere they are at the operators' address.
+    /// Address of the metrics at the edge. Otherwise they are served at the operators' address.
     pub metrics: Option<SocketAddr>,
-    /// Processor that the instance has, in cores; 0 where that is not known. The strongest of those
-    /// that hear each other lead.
+    /// CPU capacity of the instance, in cores; 0 if unknown. Among instances that receive each other's
+    /// heartbeats, those with the highest capacity lead.
     pub cores: f64,
-    /// Link that the instance has, in Mbit/s; 0 where that is not known. Answers to others that start go
-    /// no faster.
+    /// Network bandwidth of the instance, in Mbit/s; 0 if unknown. It limits the rate of state answers to
+    /// instances that start.
     pub link_mbits: f64,
 }
 
 impl Instance {
-    /// Gives the processor that the instance has, in thousandths of a core.
+    /// Returns the CPU capacity of the instance, in millicores.
     #[must_use]
     pub fn millicores(&self) -> u32 {
         (self.cores * 1_000.0)
@@ -51,15 +51,15 @@
     pub log: Option<SocketAddr>,
     /// Address of the instance list.
     pub instances: Option<SocketAddr>,
-    /// Time limit of one call, in milliseconds.
+    /// Timeout of one call, in milliseconds.
     pub call_millis: u64,
-    /// Pause between two reads of the log, in milliseconds.
+    /// Interval between reads of the log, in milliseconds.
     pub read_millis: u64,
-    /// Pause between two reads of the instance list, in milliseconds.
+    /// Interval between reads of the instance list, in milliseconds.
     pub list_millis: u64,
-    /// How long the log keeps records, in seconds.
+    /// Retention time of log records, in seconds.
     pub retention_seconds: u64,
-    /// Names of the parts of the platform's rules that are in force; its adapter knows them.
+    /// Names of the parts of the platform's rules that are in force. They are interpreted by its adapter.
     pub contracts: Vec<String>,
 }
 
@@ -78,43 +78,43 @@
 }
 
 impl Platform {
-    /// Gives the time limit of one call.
+    /// Returns the timeout of one call.
     #[must_use]
     pub fn call(&self) -> Duration {
         Duration::from_millis(self.call_millis)
     }
 
-    /// Gives the pause between two reads of the log.
+    /// Returns the interval between reads of the log.
     #[must_use]
     pub fn read(&self) -> Duration {
         Duration::from_millis(self.read_millis)
     }
 
-    /// Gives the pause between two reads of the instance list.
+    /// Returns the interval between reads of the instance list.
     #[must_use]
     pub fn list(&self) -> Duration {
         Duration::from_millis(self.list_millis)
     }
 
-    /// Gives the time for which the log keeps records.
+    /// Returns the retention time of log records.
     #[must_use]
     pub fn retention(&self) -> Duration {
         Duration::from_secs(self.retention_seconds)
     }
 }
 
-/// `[peers]`: links to the other instances.
+/// `[peers]`: connections to the other instances.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Peers {
-    /// Key that all instances share; a stranger without it gets in nowhere.
+    /// Key shared by all instances. Connections and datagrams without proof of it are rejected.
     pub shared_key: String,
-    /// Pause between heartbeats, in milliseconds.
+    /// Interval between heartbeats, in milliseconds.
     pub heartbeat_millis: u64,
-    /// Heartbeats missed before a peer's news counts as stale.
+    /// Number of missed heartbeats after which a peer's status is stale.
     pub missed_beats: u32,
-    /// Addresses of instances that are likely to be up, asked at the start for what they know; only
-    /// the IP numbers count, since heartbeats are taken at the same port everywhere.
+    /// Addresses of instances that are likely to be up, from which the state is requested at the start. Only
+    /// the IP addresses are used, since all instances receive heartbeats on the same port.
     pub seeds: Vec<SocketAddr>,
 }
 
@@ -130,47 +130,47 @@
 }
 
 impl Peers {
-    /// Gives the pause between heartbeats.
+    /// Returns the interval between heartbeats.
     #[must_use]
     pub fn heartbeat(&self) -> Duration {
         Duration::from_millis(self.heartbeat_millis)
     }
 
-    /// Gives the age at which a peer's news is stale.
+    /// Returns the age at which a peer's status is stale.
     #[must_use]
     pub fn stale_after(&self) -> Duration {
         self.heartbeat() * self.missed_beats
     }
 }
 
-/// `[limits]`: bounds on what callers can make the instance hold.
+/// `[limits]`: limits on the resources that callers can occupy at the instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Limits {
-    /// Connections from callers at once.
+    /// Maximum number of concurrent connections from callers.
     pub connections: usize,
-    /// Bytes in the head of a request.
+    /// Maximum length of the head of a request, in bytes.
     pub header_bytes: usize,
-    /// Time for a caller to send the head, in milliseconds.
+    /// Timeout for a caller to send the head, in milliseconds.
     pub header_millis: u64,
-    /// Bytes in the body of a request.
+    /// Maximum length of the body of a request, in bytes.
     pub body_bytes: usize,
-    /// Time for a caller to send the body, in milliseconds.
+    /// Timeout for a caller to send the body, in milliseconds.
     pub body_millis: u64,
-    /// Requests held at once.
+    /// Maximum number of requests held at the same time.
     pub max_held: usize,
-    /// Bytes of requests held or running at once.
+    /// Maximum total size of the requests held or running, in bytes.
     pub held_bytes: usize,
-    /// Bytes of answers that wait for their callers at once; 0 leaves an answer unread at its endpoint
-    /// while its caller does not read.
+    /// Maximum total size of answers buffered for their callers, in bytes. With 0, an answer is not read from
+    /// its endpoint while its caller does not read.
     pub answer_bytes: usize,
-    /// Seconds that a stop waits for streams to finish.
+    /// Maximum time that a shutdown waits for streams to finish, in seconds.
     pub stop_seconds: u64,
-    /// Whether accounts have shares by their weights of what endpoints do where room is short, so that
-    /// refusals go to those that are furthest over theirs.
+    /// Whether accounts get shares of the endpoints' work by their weights when capacity is short, so that
+    /// requests of the accounts furthest over their share are refused.
     pub account_shares: bool,
-    /// Whether an account's share is one over all its tiers, so that no flood of a high tier takes what
-    /// others have of lower ones; else each tier is shared by itself, the higher first.
+    /// Whether an account has one share over all its tiers, so that a flood in a high tier cannot take the
+    /// shares of others in lower tiers. Otherwise each tier is shared separately, the higher first.
     pub shares_over_tiers: bool,
 }
 
@@ -192,21 +192,21 @@
     }
 }
 
-/// `[endpoints]`: time limits towards endpoints, and the budget of second tries.
+/// `[endpoints]`: timeouts for endpoints, and the retry budget.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Endpoints {
-    /// Time limit for a connect, in milliseconds.
+    /// Connect timeout, in milliseconds.
     pub connect_millis: u64,
-    /// Longest silence of a running answer, in milliseconds, before it counts as lost.
+    /// Maximum time without data in a running answer, in milliseconds, before it counts as lost.
     pub silence_millis: u64,
-    /// Pause between two reads of an endpoint's report, in milliseconds.
+    /// Interval between reads of an endpoint's report, in milliseconds.
     pub report_millis: u64,
-    /// Second tries allowed, as a part of the first tries.
+    /// Retries allowed, as a fraction of the first attempts.
     pub retry_ratio: f64,
-    /// Second tries allowed on top, over all instances together; 0 for a bound of this instance alone.
+    /// Additional retries allowed over all instances together; 0 to limit only this instance by itself.
     pub retry_slack: f64,
-    /// Most endpoints of a service that may be ejected at once, as a part of all.
+    /// Maximum fraction of a service's endpoints that may be ejected at the same time.
     pub eject_ratio: f64,
 }
 
@@ -223,35 +223,35 @@
     }
 }
 
-/// Part of the time within which a revoked key must be out of use, after which requests with a key
-/// are refused: what is left covers the way to the endpoint and a slow process.
+/// Fraction of the time limit for key revocation after which requests with a key are refused. The rest
+/// covers the transfer to the endpoint and a slow process.
 const SERVE_PART: f64 = 0.8;
-/// Part of the time within which a change must be in force, after which something unknown may have
-/// been declared meanwhile.
+/// Fraction of the time limit for applying changes after which an unknown key or service may have been
+/// declared in the meantime.
 const DENY_PART: f64 = 0.6;
 
-/// `[freshness]`: how old the configuration may be that requests are served by.
+/// `[freshness]`: maximum age of the configuration with which requests are served.
 ///
-/// It is read from the platform again and again; one that may have been replaced unseen could let
-/// a key in that operators took away (see `docs/design/platform.md`).
+/// The configuration is read from the platform repeatedly. One that may have been replaced unnoticed could
+/// accept a key that operators have revoked (see `docs/design/platform.md`).
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Freshness {
-    /// Time within which a revoked key must be out of use, in milliseconds; 0 for no bound.
+    /// Time within which a revoked key must no longer be accepted, in milliseconds; 0 for no limit.
     pub revoke_millis: u64,
-    /// Time within which a change must be in force, in milliseconds; 0 for no bound.
+    /// Time within which a change must be in force, in milliseconds; 0 for no limit.
     pub apply_millis: u64,
 }
 
 impl Freshness {
-    /// Gives the age of the configuration beyond which requests with a key are refused.
+    /// Returns the age of the configuration beyond which requests with a key are refused.
     #[must_use]
     pub fn serve(&self) -> Option<Duration> {
         let revoke = Duration::from_millis(self.revoke_millis);
         (!revoke.is_zero()).then(|| revoke.mul_f64(SERVE_PART))
     }
 
-    /// Gives the age up to which an unknown key or service is refused for good.
+    /// Returns the age of the configuration up to which an unknown key or service is refused definitively.
     #[must_use]
     pub fn deny(&self) -> Duration {
         let apply = Duration::from_millis(self.apply_millis);
@@ -263,13 +263,13 @@
     }
 }
 
-/// `[rollouts]`: how much a version may be tried before it is known to be good.
+/// `[rollouts]`: limits on the traffic to a new version before it has proved to be good.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Rollouts {
-    /// Most requests that a bad version may get during its roll-out, as a part of all of its pool.
+    /// Maximum fraction of its pool's requests that a bad version may receive during its rollout.
     pub exposure_ratio: f64,
-    /// Requests that it may get on top, over all instances together.
+    /// Additional requests that it may receive, over all instances together.
     pub exposure_slack: f64,
 }
 
@@ -286,13 +286,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Keys {
-    /// Grace after a change of owner, in seconds (G in `docs/design/keys.md`).
+    /// Grace period after a change of owner, in seconds (G in `docs/design/keys.md`).
     pub grace_seconds: u64,
-    /// Seconds for which a key is remembered after its request ended.
+    /// Retention time of a key after its request ended, in seconds.
     pub keep_seconds: u64,
-    /// Keys remembered at once; beyond it, keyed requests are answered `not-run`.
+    /// Maximum number of keys retained. Beyond it, keyed requests are answered `not-run`.
     pub max_keys: usize,
-    /// Bytes of answers kept for resends of a key.
+    /// Maximum total size of answers cached for resends of a key, in bytes.
     pub answer_bytes: usize,
 }
 
@@ -308,26 +308,26 @@
 }
 
 impl Keys {
-    /// Gives the grace after a change of owner.
+    /// Returns the grace period after a change of owner.
     #[must_use]
     pub fn grace(&self) -> Duration {
         Duration::from_secs(self.grace_seconds)
     }
 
-    /// Gives the time for which a key is remembered.
+    /// Returns the retention time of a key.
     #[must_use]
     pub fn keep(&self) -> Duration {
         Duration::from_secs(self.keep_seconds)
     }
 }
 
-/// `[logging]`: what is logged, and where spans go.
+/// `[logging]`: log level and trace spans.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Logging {
     /// `error`, `warning`, `info` or `debug`.
     pub level: String,
-    /// Whether a line is written for each span of a trace.
+    /// Whether each span of a trace is written to the log.
     pub spans: bool,
 }
 
--- a/crates/firdock-core/src/table.rs
+++ b/crates/firdock-core/src/table.rs
@@ -1,7 +1,7 @@
-//! Reading of TOML and JSON tables into typed structs, with a finding for each bad key.
+//! Parses TOML and JSON tables into typed structs, with a finding for each invalid key.
 //!
-//! Serde alone stops at the first fault. Each key of a table is therefore tried by itself first:
-//! structs deny unknown fields and default every field, so a table of one key is a full test of
+//! Serde alone stops at the first error. Each key of a table is therefore first parsed by itself:
+//! structs deny unknown fields and default every field, so parsing a table of one key is a full check of
 //! that key.
 
 use std::collections::BTreeMap;
@@ -11,23 +11,23 @@
 
 use crate::Findings;
 
-/// A TOML table whose keys know their place in the source.
+/// A TOML table whose keys have their position in the source.
 pub type SpannedTable = BTreeMap<Spanned<String>, Value>;
 
-/// Source text that turns a byte offset into a line.
+/// Source text, for converting byte offsets to line numbers.
 #[derive(Debug, Clone, Copy)]
 pub struct Source<'a> {
     text: &'a str,
 }
 
 impl<'a> Source<'a> {
-    /// Wraps the text that was parsed.
+    /// Creates a source from the parsed text.
     #[must_use]
     pub fn new(text: &'a str) -> Self {
         Self { text }
     }
 
-    /// Gives the line, counted from 1, that holds byte `at`.
+    /// Returns the line of the byte at offset `at`, counted from 1.
     #[must_use]
     pub fn line(&self, at: usize) -> usize {
         let head = &self.text.as_bytes()[..at.min(self.text.len())];
@@ -35,9 +35,9 @@
     }
 }
 
-/// Reads one table into `T`, adding a finding for each key that is unknown or of the wrong type.
+/// Parses a table into `T` and adds a finding for each key that is unknown or of the wrong type.
 ///
-/// Returns `T`'s default where any finding was added, so that later checks can go on.
+/// Returns the default of `T` if a finding was added, so that later checks can continue.
 pub fn read_table<T>(src: Source<'_>, path: &str, table: SpannedTable, found: &mut Findings) -> T
 where
     T: DeserializeOwned + Default,
@@ -66,7 +66,7 @@
     })
 }
 
-/// Reads one JSON object into `T`, with findings as [`read_table`] gives them but without lines.
+/// Parses a JSON object into `T`, with the same findings as [`read_table`] but without lines.
 pub fn read_object<T>(path: &str, body: serde_json::Value, found: &mut Findings) -> T
 where
     T: DeserializeOwned + Default,
@@ -91,7 +91,7 @@
     })
 }
 
-/// Adds a syntax error of the TOML parser with its line.
+/// Adds a finding with the line for a syntax error of the TOML parser.
 pub fn add_syntax(src: Source<'_>, error: &toml::de::Error, found: &mut Findings) {
     let line = error.span().map(|s| src.line(s.start));
     found.add(line, "", first_line(error.message()));
--- a/crates/firdock-core/tests/core/outcomes.rs
+++ b/crates/firdock-core/tests/core/outcomes.rs
@@ -1,12 +1,12 @@
-//! What callers are told of outcomes.
+//! HTTP statuses returned for outcomes.
 
 use firdock_core::{Outcome, Reason};
 
-/// Statuses by which callers take it that a request has not run.
+/// Statuses from which callers conclude that a request has not run.
 const PROMISES: [u16; 4] = [408, 421, 429, 503];
 
-/// Finding 19: a request whose first try broke and whose second was given up for load may have run,
-/// and was told so by a status that says it has not.
+/// Finding 19: a request whose first attempt broke and whose second was abandoned because of load may
+/// have run, but was answered with a status that states that it has not.
 #[test]
 fn what_may_have_run_is_never_told_by_a_status_that_says_it_has_not() {
     for reason in [
--- a/crates/firdock-core/tests/core/resources.rs
+++ b/crates/firdock-core/tests/core/resources.rs
@@ -1,4 +1,4 @@
-//! Resource files: every finding at once, and rubbish is an error.
+//! Resource files: all findings are reported at once, and arbitrary input never panics.
 
 use firdock_core::Findings;
 use firdock_core::credential::{from_hex, hash_bearer, matches, to_hex};
--- a/crates/firdock-core/tests/core/settings.rs
+++ b/crates/firdock-core/tests/core/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: every finding at once, each with its line and field; rubbish is an error.
+//! Settings: all findings are reported at once with line and field, and arbitrary input never panics.
 
 use firdock_core::settings::Settings;
 use proptest::prelude::*;
