--- a/crates/firdock-node/src/config/follow.rs
+++ b/crates/firdock-node/src/config/follow.rs
@@ -98,7 +98,7 @@
         {
             Ok(batch) => {
                 self.backoff.reset();
-                let progress = self.follower.take(&batch);
+                let progress = self.follower.fold_batch(&batch);
                 self.publish();
                 self.after_read(
                     progress,
--- a/crates/firdock-node/src/config/write.rs
+++ b/crates/firdock-node/src/config/write.rs
@@ -72,7 +72,7 @@
     match hub.wait_for(READ_BACK, |h| h.result(id)) {
         Some(FoldOutcome::Accepted { version }) => Ok(version),
         Some(FoldOutcome::Outdated { present }) => OutdatedSnafu { present }.fail(),
-        Some(FoldOutcome::View | FoldOutcome::Ignored) => IgnoredSnafu.fail(),
+        Some(FoldOutcome::ViewChanged | FoldOutcome::Ignored) => IgnoredSnafu.fail(),
         None => UnsettledSnafu { id }.fail(),
     }
 }
--- a/crates/firdock-state/src/directory.rs
+++ b/crates/firdock-state/src/directory.rs
@@ -28,17 +28,17 @@
     count: u64,
 }
 
-/// Result of entering an entry into the directory.
+/// Result of applying an entry to the directory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Entered {
+pub enum ApplyOutcome {
     /// It changed the endpoints.
     Changed,
     /// It equals the entry that was known.
     Known,
     /// It is older than the entry that was known, and was ignored.
     Older,
-    /// It has no start although earlier entries of the endpoint had one, and was ignored.
-    Startless,
+    /// It lacks a start although earlier entries of the endpoint had one, and was ignored.
+    MissingStart,
 }
 
 /// Endpoints of the platform's list, by name.
@@ -67,7 +67,7 @@
     ///
     /// Call it after the entries of the read were put and removed. `steady_since` is the time of the first read
     /// after the list's last outage, by this instance or another one.
-    pub fn note_read(&mut self, now: Time, steady_since: Time) -> bool {
+    pub fn record_read(&mut self, now: Time, steady_since: Time) -> bool {
         if now < steady_since + GRACE {
             return false;
         }
@@ -80,29 +80,29 @@
     /// start.
     ///
     /// Entries of endpoints without a start are applied in the order of arrival, which is the platform's.
-    pub fn enter(&mut self, endpoint: Endpoint, count: u64) -> Entered {
+    pub fn apply(&mut self, endpoint: Endpoint, count: u64) -> ApplyOutcome {
         let known = self.newest.get(&endpoint.name).copied();
         let Some(started) = endpoint.started else {
             return match known {
-                Some(_) => Entered::Startless,
+                Some(_) => ApplyOutcome::MissingStart,
                 None => self.put_entry(endpoint),
             };
         };
         let order = EntryOrder { started, count };
         if known.is_some_and(|known| order < known) {
-            return Entered::Older;
+            return ApplyOutcome::Older;
         }
         self.newest.insert(endpoint.name.clone(), order);
-        let entered = self.put_entry(endpoint);
+        let outcome = self.put_entry(endpoint);
         self.evict_removed();
-        entered
+        outcome
     }
 
-    fn put_entry(&mut self, endpoint: Endpoint) -> Entered {
+    fn put_entry(&mut self, endpoint: Endpoint) -> ApplyOutcome {
         if self.put(endpoint) {
-            Entered::Changed
+            ApplyOutcome::Changed
         } else {
-            Entered::Known
+            ApplyOutcome::Known
         }
     }
 
@@ -122,7 +122,7 @@
     /// Removes at once an endpoint whose entry no longer names one. Returns whether there was one.
     ///
     /// The order of its newest entry is kept, so that an older entry does not bring it back.
-    pub fn take_out(&mut self, name: &str) -> bool {
+    pub fn remove_now(&mut self, name: &str) -> bool {
         self.rows.remove(name).is_some()
     }
 
@@ -163,7 +163,7 @@
 
     /// Returns whether missing entries are kept, so that the caller has to check them again later.
     #[must_use]
-    pub fn keeps_missing(&self) -> bool {
+    pub fn has_missing(&self) -> bool {
         self.rows.values().any(|row| row.missing)
     }
 
--- a/crates/firdock-state/src/follow.rs
+++ b/crates/firdock-state/src/follow.rs
@@ -126,7 +126,7 @@
     }
 
     /// Folds a batch that was read from [`Self::read_from`].
-    pub fn take(&mut self, batch: &Batch) -> Progress {
+    pub fn fold_batch(&mut self, batch: &Batch) -> Progress {
         if self.scan.is_none() && batch.first > self.state.next {
             self.scan = Some(Scan {
                 next: batch.first,
--- a/crates/firdock-state/src/state.rs
+++ b/crates/firdock-state/src/state.rs
@@ -63,7 +63,8 @@
         present: Version,
     },
     /// The record changed the member view.
-    View,
+    #[serde(rename = "view")]
+    ViewChanged,
     /// The record changed nothing.
     Ignored,
 }
@@ -177,7 +178,7 @@
             _ => return FoldOutcome::Ignored,
         }
         self.record_view(offset, time);
-        FoldOutcome::View
+        FoldOutcome::ViewChanged
     }
 
     fn record_view(&mut self, offset: Offset, since: Duration) {
--- a/crates/firdock-state/tests/state/directory.rs
+++ b/crates/firdock-state/tests/state/directory.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use firdock_core::resource::Endpoint;
-use firdock_state::directory::{Directory, Entered, GRACE};
+use firdock_state::directory::{ApplyOutcome, Directory, GRACE};
 use proptest::prelude::*;
 
 fn endpoint(name: &str) -> Endpoint {
@@ -25,7 +25,7 @@
 fn listed_directory() -> Directory {
     let mut directory = Directory::new();
     directory.replace(vec![endpoint("a"), endpoint("b")]);
-    directory.note_read(seconds(10), seconds(5));
+    directory.record_read(seconds(10), seconds(5));
     directory
 }
 
@@ -33,7 +33,7 @@
 fn a_removed_entry_is_dropped_with_the_next_read() {
     let mut directory = listed_directory();
     directory.remove("a");
-    assert!(directory.note_read(seconds(11), seconds(5)));
+    assert!(directory.record_read(seconds(11), seconds(5)));
     assert_eq!(names(&directory), ["b"]);
 }
 
@@ -42,9 +42,9 @@
     let mut directory = listed_directory();
     let reachable_at = seconds(20);
     directory.replace(vec![endpoint("b")]);
-    assert!(!directory.note_read(reachable_at, reachable_at));
+    assert!(!directory.record_read(reachable_at, reachable_at));
     assert_eq!(names(&directory), ["a", "b"]);
-    assert!(directory.note_read(reachable_at + GRACE, reachable_at));
+    assert!(directory.record_read(reachable_at + GRACE, reachable_at));
     assert_eq!(names(&directory), ["b"]);
 }
 
@@ -53,9 +53,9 @@
     let mut directory = listed_directory();
     let reachable_at = seconds(20);
     directory.replace(vec![endpoint("b")]);
-    directory.note_read(reachable_at, reachable_at);
+    directory.record_read(reachable_at, reachable_at);
     directory.put(endpoint("a"));
-    assert!(!directory.note_read(reachable_at + GRACE, reachable_at));
+    assert!(!directory.record_read(reachable_at + GRACE, reachable_at));
     assert_eq!(names(&directory), ["a", "b"]);
 }
 
@@ -66,7 +66,7 @@
     let mut leaving = endpoint("a");
     leaving.leaving = true;
     assert!(directory.put(leaving));
-    directory.note_read(reachable_at, reachable_at);
+    directory.record_read(reachable_at, reachable_at);
     assert!(directory.endpoints().any(|e| e.name == "a" && e.leaving));
 }
 
@@ -88,33 +88,48 @@
 #[test]
 fn an_older_entry_changes_nothing_whatever_its_content() {
     let mut directory = Directory::new();
-    assert_eq!(directory.enter(started("a", 5, true), 9), Entered::Changed);
+    assert_eq!(
+        directory.apply(started("a", 5, true), 9),
+        ApplyOutcome::Changed
+    );
     for (start, count) in [(5, 8), (4, 9), (4, 99), (0, 0)] {
-        let entered = directory.enter(started("a", start, false), count);
-        assert_eq!(entered, Entered::Older, "{start}, {count}");
+        let outcome = directory.apply(started("a", start, false), count);
+        assert_eq!(outcome, ApplyOutcome::Older, "{start}, {count}");
     }
     assert_eq!(start_and_leaving(&directory, "a"), Some((5, true)));
-    assert_eq!(directory.enter(started("a", 5, true), 9), Entered::Known);
-    assert_eq!(directory.enter(started("a", 6, false), 1), Entered::Changed);
+    assert_eq!(
+        directory.apply(started("a", 5, true), 9),
+        ApplyOutcome::Known
+    );
+    assert_eq!(
+        directory.apply(started("a", 6, false), 1),
+        ApplyOutcome::Changed
+    );
     assert_eq!(start_and_leaving(&directory, "a"), Some((6, false)));
 }
 
 #[test]
 fn an_older_entry_does_not_bring_back_a_removed_endpoint() {
     let mut directory = Directory::new();
-    directory.enter(started("a", 5, true), 9);
+    directory.apply(started("a", 5, true), 9);
     directory.remove("a");
-    assert!(directory.note_read(seconds(10), seconds(5)));
-    assert_eq!(directory.enter(started("a", 5, false), 8), Entered::Older);
+    assert!(directory.record_read(seconds(10), seconds(5)));
     assert_eq!(
-        directory.enter(started("a", 5, false), 10),
-        Entered::Changed
+        directory.apply(started("a", 5, false), 8),
+        ApplyOutcome::Older
     );
-    assert!(directory.take_out("a") && !directory.take_out("a"));
-    assert_eq!(directory.enter(started("a", 5, false), 9), Entered::Older);
     assert_eq!(
-        directory.enter(started("a", 5, false), 11),
-        Entered::Changed
+        directory.apply(started("a", 5, false), 10),
+        ApplyOutcome::Changed
+    );
+    assert!(directory.remove_now("a") && !directory.remove_now("a"));
+    assert_eq!(
+        directory.apply(started("a", 5, false), 9),
+        ApplyOutcome::Older
+    );
+    assert_eq!(
+        directory.apply(started("a", 5, false), 11),
+        ApplyOutcome::Changed
     );
     assert_eq!(names(&directory), ["a"]);
 }
@@ -122,11 +137,14 @@
 #[test]
 fn an_entry_without_a_start_after_one_with_a_start_is_rejected() {
     let mut directory = Directory::new();
-    directory.enter(started("a", 5, false), 1);
-    assert_eq!(directory.enter(endpoint("a"), 2), Entered::Startless);
+    directory.apply(started("a", 5, false), 1);
+    assert_eq!(
+        directory.apply(endpoint("a"), 2),
+        ApplyOutcome::MissingStart
+    );
     // Entries of an endpoint without a start are applied in the order of arrival.
-    assert_eq!(directory.enter(endpoint("b"), 7), Entered::Changed);
-    assert_eq!(directory.enter(endpoint("b"), 3), Entered::Known);
+    assert_eq!(directory.apply(endpoint("b"), 7), ApplyOutcome::Changed);
+    assert_eq!(directory.apply(endpoint("b"), 3), ApplyOutcome::Known);
 }
 
 proptest! {
@@ -139,12 +157,12 @@
         let leaving = |start: u64, count: u64| (start + count) % 2 == 1;
         let mut directory = Directory::new();
         let mut newest = (0, 0);
-        for ((start, count), taken_out) in entries.into_iter().zip(removals) {
-            if taken_out {
-                directory.take_out("a");
+        for ((start, count), is_removed) in entries.into_iter().zip(removals) {
+            if is_removed {
+                directory.remove_now("a");
             }
-            let entered = directory.enter(started("a", start, leaving(start, count)), count);
-            prop_assert_eq!(entered == Entered::Older, (start, count) < newest);
+            let outcome = directory.apply(started("a", start, leaving(start, count)), count);
+            prop_assert_eq!(outcome == ApplyOutcome::Older, (start, count) < newest);
             newest = newest.max((start, count));
             if let Some((start, is_leaving)) = start_and_leaving(&directory, "a") {
                 prop_assert_eq!((u128::from(newest.0), leaving(newest.0, newest.1)), (start, is_leaving));
--- a/crates/firdock-state/tests/state/random.rs
+++ b/crates/firdock-state/tests/state/random.rs
@@ -161,7 +161,7 @@
 
 fn read(rng: &mut StdRng, log: &Log, reference: &Reference, follower: &mut Follower) {
     let batch = log.read(follower.read_from(), rng.random_range(1..20));
-    if let Progress::Folded { results, at_end } = follower.take(&batch) {
+    if let Progress::Folded { results, at_end } = follower.fold_batch(&batch) {
         for result in results {
             assert!(
                 reference.results.contains(&result),
@@ -198,7 +198,10 @@
     for follower in followers {
         for _ in 0..1_000 {
             let batch = log.read(follower.read_from(), 7);
-            if matches!(follower.take(&batch), Progress::Folded { at_end: true, .. }) {
+            if matches!(
+                follower.fold_batch(&batch),
+                Progress::Folded { at_end: true, .. }
+            ) {
                 break;
             }
         }
