--- a/crates/firdock-core/src/content.rs
+++ b/crates/firdock-core/src/content.rs
@@ -98,12 +98,12 @@
         id.copy_from_slice(&hash[..ID_BYTES]);
         Self {
             id: ContentId(id),
-            path: path_of(method, target),
+            path: display_path(method, target),
         }
     }
 }
 
-fn path_of(method: &str, target: &str) -> Arc<str> {
+fn display_path(method: &str, target: &str) -> Arc<str> {
     let path = target.split('?').next().unwrap_or_default();
     let end = path.floor_char_boundary(PATH_BYTES);
     format!("{method} {}", &path[..end]).into()
--- a/crates/firdock-core/src/resource/account.rs
+++ b/crates/firdock-core/src/resource/account.rs
@@ -86,9 +86,9 @@
             "from 0.01 to 100",
             f,
         );
-        let (least, most) = Self::WEIGHTS;
+        let (min, max) = Self::WEIGHTS;
         require(
-            self.weight.is_none_or(|w| (least..=most).contains(&w)),
+            self.weight.is_none_or(|w| (min..=max).contains(&w)),
             line,
             path,
             "weight",
@@ -153,8 +153,8 @@
 
 impl RateLimit {
     fn is_valid(&self) -> bool {
-        let sane = |n: f64| n.is_finite() && n >= 0.0;
-        sane(self.per_second) && sane(self.burst)
+        let is_non_negative = |n: f64| n.is_finite() && n >= 0.0;
+        is_non_negative(self.per_second) && is_non_negative(self.burst)
     }
 
     /// Returns the units charged for a request of `tokens` tokens, 0 meaning that it has no token count.
@@ -169,13 +169,13 @@
 }
 
 /// Number of distinct tiers within one account rank; lower tiers share the last one.
-const TIERS_PER_ACCOUNT: u8 = 4;
+const TIERS_PER_ACCOUNT_RANK: u8 = 4;
 
 /// Returns the last request rank reserved for an account rank. Tiers below the fourth of accounts of rank
 /// 0 rank lower.
 #[must_use]
 pub fn last_rank(account: u8) -> TierRank {
-    request_rank(account, TIERS_PER_ACCOUNT - 1)
+    request_rank(account, TIERS_PER_ACCOUNT_RANK - 1)
 }
 
 /// Returns the rank of a request. The account's rank takes precedence over the tier's.
@@ -187,7 +187,7 @@
     if account == 0 {
         return tier.min(Tier::MAX_RANK);
     }
-    let within = tier.min(TIERS_PER_ACCOUNT - 1);
-    let rank = account.saturating_mul(TIERS_PER_ACCOUNT);
+    let within = tier.min(TIERS_PER_ACCOUNT_RANK - 1);
+    let rank = account.saturating_mul(TIERS_PER_ACCOUNT_RANK);
     rank.saturating_add(within).min(Tier::MAX_RANK)
 }
--- a/crates/firdock-core/src/resource/file.rs
+++ b/crates/firdock-core/src/resource/file.rs
@@ -7,7 +7,7 @@
 
 use super::{Account, Endpoint, Kind, Resource, Service, Tier};
 use crate::Findings;
-use crate::table::{Source, SpannedTable, add_syntax, read_object, read_table};
+use crate::table::{Source, SpannedTable, add_syntax_error, read_object, read_table};
 
 /// Parses a file of `[[tier]]`, `[[account]]`, `[[service]]` and `[[endpoint]]` tables.
 ///
@@ -21,7 +21,7 @@
     let tables = match parsed {
         Ok(tables) => tables,
         Err(e) => {
-            add_syntax(src, &e, &mut found);
+            add_syntax_error(src, &e, &mut found);
             return Err(found);
         }
     };
--- a/crates/firdock-core/src/settings.rs
+++ b/crates/firdock-core/src/settings.rs
@@ -16,7 +16,7 @@
 };
 
 use crate::Findings;
-use crate::table::{Source, SpannedTable, add_syntax, read_table};
+use crate::table::{Source, SpannedTable, add_syntax_error, read_table};
 
 /// All settings of one entry instance.
 #[derive(Debug, Clone, Default, PartialEq)]
@@ -63,7 +63,7 @@
         let tables = match parsed {
             Ok(tables) => tables,
             Err(e) => {
-                add_syntax(src, &e, &mut found);
+                add_syntax_error(src, &e, &mut found);
                 return Err(found);
             }
         };
--- a/crates/firdock-core/src/settings/check.rs
+++ b/crates/firdock-core/src/settings/check.rs
@@ -12,7 +12,7 @@
 /// several must fit at the same time.
 const MIN_ANSWER_BYTES: usize = 1 << 20;
 /// Valid log levels.
-const LEVELS: [&str; 4] = ["error", "warning", "info", "debug"];
+const LOG_LEVELS: [&str; 4] = ["error", "warning", "info", "debug"];
 
 /// Mode in which an instance runs. It determines which addresses are required.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -127,9 +127,9 @@
             "needs limits.account_shares",
             found,
         );
-        let room = l.held_bytes >= l.body_bytes;
+        let fits_body = l.held_bytes >= l.body_bytes;
         require(
-            room,
+            fits_body,
             "limits.held_bytes",
             "at least limits.body_bytes",
             found,
@@ -189,7 +189,7 @@
             found,
         );
         positive(self.keys.max_keys as u64, "keys.max_keys", found);
-        let level = LEVELS.contains(&self.logging.level.as_str());
+        let level = LOG_LEVELS.contains(&self.logging.level.as_str());
         require(
             level,
             "logging.level",
--- a/crates/firdock-core/src/settings/tables.rs
+++ b/crates/firdock-core/src/settings/tables.rs
@@ -15,7 +15,7 @@
     pub name: InstanceId,
     /// Availability zone.
     pub zone: ZoneId,
-    /// Address on which ingress, where callers connect.
+    /// Address of the ingress, where callers connect.
     pub callers: Option<SocketAddr>,
     /// Address of the resource API, health and metrics.
     pub operators: Option<SocketAddr>,
@@ -225,10 +225,10 @@
 
 /// Fraction of the time limit for key revocation after which requests with a key are refused. The rest
 /// covers the transfer to the endpoint and a slow process.
-const SERVE_PART: f64 = 0.8;
+const SERVE_FRACTION: f64 = 0.8;
 /// Fraction of the time limit for applying changes after which an unknown key or service may have been
 /// declared in the meantime.
-const DENY_PART: f64 = 0.6;
+const DENY_FRACTION: f64 = 0.6;
 
 /// `[freshness]`: maximum age of the configuration with which requests are served.
 ///
@@ -248,7 +248,7 @@
     #[must_use]
     pub fn serve(&self) -> Option<Duration> {
         let revoke = Duration::from_millis(self.revoke_millis);
-        (!revoke.is_zero()).then(|| revoke.mul_f64(SERVE_PART))
+        (!revoke.is_zero()).then(|| revoke.mul_f64(SERVE_FRACTION))
     }
 
     /// Returns the age of the configuration up to which an unknown key or service is refused definitively.
@@ -258,7 +258,7 @@
         if apply.is_zero() {
             Duration::MAX
         } else {
-            apply.mul_f64(DENY_PART)
+            apply.mul_f64(DENY_FRACTION)
         }
     }
 }
--- a/crates/firdock-core/src/table.rs
+++ b/crates/firdock-core/src/table.rs
@@ -43,7 +43,7 @@
     T: DeserializeOwned + Default,
 {
     let before = found.as_slice().len();
-    let mut whole = toml::Table::new();
+    let mut full_table = toml::Table::new();
     for (key, value) in table {
         let line = src.line(key.span().start);
         let name = key.into_inner();
@@ -55,12 +55,12 @@
                 first_line(e.message()),
             );
         }
-        whole.insert(name, value);
+        full_table.insert(name, value);
     }
     if found.as_slice().len() > before {
         return T::default();
     }
-    whole.try_into().unwrap_or_else(|e| {
+    full_table.try_into().unwrap_or_else(|e| {
         found.add(None, path, first_line(e.message()));
         T::default()
     })
@@ -92,7 +92,7 @@
 }
 
 /// Adds a finding with the line for a syntax error of the TOML parser.
-pub fn add_syntax(src: Source<'_>, error: &toml::de::Error, found: &mut Findings) {
+pub fn add_syntax_error(src: Source<'_>, error: &toml::de::Error, found: &mut Findings) {
     let line = error.span().map(|s| src.line(s.start));
     found.add(line, "", first_line(error.message()));
 }
--- a/crates/firdock-core/tests/core/outcomes.rs
+++ b/crates/firdock-core/tests/core/outcomes.rs
@@ -3,12 +3,12 @@
 use firdock_core::{Outcome, Reason};
 
 /// Statuses from which callers conclude that a request has not run.
-const PROMISES: [u16; 4] = [408, 421, 429, 503];
+const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
 /// Finding 19: a request whose first attempt broke and whose second was abandoned because of load may
 /// have run, but was answered with a status that states that it has not.
 #[test]
-fn what_may_have_run_is_never_told_by_a_status_that_says_it_has_not() {
+fn a_request_that_may_have_run_never_gets_a_status_that_says_it_has_not() {
     for reason in [
         Reason::Overload,
         Reason::WaitedTooLong,
@@ -25,6 +25,6 @@
         Reason::StateStale,
     ] {
         let status = reason.status(Outcome::Unknown);
-        assert!(!PROMISES.contains(&status), "{reason}: {status}");
+        assert!(!NOT_RUN_STATUSES.contains(&status), "{reason}: {status}");
     }
 }
--- a/crates/firdock-core/tests/core/resources.rs
+++ b/crates/firdock-core/tests/core/resources.rs
@@ -24,7 +24,7 @@
 "#;
 
 #[test]
-fn a_good_file_is_read_in_the_order_of_kinds() {
+fn resources_of_a_valid_file_are_sorted_by_kind() {
     let kinds: Vec<Kind> = parse_resources(GOOD)
         .expect("no findings")
         .iter()
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn every_bad_field_is_found_with_its_line() {
+fn each_invalid_field_is_reported_with_its_line() {
     let text = GOOD
         .replace(
             "address = \"127.0.0.1:80\"",
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn references_to_nothing_are_found() {
+fn references_to_undeclared_resources_are_reported() {
     let text = GOOD.replace("tier = \"instant\"", "tier = \"nowhere\"");
     let resources = parse_resources(&text).expect("good by themselves");
     let mut found = Findings::new();
--- a/crates/firdock-core/tests/core/settings.rs
+++ b/crates/firdock-core/tests/core/settings.rs
@@ -6,7 +6,7 @@
 const GOOD: &str = include_str!("good-settings.toml");
 
 #[test]
-fn a_good_file_is_read() {
+fn a_valid_file_is_parsed() {
     let settings = Settings::parse(GOOD).expect("no findings");
     assert_eq!(settings.instance.name, "entry-0");
     assert_eq!(settings.limits.max_held, 500);
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn all_findings_come_together_with_their_places() {
+fn all_findings_are_reported_with_their_location() {
     let text = GOOD
         .replace("max_held = 500", "max_held = \"many\"\nmax_hold = 3")
         .replace("grace_seconds = 5", "grace_seconds = 0")
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn an_empty_file_lacks_what_is_needed() {
+fn an_empty_file_lacks_required_fields() {
     let found = Settings::parse("").expect_err("findings");
     let paths: Vec<&str> = found.as_slice().iter().map(|f| f.path.as_str()).collect();
     for path in [
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_syntax_error_has_its_line() {
+fn a_syntax_error_is_reported_with_its_line() {
     let found = Settings::parse("[instance]\nname = \n").expect_err("findings");
     assert_eq!(found.as_slice()[0].line, Some(2));
 }
