--- a/crates/firdock-core/src/settings/tables.rs
+++ b/crates/firdock-core/src/settings/tables.rs
@@ -204,7 +204,7 @@
     pub report_millis: u64,
     /// Retries allowed, as a fraction of the first attempts.
     pub retry_ratio: f64,
-    /// Additional retries allowed over all instances together; 0 to limit only this instance by itself.
+    /// Additional retries allowed over all instances together; 0 for a limit per instance.
     pub retry_slack: f64,
     /// Maximum fraction of a service's endpoints that may be ejected at the same time.
     pub eject_ratio: f64,
--- a/crates/firdock-wire/src/message.rs
+++ b/crates/firdock-wire/src/message.rs
@@ -463,7 +463,7 @@
     /// Units that its callers requested, including those refused because of the limit.
     #[prost(double, tag = "3")]
     pub asked: f64,
-    /// Both values before callers last resumed after a period without requests.
+    /// Both totals before the present period of use, which callers began after a while without requests.
     #[prost(double, tag = "4")]
     pub units_before: f64,
     #[prost(double, tag = "5")]
